--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -10,7 +10,8 @@
   const char* remedy;
 };
 constexpr ErrorRow kRows[] = {
-#define QUAYRILL_ROW(kind, status, code, remedy) {#kind, status, absl::StatusCode::code, remedy},
+#define QUAYRILL_ROW(kind, name, status, code, remedy) \
+  {name, status, absl::StatusCode::code, remedy},
     QUAYRILL_ERRORS(QUAYRILL_ROW)
 #undef QUAYRILL_ROW
 };
--- a/src/peers/messages.cpp
+++ b/src/peers/messages.cpp
@@ -22,7 +22,7 @@
 
 const char* messageName(const Message& message) {
   static constexpr const char* kNames[] = {"none",
-#define QUAYRILL_NAME(name) #name,
+#define QUAYRILL_NAME(type, name) name,
                                            QUAYRILL_MESSAGES(QUAYRILL_NAME)
 #undef QUAYRILL_NAME
   };
@@ -65,7 +65,7 @@
     archive >> envelope.from >> envelope.to >> kind;
     using Reader = bool (*)(boost::archive::binary_iarchive&, Message*);
     static constexpr Reader kReaders[] = {nullptr,
-#define QUAYRILL_READER(name) &readAlternative<name>,
+#define QUAYRILL_READER(type, name) &readAlternative<type>,
                                           QUAYRILL_MESSAGES(QUAYRILL_READER)
 #undef QUAYRILL_READER
     };
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -312,30 +312,31 @@
   QUAYRILL_FIELDS(zone, agoMicros, outstanding, batches)
 };
 
+// Type and printed name. A message is identified on the wire by its position in this table.
 // clang-format off
 #define QUAYRILL_MESSAGES(X) \
-  X(Probe) \
-  X(ProbeAnswer) \
-  X(ShuffleAsk) \
-  X(ShuffleAnswer) \
-  X(NewsAsk) \
-  X(NewsAnswer) \
-  X(Prepare) \
-  X(Accept) \
-  X(ReplicaAnswer) \
-  X(Confirm) \
-  X(ConfirmAnswer) \
-  X(FoundAsk) \
-  X(FoundAnswer) \
-  X(ListAsk) \
-  X(ListAnswer) \
-  X(ServerNote) \
-  X(PlaneReport) \
-  X(PlaneDigest)
+  X(Probe, "Probe") \
+  X(ProbeAnswer, "ProbeAnswer") \
+  X(ShuffleAsk, "ShuffleAsk") \
+  X(ShuffleAnswer, "ShuffleAnswer") \
+  X(NewsAsk, "NewsAsk") \
+  X(NewsAnswer, "NewsAnswer") \
+  X(Prepare, "Prepare") \
+  X(Accept, "Accept") \
+  X(ReplicaAnswer, "ReplicaAnswer") \
+  X(Confirm, "Confirm") \
+  X(ConfirmAnswer, "ConfirmAnswer") \
+  X(FoundAsk, "FoundAsk") \
+  X(FoundAnswer, "FoundAnswer") \
+  X(ListAsk, "ListAsk") \
+  X(ListAnswer, "ListAnswer") \
+  X(ServerNote, "ServerNote") \
+  X(PlaneReport, "PlaneReport") \
+  X(PlaneDigest, "PlaneDigest")
 // clang-format on
 
 using Message = std::variant<std::monostate
-#define QUAYRILL_ALTERNATIVE(name) , name
+#define QUAYRILL_ALTERNATIVE(type, name) , type
                                  QUAYRILL_MESSAGES(QUAYRILL_ALTERNATIVE)
 #undef QUAYRILL_ALTERNATIVE
                              >;
