--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTick = 50ms;
-constexpr Span kFeedEvery = 100ms;
-constexpr Span kShareEvery = 400ms;
-constexpr Span kPollEvery = 400ms;
-constexpr Span kListDue = 800ms;
-constexpr Span kHealthySpan = 1500ms;
+constexpr Duration kTick = 50ms;
+constexpr Duration kFeedEvery = 100ms;
+constexpr Duration kShareEvery = 400ms;
+constexpr Duration kPollEvery = 400ms;
+constexpr Duration kListDue = 800ms;
+constexpr Duration kHealthySpan = 1500ms;
 constexpr char kDiskClosed[] =
     "the data folder can't be written now: no register replica votes here; make room, it is tried "
     "again each second";
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -12,12 +12,12 @@
 namespace {
 constexpr std::size_t kReplicaBacklog = 64;
 constexpr char kMayFound[] = "may-found";
-constexpr Span kHearSpan = 3s;
-constexpr Span kSettleLater = 1500ms;
-constexpr Span kConfirmEvery = 250ms;
-constexpr Span kConfirmEveryUnsettled = 100ms;
+constexpr Duration kHearSpan = 3s;
+constexpr Duration kSettleLater = 1500ms;
+constexpr Duration kConfirmEvery = 250ms;
+constexpr Duration kConfirmEveryUnsettled = 100ms;
 constexpr std::uint64_t kListKeysEvery = 8;
-constexpr Span kStepInAfter =
+constexpr Duration kStepInAfter =
     2s;  // ours: for each daemon that comes before in a leader role's order
 }  // namespace
 
@@ -219,7 +219,7 @@
   return replica_ && rendezvousOwner(role, staying(now)) == settings_.self;
 }
 
-bool AgentCore::mayStepIn(const std::string& role, Span overdue, Instant now) const {
+bool AgentCore::mayStepIn(const std::string& role, Duration overdue, Instant now) const {
   const std::vector<Address> live = staying(now);
   const auto rank = static_cast<int>(rendezvousRank(role, live, settings_.self));
   return !leaving_ && replica_ && !live.empty() && overdue >= rank * kStepInAfter;
@@ -366,7 +366,7 @@
   tickFounding(now, effects);
   tickConfirm(now, effects);
   // Machines that keep a store settle a value first: the others are many.
-  const Span patience = replica_ ? settlePatience_ : settlePatience_ + kSettleLater;
+  const Duration patience = replica_ ? settlePatience_ : settlePatience_ + kSettleLater;
   if (const auto key = freshness_.wantsSettling(now, patience); key && !proposer_.isBusy(*key)) {
     settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -31,15 +31,15 @@
   bool mayFound = true;  // false: this daemon never founds a fleet, an empty disk waits to join one
   // How long a founder waits for those who may know of a fleet; none where the platform itself says
   // that the whole system starts for the first time.
-  Span foundingWait = std::chrono::seconds(3);
-  Span leaseSpan{};  // two holders of one leader role never act within this of each other
+  Duration foundingWait = std::chrono::seconds(3);
+  Duration leaseSpan{};  // two holders of one leader role never act within this of each other
   std::chrono::milliseconds listEvery{400};
   double listCallsPerS = 50;  // for the platform's list, of all daemons together
   LossesToBear losses{};      // that replicasWanted bear
   Topology topology{};
   // The next loss may come so long after a lost machine, or its successor, started; 0: not
   // promised.
-  Span catchUpSpan{};
+  Duration catchUpSpan{};
 };
 
 // One piece of work for the replica's disk: the writes are synced in order, then the answer leaves.
@@ -85,7 +85,7 @@
   // Other seeds stand in the settings now, one at least: from the next tick on this daemon looks
   // for its fleet there. Nothing that it knows, keeps or has under way changes.
   void setSeeds(std::vector<Address> seeds);
-  void setListLimits(Span every, double callsPerS) { list_.setLimits(every, callsPerS); }
+  void setListLimits(Duration every, double callsPerS) { list_.setLimits(every, callsPerS); }
 
   // True where `duty` falls to this daemon among the live ones. Leader roles fall to machines that
   // keep a store only: a lease needs a majority of these, so where none of them lives nobody could
@@ -94,10 +94,10 @@
   // For a leader role that should long be done: its owner may be gone and not missed yet, so the
   // next in order may pursue the lease after a while, and the one after it later. The lease alone
   // gives the right, so more who pursue it cost messages and nothing else.
-  bool mayStepIn(const std::string& role, Span overdue, Instant now) const;
+  bool mayStepIn(const std::string& role, Duration overdue, Instant now) const;
   void pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
-  std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const {
+  std::optional<Fence> held(const RegisterKey& role, Duration needed, Instant now) const {
     return leases_.held(role, needed, now);
   }
 
@@ -159,10 +159,10 @@
   void noteContact(const Address& from, const ConfirmAnswer& answer, Instant now);
   bool isInTouch(StoreId store, Instant now) const;
   // Gone for certain, or silent for `span`.
-  bool isLost(const ReplicaMember& member, Span span, Instant now) const;
+  bool isLost(const ReplicaMember& member, Duration span, Instant now) const;
   // How long a member may be out of touch where a spare waits, and where none does.
-  Span silentSpan() const;
-  Span silentAloneSpan() const;
+  Duration silentSpan() const;
+  Duration silentAloneSpan() const;
   // A member that the set must give up: lost, or leaving by its own word.
   std::optional<ReplicaMember> departing(bool spareWaits, Instant now) const;
   bool isLeaving(const ReplicaMember& member) const;
@@ -231,7 +231,7 @@
   Told told_;
   Instant nextBeat_{}, nextPull_{}, nextConfirm_{}, nextFounding_{}, nextReplicas_{}, nextSweep_{},
       nextListPeers_{};
-  Span settlePatience_{};
+  Duration settlePatience_{};
   std::uint64_t confirmRounds_ = 0;
   // Founding. A grant is for one fleet of one founder; the next waits until it has run out, unless
   // it comes from the same address, whose earlier life is gone. One read back from the disk runs
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -8,12 +8,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kRecoverAfter = 10s;
-constexpr Span kAskAroundAfter = 1500ms;
-constexpr Span kAskAroundEvery = 500ms;
-constexpr Span kUnfoundedEvery = 150ms;
-constexpr Span kGrantSpan = 10s;
-constexpr Span kSaidSpan = 2s;  // far below kGrantSpan: what a seed said still binds it
+constexpr Duration kRecoverAfter = 10s;
+constexpr Duration kAskAroundAfter = 1500ms;
+constexpr Duration kAskAroundEvery = 500ms;
+constexpr Duration kUnfoundedEvery = 150ms;
+constexpr Duration kGrantSpan = 10s;
+constexpr Duration kSaidSpan = 2s;  // far below kGrantSpan: what a seed said still binds it
 constexpr char kGrant[] = "grant";
 constexpr std::uint64_t kRecoverVersions = 1000000;
 constexpr std::uint64_t kRecoverEpochs = 1 << 20;
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -8,10 +8,10 @@
 using namespace std::chrono_literals;
 constexpr std::size_t kRounds = 8;
 constexpr std::uint64_t kAskAllEvery = 16;  // rounds: so that a replica that became fast is found
-constexpr Span kAnswerOverdue = 150ms;
-constexpr Span kUnconfirmedSpan = 500ms;
-constexpr Span kSlowest = 2s;
-constexpr Span kBodyEvery = 1s;  // ours: a body may take as long on a slow link
+constexpr Duration kAnswerOverdue = 150ms;
+constexpr Duration kUnconfirmedSpan = 500ms;
+constexpr Duration kSlowest = 2s;
+constexpr Duration kBodyEvery = 1s;  // ours: a body may take as long on a slow link
 
 bool isWithoutBody(const ConfirmAnswer& answer, const RegisterKey& key) {
   return std::find(answer.withoutBody.begin(), answer.withoutBody.end(), key) !=
@@ -89,7 +89,7 @@
   if (round.confirmed || (!round.unsettled && now - round.sentAt < kAnswerOverdue)) return sends;
   for (const ReplicaMember& member : replicas_.members) {
     if (round.asked.contains(member.store)) {
-      Span& span = answerSpan_[member.store];
+      Duration& span = answerSpan_[member.store];
       if (!round.answers.contains(member.store)) span = std::min(span + kAnswerOverdue, kSlowest);
     }
   }
@@ -182,7 +182,7 @@
   auto entry = rounds_.find(answer.sequence);
   if (entry == rounds_.end()) return;
   entry->second.answers[answer.store] = answer;
-  Span& span = answerSpan_[answer.store];
+  Duration& span = answerSpan_[answer.store];
   span = (span * 3 + std::min(now - entry->second.sentAt, kSlowest)) / 4;
   const Instant sentAt = entry->second.sentAt;
   const Round round = entry->second;
@@ -226,7 +226,7 @@
   return std::nullopt;
 }
 
-std::optional<RegisterKey> Freshness::wantsSettling(Instant now, Span patience) const {
+std::optional<RegisterKey> Freshness::wantsSettling(Instant now, Duration patience) const {
   for (const auto& [key, since] : unsettledSince_) {
     if (now - since >= patience) return key;
   }
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -42,7 +42,7 @@
   // A value that a round of this daemon's own proposer proved chosen.
   void learnChosen(const RegisterKey& key, const ChosenValue& chosen);
   // The key that needs a read to settle it, once it has stayed unsettled for a while.
-  std::optional<RegisterKey> wantsSettling(Instant now, Span patience) const;
+  std::optional<RegisterKey> wantsSettling(Instant now, Duration patience) const;
 
  private:
   struct Round {
@@ -68,7 +68,8 @@
   std::optional<Instant> confirmedAt_;
   std::map<std::uint64_t, Round> rounds_;  // at most kRounds, newest last
   std::uint64_t sequence_;
-  std::map<StoreId, Span> answerSpan_;  // smoothed; a guide for whom to ask, never for what holds
+  std::map<StoreId, Duration>
+      answerSpan_;  // smoothed; a guide for whom to ask, never for what holds
   std::map<RegisterKey, Instant> unsettledSince_;
   // The newest accepted configuration that came with its body; chosen or not.
   ChosenValue body_;
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -9,9 +9,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTerm = 4s;
-constexpr Span kMargin = 500ms;  // clock rates differ by far less than this in one term
-constexpr Span kRenewBefore = 2500ms;
+constexpr Duration kTerm = 4s;
+constexpr Duration kMargin = 500ms;  // clock rates differ by far less than this in one term
+constexpr Duration kRenewBefore = 2500ms;
 }  // namespace
 
 std::string encodeLease(const LeaseBody& lease) {
@@ -89,7 +89,7 @@
     row.validUntil = row.askedAt + kTerm - kMargin;
 }
 
-std::optional<Fence> Leases::held(const RegisterKey& role, Span needed, Instant now) const {
+std::optional<Fence> Leases::held(const RegisterKey& role, Duration needed, Instant now) const {
   const auto row = rows_.find(role);
   if (row == rows_.end()) return std::nullopt;
   const LeaseBody& body = row->second.body;
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -22,7 +22,7 @@
  public:
   // A lease taken from another life counts only once `leaseSpan` has passed since that one could
   // last have acted.
-  Leases(Address self, std::uint64_t nonce, Span leaseSpan = {})
+  Leases(Address self, std::uint64_t nonce, Duration leaseSpan = {})
       : self_(std::move(self)), nonce_(nonce), leaseSpan_(leaseSpan) {}
 
   // The register change that brings this daemon nearer to holding the leader role, if one is due
@@ -32,7 +32,7 @@
   std::optional<ChangeAsked> release(const RegisterKey& role, Instant now);
   void onDone(const ChangeDone& done, Instant now);
   // The fence, while the lease is sure to last for `needed` more.
-  std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const;
+  std::optional<Fence> held(const RegisterKey& role, Duration needed, Instant now) const;
 
  private:
   // validUntil counts from before the change was sent, and a rival counts the whole term from
@@ -54,7 +54,7 @@
                      const LeaseBody& body);
   Address self_;
   std::uint64_t nonce_;
-  Span leaseSpan_;
+  Duration leaseSpan_;
   std::map<RegisterKey, Row> rows_;
 };
 
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/news.cpp
@@ -7,8 +7,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kLiveSpan = 6s;
-constexpr Span kKeepSpan = 10min;
+constexpr Duration kLiveSpan = 6s;
+constexpr Duration kKeepSpan = 10min;
 }  // namespace
 
 News::News(Address self, std::uint64_t nonce) : self_(std::move(self)) {
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -11,9 +11,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kEvery = 100ms;             // ours: from round to round
-constexpr Span kReportSpan = 1500ms;       // ours: a daemon that reported longer ago counts no more
-constexpr Span kZoneSpan = 2s;             // ours: the same for a zone
+constexpr Duration kEvery = 100ms;         // ours: from round to round
+constexpr Duration kReportSpan = 1500ms;   // ours: a daemon that reported longer ago counts no more
+constexpr Duration kZoneSpan = 2s;         // ours: the same for a zone
 constexpr std::size_t kMostBatches = 512;  // ours: kept until the next round
 constexpr std::size_t kMostDigests = 8;    // ours: kept for a data plane that does not take them
 
@@ -41,7 +41,7 @@
   batches->erase(batches->begin(), batches->begin() + surplus);
 }
 
-std::int64_t microsOf(Span span) {
+std::int64_t microsOf(Duration span) {
   return std::chrono::duration_cast<std::chrono::microseconds>(span).count();
 }
 }  // namespace
@@ -83,7 +83,7 @@
   PlaneDigest digest;
   digest.zone = zone_;
   Sums sums;
-  Span age{};
+  Duration age{};
   for (const auto& [daemon, report] : reports_) {
     add(&sums, report.outstanding);
     age += now - report.at;
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -9,10 +9,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kCandidateSpan = 1s;
+constexpr Duration kCandidateSpan = 1s;
 // A store that was silent and came back waits so long for each time that it did so lately, so that
 // machines in trouble don't take turns in the set.
-constexpr Span kSteadyPerReturn = 500ms;
+constexpr Duration kSteadyPerReturn = 500ms;
 constexpr int kMostReturns = 4;
 constexpr std::size_t kFewestAlone = 3;  // replicas that stay where no spare waits
 }  // namespace
@@ -37,7 +37,7 @@
     if (member == members.end()) return std::nullopt;
     return *member;
   };
-  const Span patience = spareWaits ? silentSpan() : silentAloneSpan();
+  const Duration patience = spareWaits ? silentSpan() : silentAloneSpan();
   if (auto gone = first([&](const auto& member) { return replaced_.contains(member.store); }))
     return gone;
   if (auto silent = first([&](const auto& member) { return isLost(member, patience, now); }))
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -9,24 +9,25 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTouchSpan = 1500ms;
+constexpr Duration kTouchSpan = 1500ms;
 // A member is silent once it has been out of touch for so long more. Ours, where no bound for
 // repairs is given: before it gives way to one that waits.
-constexpr Span kSilentSpan = 4s;
-constexpr Span kLeastSilentSpan = 500ms;  // two rounds of questions
-constexpr Span kTickGap = 500ms;  // a daemon that did not run for so long judges nobody by it
-constexpr Span kForgetReturns = 60s;
-constexpr Span kSilentAloneSpan = 8s;  // ours: before it is taken out where none waits
-constexpr Span kKeepContact = 10s;
-constexpr Span kNextStepsInAfter = 700ms;
+constexpr Duration kSilentSpan = 4s;
+constexpr Duration kLeastSilentSpan = 500ms;  // two rounds of questions
+constexpr Duration kTickGap = 500ms;  // a daemon that did not run for so long judges nobody by it
+constexpr Duration kForgetReturns = 60s;
+constexpr Duration kSilentAloneSpan = 8s;  // ours: before it is taken out where none waits
+constexpr Duration kKeepContact = 10s;
+constexpr Duration kNextStepsInAfter = 700ms;
 }  // namespace
 
 // Half of the time until the next loss is for noticing, half for the steps.
-Span AgentCore::silentSpan() const {
-  if (settings_.catchUpSpan == Span{}) return kSilentSpan;
-  return std::clamp<Span>(settings_.catchUpSpan / 2 - kTouchSpan, kLeastSilentSpan, kSilentSpan);
+Duration AgentCore::silentSpan() const {
+  if (settings_.catchUpSpan == Duration{}) return kSilentSpan;
+  return std::clamp<Duration>(settings_.catchUpSpan / 2 - kTouchSpan, kLeastSilentSpan,
+                              kSilentSpan);
 }
-Span AgentCore::silentAloneSpan() const { return kSilentAloneSpan; }
+Duration AgentCore::silentAloneSpan() const { return kSilentAloneSpan; }
 
 void AgentCore::noteContact(const Address& from, const ConfirmAnswer& answer, Instant now) {
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
@@ -48,7 +49,7 @@
   return contact != contacts_.end() && now - contact->second.at < kTouchSpan;
 }
 
-bool AgentCore::isLost(const ReplicaMember& member, Span span, Instant now) const {
+bool AgentCore::isLost(const ReplicaMember& member, Duration span, Instant now) const {
   if (replaced_.contains(member.store)) return true;
   const auto silent = silentSince_.find(member.store);
   return silent != silentSince_.end() && now - silent->second >= span;
--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -11,17 +11,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kQuestionEvery = 250ms;
-constexpr Span kFirstQuestion = 1200ms;
-constexpr Span kReportLag = 600ms;  // a report may be as old as that when it comes
-constexpr Span kOrderAgain = 500ms;
-constexpr Span kNotKnownLongest = 4s;  // ours: between orders of a version that is not known there
-constexpr Span kNoteEvery = 1s;
-constexpr Span kStuckSpan = 10s;   // no word of its new weights for so long: its place goes on
-constexpr double kPlanned = 0.75;  // of the bound: the rest is for what goes wrong
+constexpr Duration kQuestionEvery = 250ms;
+constexpr Duration kFirstQuestion = 1200ms;
+constexpr Duration kReportLag = 600ms;  // a report may be as old as that when it comes
+constexpr Duration kOrderAgain = 500ms;
+constexpr Duration kNotKnownLongest =
+    4s;  // ours: between orders of a version that is not known there
+constexpr Duration kNoteEvery = 1s;
+constexpr Duration kStuckSpan = 10s;  // no word of its new weights for so long: its place goes on
+constexpr double kPlanned = 0.75;     // of the bound: the rest is for what goes wrong
 constexpr double kForced = 0.8;  // of the bound: from here on, half of a model's servers may switch
 
-double secondsOf(Span span) { return std::chrono::duration<double>(span).count(); }
+double secondsOf(Duration span) { return std::chrono::duration<double>(span).count(); }
 }  // namespace
 
 const char* orderAnswerName(OrderAnswer answer) {
@@ -62,9 +63,10 @@
   }));
 }
 
-Span Rollout::timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const {
+Duration Rollout::timeLeft(const RolloutServer& server, const RolloutView& view,
+                           Instant now) const {
   const Instant until = view.weights.usableUntil(weightsOf(server), settings_.due);
-  if (until <= now) return Span{};
+  if (until <= now) return Duration{};
   return std::min(until - now, settings_.due);
 }
 
@@ -194,7 +196,7 @@
     // Where another holder's order is being done, ours takes its place and no further one.
     if (!server.switching) ++switching;
     order(server, view, now, effects);
-    nextStart_ = now + switchSpan_ / static_cast<Span::rep>(most);
+    nextStart_ = now + switchSpan_ / static_cast<Duration::rep>(most);
     hasBegun_ = true;
   }
   if (waiting.empty()) hasBegun_ = false;
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -34,8 +34,8 @@
 };
 
 struct RolloutSettings {
-  Span due{};           // of a naming: by then no server is to begin on weights older than it
-  Span takeoverWait{};  // after a lease was taken over, before the first order under it
+  Duration due{};           // of a naming: by then no server is to begin on weights older than it
+  Duration takeoverWait{};  // after a lease was taken over, before the first order under it
 };
 
 struct RolloutServer {
@@ -110,13 +110,13 @@
   // A server that is behind, and how long requests may still begin on its weights.
   struct Waiting {
     const RolloutServer* server;
-    Span left;
+    Duration left;
   };
   WeightsVersion weightsOf(const RolloutServer& server) const;
   bool isBehindHere(const RolloutServer& server, const WeightsVersion& wanted) const;
   bool mayOrder(const RolloutView& view, Instant now) const;
   // Zero where none is left.
-  Span timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const;
+  Duration timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const;
   // One of those that may switch at once.
   static bool holdsPlace(const Row& row);
   std::vector<Waiting> waitingServers(const RolloutView& view, Instant now) const;
@@ -141,7 +141,8 @@
   std::optional<Fence> lastFence_;
   Fence fencedOff_;
   Instant mayOrderAt_{};
-  Span switchSpan_ = std::chrono::milliseconds(2500);  // from order to new weights, by experience
+  Duration switchSpan_ =
+      std::chrono::milliseconds(2500);  // from order to new weights, by experience
   // Starts are spread over the time that one switch takes: servers in step would all wait for
   // their streams at the same time, and then share the loading.
   Instant nextStart_{};
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -11,9 +11,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kStepInAfter = 300ms;  // for each daemon that comes before in the order
-constexpr Span kAskAgain = 150ms;     // past the time at which a new reading was due
-constexpr Span kLongestBackOff = 4s;
+constexpr Duration kStepInAfter = 300ms;  // for each daemon that comes before in the order
+constexpr Duration kAskAgain = 150ms;     // past the time at which a new reading was due
+constexpr Duration kLongestBackOff = 4s;
 constexpr std::size_t kAsked = 16;
 constexpr std::size_t kKept = 1024;
 
@@ -22,12 +22,12 @@
 }
 }  // namespace
 
-Span ServerList::overdue(Instant now) const {
+Duration ServerList::overdue(Instant now) const {
   if (readAt_) return now - *readAt_ - settings_.every;
-  return firstAt_ ? now - *firstAt_ : Span{};
+  return firstAt_ ? now - *firstAt_ : Duration{};
 }
 
-Span ServerList::patience(const ListPeers& peers) const {
+Duration ServerList::patience(const ListPeers& peers) const {
   const auto self = std::find(peers.order.begin(), peers.order.end(), settings_.self);
   return (self - peers.order.begin()) * kStepInAfter;
 }
@@ -52,8 +52,8 @@
     const bool lies = std::any_of(asked_.begin(), asked_.end(),
                                   [&](const auto& row) { return row.second.to == *first; });
     if (!lies) sends->push_back(ask(*first, now));
-    const Span late = overdue(now) - kAskAgain;
-    if (late >= Span{} && now >= nextAsk_) {
+    const Duration late = overdue(now) - kAskAgain;
+    if (late >= Duration{} && now >= nextAsk_) {
       nextAsk_ = now + kStepInAfter;
       const auto turn = static_cast<std::size_t>(late / kStepInAfter) % peers.order.size();
       if (peers.order[turn] != settings_.self) sends->push_back(ask(peers.order[turn], now));
@@ -66,8 +66,8 @@
       static_cast<double>(std::max<std::size_t>({1, peers.mostKnown, peers.order.size()}));
   const auto least = std::chrono::duration<double>(static_cast<double>(callsEach_) / share);
   // Where readings fail, each tries as seldom as its place in the order says.
-  nextRead_ =
-      now + std::max(std::chrono::duration_cast<Span>(least), settings_.every + patience(peers));
+  nextRead_ = now + std::max(std::chrono::duration_cast<Duration>(least),
+                             settings_.every + patience(peers));
   return true;
 }
 
@@ -75,7 +75,7 @@
                       std::vector<Envelope>* sends) {
   reading_ = false;
   callsEach_ = std::max<std::size_t>(1, calls);
-  backOff_ = Span{};
+  backOff_ = Duration{};
   std::sort(rows.begin(), rows.end(), [](const ListRow& a, const ListRow& b) {
     return std::tie(a.name, a.identity) < std::tie(b.name, b.identity);
   });
@@ -87,7 +87,7 @@
   reading_ = false;
   callsEach_ = std::max(callsEach_, calls);
   if (!overRate) return;
-  backOff_ = std::clamp<Span>(backOff_ * 2, 500ms, kLongestBackOff);
+  backOff_ = std::clamp<Duration>(backOff_ * 2, 500ms, kLongestBackOff);
   nextRead_ = std::max(nextRead_, now + backOff_);
 }
 
@@ -101,11 +101,11 @@
 }
 
 // `sinceCame` is how long the question has been here, in which the asker's own reading aged too.
-bool ServerList::isNewer(const ListAsk& ask, Span sinceCame, Instant now) const {
+bool ServerList::isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const {
   if (!readAt_) return false;
   if (ask.knownAgoMicros < 0) return true;
-  const Span theirs = std::chrono::microseconds(ask.knownAgoMicros) + sinceCame;
-  const Span own = now - *readAt_;
+  const Duration theirs = std::chrono::microseconds(ask.knownAgoMicros) + sinceCame;
+  const Duration own = now - *readAt_;
   // The same reading looks a little older at the asker, by the time that it took to get there.
   return own < theirs && (ask.knownDigest != digest_ || own + settings_.every / 2 < theirs);
 }
@@ -120,7 +120,7 @@
 
 void ServerList::onAsk(const Address& from, const ListAsk& ask, Instant now,
                        std::vector<Envelope>* sends) {
-  if (isNewer(ask, Span{}, now)) {
+  if (isNewer(ask, Duration{}, now)) {
     kept_.erase(from);
     sends->push_back(answer(from, {ask, now}, now));
   } else if (kept_.contains(from) || kept_.size() < kKept) {
@@ -131,7 +131,7 @@
 void ServerList::answerKept(Instant now, std::vector<Envelope>* sends) {
   std::erase_if(kept_, [&](const auto& row) {
     const auto& [from, kept] = row;
-    const Span since = now - kept.cameAt;
+    const Duration since = now - kept.cameAt;
     if (since > settings_.every + 5s) return true;  // its asker has long asked again, or is gone
     if (!isNewer(kept.ask, since, now)) return false;
     sends->push_back(answer(from, kept, now));
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -13,8 +13,8 @@
 
 struct ListSettings {
   Address self;
-  Span every = std::chrono::milliseconds(400);  // a reading this old is to be replaced
-  double callsPerS = 50;                        // of all daemons together
+  Duration every = std::chrono::milliseconds(400);  // a reading this old is to be replaced
+  double callsPerS = 50;                            // of all daemons together
 };
 
 // The daemons in the order in which they read, this one among them, and the most that were ever
@@ -28,7 +28,7 @@
  public:
   explicit ServerList(ListSettings settings = {}) : settings_(std::move(settings)) {}
 
-  void setLimits(Span every, double callsPerS) {
+  void setLimits(Duration every, double callsPerS) {
     settings_.every = every;
     settings_.callsPerS = callsPerS;
   }
@@ -61,9 +61,9 @@
     Instant at;
   };
   // What must be overdue before this daemon reads.
-  Span patience(const ListPeers& peers) const;
-  Span overdue(Instant now) const;
-  bool isNewer(const ListAsk& ask, Span sinceCame, Instant now) const;
+  Duration patience(const ListPeers& peers) const;
+  Duration overdue(Instant now) const;
+  bool isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const;
   Envelope answer(const Address& to, const KeptAsk& kept, Instant now) const;
   bool replace(std::vector<ListRow> rows, std::uint64_t digest, Instant readAt);
   void answerKept(Instant now, std::vector<Envelope>* sends);
@@ -81,7 +81,7 @@
   bool reading_ = false;
   Instant nextRead_{};
   std::size_t callsEach_ = 1;  // that the last reading took
-  Span backOff_{};             // 0: the platform did not say that the rate is passed
+  Duration backOff_{};         // 0: the platform did not say that the rate is passed
 };
 
 }  // namespace quayrill
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 // The holder says it again each second while it lasts, so a holder that is gone blocks no server.
-constexpr Span kSwitchingSpan = 3s;
+constexpr Duration kSwitchingSpan = 3s;
 // Versions without an order: the list and the servers' own word show a switch within this.
-constexpr Span kUnorderedSpan = 3s;
-constexpr Span kKeepSpan = 10s;
+constexpr Duration kUnorderedSpan = 3s;
+constexpr Duration kKeepSpan = 10s;
 }  // namespace
 
 void ServerNotes::take(const ServerNote& note, Instant now) {
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -39,7 +39,7 @@
 }
 
 Instant WeightsHistories::usableUntil(const ModelName& model, const WeightsVersion& weights,
-                                      Span bound) const {
+                                      Duration bound) const {
   const WeightsHistory* history = of(model);
   return history ? history->usableUntil(weights, bound) : Instant::max();
 }
--- a/src/agent/core/weights_histories.h
+++ b/src/agent/core/weights_histories.h
@@ -25,7 +25,7 @@
   // nullptr: the configuration in force names no weights of this model.
   const WeightsHistory* of(const ModelName& model) const;
   // WeightsHistory::usableUntil. Where the configuration names no weights, any may be used.
-  Instant usableUntil(const ModelName& model, const WeightsVersion& weights, Span bound) const;
+  Instant usableUntil(const ModelName& model, const WeightsVersion& weights, Duration bound) const;
 
  private:
   std::map<ModelName, WeightsHistory> rows_;  // exactly the models that the configuration names
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -35,7 +35,7 @@
   co_return **result;
 }
 
-awaitable<ChangeDone> Agent::readSettled(Span due) {
+awaitable<ChangeDone> Agent::readSettled(Duration due) {
   ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
   co_return co_await ask(read);
 }
@@ -159,7 +159,7 @@
   Json rows = Json::array();
   const Snapshot told = snapshot(configurationVersion_, now);
   for (const SnapshotServer& row : told.servers) {
-    const auto fence = core_->held(orderLease(row.model), Span{}, now);
+    const auto fence = core_->held(orderLease(row.model), Duration{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
                     {"model", row.model.value},
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -6,12 +6,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kOrderDue = 1500ms;  // from the decision on
+constexpr Duration kOrderDue = 1500ms;  // from the decision on
 // Ours: all daemons are told that a server is to switch before it is ordered. Prompts that wait
 // there begin meanwhile; those that had not begun by the order would be turned away.
-constexpr Span kNoticeSpan = 400ms;
-constexpr Span kOrderMargin = 300ms;  // by which a lease outlasts an order
-constexpr Span kReportDue = 700ms;
+constexpr Duration kNoticeSpan = 400ms;
+constexpr Duration kOrderMargin = 300ms;  // by which a lease outlasts an order
+constexpr Duration kReportDue = 700ms;
 
 std::string roleOf(const ModelName& model) { return "orders/" + model.value; }
 }  // namespace
@@ -46,12 +46,12 @@
                 [&](const auto& row) { return !configuration_->weights.contains(row.first); });
   for (const auto& [model, newest] : configuration_->weights) {
     // The lease itself waits a lease out before it counts.
-    const RolloutSettings rolloutSettings{settings_.rolloutDue, Span{}};
+    const RolloutSettings rolloutSettings{settings_.rolloutDue, Duration{}};
     Rollout& rollout = rollouts_.try_emplace(model, model, rolloutSettings).first->second;
     const RolloutView view = rolloutView(model, now);
     const RegisterKey key = orderLease(model);
     AgentEffects effects;
-    const auto held = core_->held(key, Span{}, now);
+    const auto held = core_->held(key, Duration{}, now);
     if (held && rollout.isFencedOff(*held)) {
       // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
@@ -88,9 +88,9 @@
   const std::string owner = orderOwner();
   co_await pauseFor(kNoticeSpan);
   // What stood still since it was decided has that much less time, or is not sent at all.
-  const Span due = kOrderDue - (BootClock::now() - decidedAt);
+  const Duration due = kOrderDue - (BootClock::now() - decidedAt);
   OrderAnswer answer = OrderAnswer::Unclear;
-  if (due > Span{}) {
+  if (due > Duration{}) {
     ++counters_.weightOrders;
     answer = co_await dialect_.orderWeights(address, settings_.peer, order.identity, model,
                                             order.weights, owner, order.fence, due);
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kUpdateDue = 3500ms;
-constexpr Span kHeardWithin = 2s;  // ours: several rounds of confirming
+constexpr Duration kUpdateDue = 3500ms;
+constexpr Duration kHeardWithin = 2s;  // ours: several rounds of confirming
 }  // namespace
 
 bool Agent::hearsRegister() const {
--- a/src/agent/view.h
+++ b/src/agent/view.h
@@ -24,7 +24,7 @@
 
   // Until when requests may begin on that server's weights: `bound` after the first newer ones
   // were named.
-  Instant usableUntil(const ServerState& server, Span bound) const {
+  Instant usableUntil(const ServerState& server, Duration bound) const {
     return weights.usableUntil(server.model, server.weights, bound);
   }
 };
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -22,6 +22,6 @@
 };
 
 using Instant = BootClock::time_point;
-using Span = BootClock::duration;
+using Duration = BootClock::duration;
 
 }  // namespace quayrill
--- a/src/base/weights_version.cpp
+++ b/src/base/weights_version.cpp
@@ -45,7 +45,7 @@
   std::erase_if(newestAt_, [&](const auto& row) { return row.second < before; });
 }
 
-Instant WeightsHistory::usableUntil(const WeightsVersion& weights, Span bound) const {
+Instant WeightsHistory::usableUntil(const WeightsVersion& weights, Duration bound) const {
   // Asked for each server at each placement; nearly always these are the newest.
   if (weights == newest_ || !isBehind(weights, newest_)) return Instant::max();
   // While an older version was the newest, this one was not superseded either.
--- a/src/base/weights_version.h
+++ b/src/base/weights_version.h
@@ -35,7 +35,7 @@
   // Until when requests may begin on `weights`, where each version may be used for `bound` after
   // the first newer one was named. Instant::max(): no newer one is known. Instant::min(): when
   // that was is not known here.
-  Instant usableUntil(const WeightsVersion& weights, Span bound) const;
+  Instant usableUntil(const WeightsVersion& weights, Duration bound) const;
   const std::map<WeightsVersion, Instant>& superseded() const { return newestAt_; }
 
  private:
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,7 +21,7 @@
 // grace.
 void leave(Proxy& plane, const Settings& settings) {
   plane.beginLeaving();
-  const Span grace = std::max<Span>(settings.grace, plane.longestDue() + 2s);
+  const Duration grace = std::max<Duration>(settings.grace, plane.longestDue() + 2s);
   const auto graceEnd = BootClock::now() + grace;
   std::this_thread::sleep_for(std::min<std::chrono::milliseconds>(settings.grace / 2, 3000ms));
   plane.stopAccepting();
@@ -34,12 +34,12 @@
 // machine is about to stand in for votes until then; where none can, it stays a member, for a
 // restart brings it back with its disk.
 void leaveRegister(const Agent& agent, const Settings& settings, Instant toldAt) {
-  const auto until = [&](Span span) {
-    return std::max<Span>(Span{}, toldAt + span - BootClock::now());
+  const auto until = [&](Duration span) {
+    return std::max<Duration>(Duration{}, toldAt + span - BootClock::now());
   };
   if (settings.role == "agent")
     std::this_thread::sleep_for(until(std::min<std::chrono::milliseconds>(settings.grace, 3000ms)));
-  while (agent.isHandingOver() && until(settings.grace * 3 / 4) > Span{})
+  while (agent.isHandingOver() && until(settings.grace * 3 / 4) > Duration{})
     std::this_thread::sleep_for(20ms);
 }
 
--- a/src/dialect/own.cpp
+++ b/src/dialect/own.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 awaitable<absl::StatusOr<std::vector<ListRow>>> readOwnList(Address platform, Address from,
-                                                            Span due, std::size_t* calls) {
+                                                            Duration due, std::size_t* calls) {
   ++*calls;
   co_return co_await readPlatformList(platform, from, due);
 }
 
 awaitable<absl::StatusOr<WeightsReport>> readOwnWeights(Address server, Address, ModelName model,
-                                                        Span due) {
+                                                        Duration due) {
   const auto state = co_await readServer(server, due);
   if (!state.ok()) co_return state.status();
   co_return WeightsReport{model, state->weights, false};
 }
 
 awaitable<OrderAnswer> orderOwnWeights(Address server, Address from, ServerIdentity, ModelName,
-                                       WeightsVersion weights, std::string, Fence fence, Span due) {
+                                       WeightsVersion weights, std::string, Fence fence,
+                                       Duration due) {
   const auto status = co_await orderWeights(server, from, weights, fence, due);
   co_return status.ok() ? OrderAnswer::Taken : OrderAnswer::Unclear;
 }
--- a/src/fleet/callers.cpp
+++ b/src/fleet/callers.cpp
@@ -83,7 +83,7 @@
   }
 }
 
-awaitable<void> Gateway::drive(Span span, double rateFactor, std::string onlyTenant) {
+awaitable<void> Gateway::drive(Duration span, double rateFactor, std::string onlyTenant) {
   const Instant until = BootClock::now() + span;
   ledger_.with([&](Ledger& ledger) {
     if (ledger.trafficBegin == Instant{}) ledger.trafficBegin = BootClock::now();
@@ -95,7 +95,7 @@
     return std::uniform_real_distribution<>(0, below)(random_);
   };
   while (BootClock::now() < until) {
-    next += std::chrono::duration_cast<Span>(every);
+    next += std::chrono::duration_cast<Duration>(every);
     if (next > BootClock::now()) co_await pauseFor(next - BootClock::now());
     if (open_ >= kOpenLimit) continue;
     double point = draw(1.0);
--- a/src/fleet/callers.h
+++ b/src/fleet/callers.h
@@ -40,7 +40,7 @@
           std::uint64_t seed);
   void start();
   // Sends at the mix's rate until then, for all tenants or for one.
-  awaitable<void> drive(Span span, double rateFactor, std::string onlyTenant = "");
+  awaitable<void> drive(Duration span, double rateFactor, std::string onlyTenant = "");
   std::size_t open() const { return open_; }
   std::vector<DaemonTarget>& daemons() { return daemons_; }
 
--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -8,13 +8,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kKeyBound = 5s;
-constexpr Span kLeaveBound = 3s;
-constexpr Span kWeightsBound = 25s;
-constexpr Span kTryWindow = 10s;
-constexpr Span kRecoveryBound = 12s;
+constexpr Duration kKeyBound = 5s;
+constexpr Duration kLeaveBound = 3s;
+constexpr Duration kWeightsBound = 25s;
+constexpr Duration kTryWindow = 10s;
+constexpr Duration kRecoveryBound = 12s;
 
-std::string millis(Span span) {
+std::string millis(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) +
          " ms";
 }
@@ -187,12 +187,12 @@
 }
 
 // The longest stretch within [begin, end] that holds none of `ends` and nothing hindered.
-Span longestGap(std::vector<Instant> ends, std::vector<HinderedRow> hindered, Instant begin,
-                Instant end) {
+Duration longestGap(std::vector<Instant> ends, std::vector<HinderedRow> hindered, Instant begin,
+                    Instant end) {
   for (const HinderedRow& row : hindered) ends.push_back(std::clamp(row.ended, begin, end));
   ends.push_back(end);
   std::sort(ends.begin(), ends.end());
-  Span longest{};
+  Duration longest{};
   Instant from = begin;
   for (const Instant& at : ends) {
     Instant to = std::clamp(at, begin, end);
@@ -206,7 +206,7 @@
   return longest;
 }
 
-Span silenceOf(const Ledger& ledger, const std::string& daemon, Instant trafficEnd) {
+Duration silenceOf(const Ledger& ledger, const std::string& daemon, Instant trafficEnd) {
   std::vector<Instant> ends;
   for (const CallRow& call : ledger.calls) {
     if (call.daemon == daemon && call.status == 200 && call.complete) ends.push_back(call.ended);
@@ -224,7 +224,7 @@
     if (call.status == 200 && call.complete) ends.push_back(call.ended);
   }
   std::sort(ends.begin(), ends.end());
-  Span longest{};
+  Duration longest{};
   for (std::size_t i = 1; i < ends.size(); ++i) longest = std::max(longest, ends[i] - ends[i - 1]);
   return std::chrono::duration<double, std::milli>(longest).count();
 }
@@ -241,12 +241,12 @@
     if (call.status == 200 && call.complete) ends.push_back(call.ended);
   }
   for (const auto& [way, ends] : endsOfWay) {
-    const Span gap = longestGap(ends, hinderedAll, ledger.trafficBegin, trafficEnd);
+    const Duration gap = longestGap(ends, hinderedAll, ledger.trafficBegin, trafficEnd);
     if (gap > kRecoveryBound)
       findings->push_back({"recovery", "no answer of '" + way + "' finished for " + millis(gap)});
   }
   for (const std::string& daemon : ledger.daemons) {
-    const Span gap = silenceOf(ledger, daemon, trafficEnd);
+    const Duration gap = silenceOf(ledger, daemon, trafficEnd);
     if (gap > kRecoveryBound)
       findings->push_back({"recovery", daemon + " finished no answer for " + millis(gap)});
   }
--- a/src/fleet/checker_operators.cpp
+++ b/src/fleet/checker_operators.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kInForceBound = 2s;
+constexpr Duration kInForceBound = 2s;
 
 // Acknowledged versions in order of time, each the highest up to then.
 std::vector<std::pair<Instant, std::uint64_t>> floorsOf(const Ledger& ledger) {
@@ -30,9 +30,9 @@
 }
 }  // namespace
 
-Span slowestInForce(const Ledger& ledger) {
+Duration slowestInForce(const Ledger& ledger) {
   const auto floors = floorsOf(ledger);
-  Span slowest{};
+  Duration slowest{};
   for (const ServedRow& row : ledger.served) {
     const auto overtaken = overtakenAt(floors, row.version);
     if (overtaken && row.at > *overtaken) slowest = std::max(slowest, row.at - *overtaken);
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -135,6 +135,6 @@
 
 // The rules on what operators change, in checker_operators.cpp.
 void checkOperators(const Ledger& ledger, std::vector<Finding>* findings);
-Span slowestInForce(const Ledger& ledger);
+Duration slowestInForce(const Ledger& ledger);
 
 }  // namespace quayrill::fleet
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -52,7 +52,7 @@
     findings = quayrill::fleet::checkLedger(ledger, site.trafficEnd());
     figures = quayrill::fleet::figuresOf(ledger, site.trafficEnd());
   });
-  quayrill::Span slowest{};
+  quayrill::Duration slowest{};
   for (const auto& change : site.changes()) {
     if (!change.closed) slowest = std::max(slowest, change.everywhereAfter);
     if (!change.everywhere)
@@ -83,7 +83,7 @@
   site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& [weights, named] : ledger.weightsNamedAt) {
       std::size_t reached = 0;
-      quayrill::Span last{};
+      quayrill::Duration last{};
       for (const auto& [server, at] : ledger.weightsReachedAt[weights]) {
         reached += ledger.serversAtEnd.contains(server) ? 1 : 0;
         last = std::max(last, at - named);
--- a/src/fleet/site.cpp
+++ b/src/fleet/site.cpp
@@ -65,7 +65,7 @@
   co_return Json::parse(response->body(), nullptr, false);
 }
 
-awaitable<bool> Site::found(Span limit) {
+awaitable<bool> Site::found(Duration limit) {
   const Instant until = BootClock::now() + limit;
   bool put = false;
   while (BootClock::now() < until) {
@@ -90,7 +90,7 @@
   co_return false;
 }
 
-awaitable<void> Site::traffic(Span span, std::vector<Step> steps) {
+awaitable<void> Site::traffic(Duration span, std::vector<Step> steps) {
   for (Step& step : steps) {
     ++stepsOpen_;
     asio::co_spawn(io_, perform(std::move(step)), asio::detached);
--- a/src/fleet/site.h
+++ b/src/fleet/site.h
@@ -20,9 +20,9 @@
 
 struct ChangeSeen {
   std::uint64_t version = 0;
-  Span everywhereAfter{};   // from the acknowledgement to the last reachable daemon
-  bool everywhere = false;  // no daemon serves by an older configuration
-  bool closed = false;      // some daemon serves nobody
+  Duration everywhereAfter{};  // from the acknowledgement to the last reachable daemon
+  bool everywhere = false;     // no daemon serves by an older configuration
+  bool closed = false;         // some daemon serves nobody
 };
 
 class Site {
@@ -30,8 +30,8 @@
   Site(asio::io_context& io, SiteSettings settings);
   absl::Status start();
   // Waits until every daemon is ready under a full replica set, having put the first configuration.
-  awaitable<bool> found(Span limit);
-  awaitable<void> traffic(Span span, std::vector<Step> steps);
+  awaitable<bool> found(Duration limit);
+  awaitable<void> traffic(Duration span, std::vector<Step> steps);
   void end();
 
   Ledger& ledger() { return ledger_; }
@@ -46,7 +46,7 @@
  private:
   awaitable<void> perform(Step step);
   awaitable<void> atDaemon(std::string what, Daemon& daemon);
-  awaitable<void> kill(Daemon& daemon, Span backAfter, bool wipe);
+  awaitable<void> kill(Daemon& daemon, Duration backAfter, bool wipe);
   awaitable<void> restart(Daemon& daemon);
   awaitable<void> changeSettings(Daemon& daemon);
   awaitable<void> awaitLog(const Daemon& daemon, std::string text);
--- a/src/fleet/site_operators.cpp
+++ b/src/fleet/site_operators.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kInForceBound = 2s;
+constexpr Duration kInForceBound = 2s;
 }  // namespace
 
 // The configuration that a proxy serves by, or nothing where it serves nobody.
@@ -190,7 +190,7 @@
   ledger_.with([&](Ledger& ledger) {
     struct Row {
       std::size_t calls = 0, done = 0;
-      std::vector<Span> firstPieces;
+      std::vector<Duration> firstPieces;
     };
     std::map<std::string, Row> rows;
     for (const CallRow& call : ledger.calls) {
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -8,7 +8,7 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kOrderSpan = 120ms;
+constexpr Duration kOrderSpan = 120ms;
 
 Address callerOf(Connection& connection) {
   ErrorCode code;
--- a/src/fleet/stand_in_site.h
+++ b/src/fleet/stand_in_site.h
@@ -13,7 +13,7 @@
   StandInStore(asio::io_context& io, Address address, std::size_t blockTokens);
   absl::Status start() { return server_->start(); }
   void setDown(bool down) { down_ = down; }
-  void setDelay(Span delay) { delay_ = delay; }
+  void setDelay(Duration delay) { delay_ = delay; }
   void empty() { kept_.clear(); }
   void cut(const std::string& ip, bool cut);
 
@@ -21,7 +21,7 @@
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
   std::size_t blockTokens_;
   bool down_ = false;
-  Span delay_{};
+  Duration delay_{};
   std::set<std::string> cuts_;             // callers that get no answer, by ip
   std::map<BlockName, std::string> kept_;  // block to the weights that made it last
   std::unique_ptr<HttpServer> server_;
--- a/src/fleet/steps_daemons.cpp
+++ b/src/fleet/steps_daemons.cpp
@@ -45,7 +45,7 @@
   }
 }
 
-awaitable<void> Site::kill(Daemon& daemon, Span backAfter, bool wipe) {
+awaitable<void> Site::kill(Daemon& daemon, Duration backAfter, bool wipe) {
   const Instant begun = BootClock::now();
   signalDaemon(daemon, SIGKILL);
   waitDaemon(&daemon, 2000);
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr std::size_t kBodyLimit = 1 << 20;
 // Within the share of the product's Amending that is left for the settling read alone.
-constexpr Span kLateBefore = 100ms;
+constexpr Duration kLateBefore = 100ms;
 
 ReplicaSet firstMemberOf(const ReplicaSet& replicas) {
   ReplicaSet one = replicas;
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -5,7 +5,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kLeap = 1s;  // longer than any phase, rest or repeat of the product's proposer
+constexpr Duration kLeap = 1s;  // longer than any phase, rest or repeat of the product's proposer
 constexpr std::uint64_t kSeed = 1;  // the jitter says only how long a rest is
 }  // namespace
 
--- a/src/net/asio.h
+++ b/src/net/asio.h
@@ -35,6 +35,6 @@
 absl::Status listenAt(Tcp::acceptor& acceptor, const Address& address, int backlog);
 
 // Waits on the executor's own timer.
-awaitable<void> pauseFor(Span span);
+awaitable<void> pauseFor(Duration span);
 
 }  // namespace quayrill
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -26,7 +26,7 @@
                                 "): free the port or name another");
 }
 
-awaitable<void> pauseFor(Span span) {
+awaitable<void> pauseFor(Duration span) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_after(span);
   ErrorCode code;
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -14,7 +14,7 @@
   return json;
 }
 
-HttpCall callTo(const Address& to, http::verb verb, std::string target, Span due) {
+HttpCall callTo(const Address& to, http::verb verb, std::string target, Duration due) {
   HttpCall call;
   call.to = to;
   call.verb = verb;
@@ -28,7 +28,7 @@
 }
 }  // namespace
 
-awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span due) {
+awaitable<absl::StatusOr<ServerState>> readServer(Address server, Duration due) {
   HttpCall call = callTo(server, http::verb::get, "/burden", due);
   const Instant askedAt = BootClock::now();
   const auto response = co_await httpCall(std::move(call));
@@ -53,7 +53,7 @@
 }
 
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
-                                     Fence fence, Span due) {
+                                     Fence fence, Duration due) {
   HttpCall call = callTo(server, http::verb::post, "/weights", due);
   call.from = from;
   call.sendBefore = BootClock::now() + due;
@@ -64,7 +64,7 @@
 }
 
 awaitable<absl::StatusOr<CacheEvents>> readCacheEvents(Address server, std::uint64_t since,
-                                                       Span due) {
+                                                       Duration due) {
   HttpCall call = callTo(server, http::verb::get, "/kv-events?since=" + std::to_string(since), due);
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
@@ -92,7 +92,7 @@
 
 awaitable<absl::Status> pullPrefix(Address server, Address source, ModelName model, CacheSalt salt,
                                    WeightsVersion weights, PromptPrefix prefix, std::size_t tokens,
-                                   Span due) {
+                                   Duration due) {
   HttpCall call = callTo(server, http::verb::post, "/kv-pull", due);
   call.body = Json{{"source", source.value},
                    {"model", model.value},
@@ -106,7 +106,8 @@
   co_return statusOf(response);
 }
 
-awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix, Span due) {
+awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix,
+                                   Duration due) {
   HttpCall call = callTo(server, http::verb::post, "/kv-drop", due);
   call.body = Json{{"salt", salt.value}, {"prefix", formatPrefix(prefix)}}.dump();
   const auto response = co_await httpCall(std::move(call));
@@ -122,7 +123,7 @@
 }
 
 awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
-                                                                 Span due) {
+                                                                 Duration due) {
   HttpCall call = callTo(platform, http::verb::get, "/servers", due);
   call.from = from;
   const auto response = co_await httpCall(std::move(call));
@@ -142,7 +143,7 @@
 
 awaitable<absl::StatusOr<std::size_t>> readKept(Address store, Address from, ModelName model,
                                                 CacheSalt salt, WeightsVersion weights,
-                                                PromptPrefix prefix, Span due) {
+                                                PromptPrefix prefix, Duration due) {
   HttpCall call = callTo(store, http::verb::post, "/kept", due);
   call.from = from;
   call.body = Json{{"model", model.value},
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -12,7 +12,8 @@
 constexpr std::size_t kLaneLimit = 1024;
 // Ours: frames that wait for one daemon, and for all: a slow link must not fill the memory.
 constexpr std::size_t kLaneBytes = 2 << 20, kAllBytes = 48 << 20;
-constexpr Span kConnectDue = 500ms;  // a dropped opening packet is sent again only after a second
+constexpr Duration kConnectDue =
+    500ms;  // a dropped opening packet is sent again only after a second
 constexpr int kUserTimeoutMs = 2000;
 
 std::string framed(const std::string& bytes) {
--- a/src/placement/admission.cpp
+++ b/src/placement/admission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Ours: a tenant keeps its claim to a share for this long after its last request.
-constexpr Span kPresent = 5s;
+constexpr Duration kPresent = 5s;
 }  // namespace
 
 Entered Admission::enter(const TenantName& tenant, std::size_t tenantLimit,
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -11,10 +11,10 @@
 constexpr std::size_t kNameSpacesOfTenant = 512;
 constexpr double kMostDaemons = 16;
 // Ours: answers told a load as long ago as this say nothing of it now.
-constexpr Span kHeaderSpan = std::chrono::seconds(2);
+constexpr Duration kHeaderSpan = std::chrono::seconds(2);
 // Ours: how long others go before a server that failed once, and one that turned a request away.
-constexpr Span kAvoidSpan = std::chrono::milliseconds(800);
-constexpr Span kRefusalSpan = std::chrono::milliseconds(250);
+constexpr Duration kAvoidSpan = std::chrono::milliseconds(800);
+constexpr Duration kRefusalSpan = std::chrono::milliseconds(250);
 
 }  // namespace
 
--- a/src/placement/server_load.cpp
+++ b/src/placement/server_load.cpp
@@ -5,9 +5,9 @@
 namespace quayrill {
 
 namespace {
-constexpr Span kPast = std::chrono::seconds(3);  // ours: how far back polls and reports look
+constexpr Duration kPast = std::chrono::seconds(3);  // ours: how far back polls and reports look
 // Ours: what the fleet told longer ago says nothing of now.
-constexpr Span kToldSpan = std::chrono::seconds(2);
+constexpr Duration kToldSpan = std::chrono::seconds(2);
 }  // namespace
 
 void ServerLoad::keep(Instant now) {
--- a/src/placement/try_budget.cpp
+++ b/src/placement/try_budget.cpp
@@ -14,7 +14,7 @@
 constexpr double kUnknownDaemons = 2;
 }  // namespace
 
-std::size_t TryBudget::count(const std::deque<Instant>& times, Instant now, Span window) {
+std::size_t TryBudget::count(const std::deque<Instant>& times, Instant now, Duration window) {
   const auto first = std::upper_bound(times.begin(), times.end(), now - window);
   return static_cast<std::size_t>(times.end() - first);
 }
@@ -32,7 +32,7 @@
 
 bool TryBudget::couldTakeExtra(Instant now) const {
   return std::all_of(std::begin(kDivisors), std::end(kDivisors), [&](int divisor) {
-    const Span window = window_ / divisor;
+    const Duration window = window_ / divisor;
     const double allowed =
         share_ * static_cast<double>(count(firsts_, now, window)) + slack_ / divisor;
     return static_cast<double>(count(extras_, now, window) + 1) <= allowed + 1e-9;
--- a/src/placement/try_budget.h
+++ b/src/placement/try_budget.h
@@ -23,7 +23,7 @@
   // At most share * requests + slack extra tries in the window, and as much in proportion in a half
   // and a fifth of it.
   explicit TryBudget(double share = 1.0 / 7, double slack = 0,
-                     Span window = std::chrono::seconds(10))
+                     Duration window = std::chrono::seconds(10))
       : share_(share), slack_(slack), window_(window) {}
   // Once for each request, however often it is sent.
   void countFirst(Instant now);
@@ -33,15 +33,15 @@
   void setSlack(double slack) { slack_ = slack; }
   // A whole window has passed over it.
   bool isIdle(Instant now) const { return firsts(now, window_) + extras(now, window_) == 0; }
-  std::size_t firsts(Instant now, Span window) const { return count(firsts_, now, window); }
-  std::size_t extras(Instant now, Span window) const { return count(extras_, now, window); }
+  std::size_t firsts(Instant now, Duration window) const { return count(firsts_, now, window); }
+  std::size_t extras(Instant now, Duration window) const { return count(extras_, now, window); }
 
  private:
-  static std::size_t count(const std::deque<Instant>& times, Instant now, Span window);
+  static std::size_t count(const std::deque<Instant>& times, Instant now, Duration window);
   void forget(Instant now);
   double share_;
   double slack_;
-  Span window_;
+  Duration window_;
   // Both rise and hold no more than the longest window.
   std::deque<Instant> firsts_, extras_;
 };
@@ -50,7 +50,7 @@
 class TryBudgets {
  public:
   // `wholeShare`: of the bound over all daemons.
-  TryBudgets(double wholeShare, Span window) : share_(wholeShare / 2), window_(window) {}
+  TryBudgets(double wholeShare, Duration window) : share_(wholeShare / 2), window_(window) {}
   // `slack`: this daemon's part, for each service.
   void setSlack(double slack);
   void countRequest(const ServiceName& service, Instant now);
@@ -65,7 +65,7 @@
   TryBudget& rowOf(const ServiceName& service);
   double share_;
   double slack_ = 0;
-  Span window_;
+  Duration window_;
   std::map<ServiceName, TryBudget> rows_;
 };
 
@@ -73,7 +73,7 @@
 // ones that it has heard of.
 class SlackShare {
  public:
-  explicit SlackShare(Span window) : window_(window) {}
+  explicit SlackShare(Duration window) : window_(window) {}
   // `daemons`: live ones that take requests, as far as is known now.
   void note(std::size_t daemons, Instant now);
   // 0 until the number has not grown for a window. Half of an even part then, by the largest number
@@ -81,7 +81,7 @@
   double of(double wholeSlack, Instant now) const;
 
  private:
-  Span window_;
+  Duration window_;
   std::size_t most_ = 0;
   Instant grewAt_{};
 };
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr std::size_t kLineLimit = 64 << 10;
-constexpr Span kCallerDue = 10s;  // a caller who takes no bytes for this long has left
+constexpr Duration kCallerDue = 10s;  // a caller who takes no bytes for this long has left
 
 struct Stream {
   std::string held;          // bytes after the last whole line
@@ -41,7 +41,7 @@
   return lines;
 }
 
-Span left(Instant due) { return std::max<Span>(due - BootClock::now(), Span(1)); }
+Duration left(Instant due) { return std::max<Duration>(due - BootClock::now(), Duration(1)); }
 
 std::string requestHead(const Delivery& delivery) {
   http::request<http::empty_body> request(http::verb::post, wire::kGenerate, 11);
@@ -107,7 +107,7 @@
     parser.get().body().data = block;
     parser.get().body().size = sizeof block;
     // Nothing more is read from the server until the caller has taken what came before.
-    server.expires_after(headSent ? std::max<Span>(left(delivery.due), 5s)
+    server.expires_after(headSent ? std::max<Duration>(left(delivery.due), 5s)
                                   : left(delivery.firstPieceDue));
     co_await http::async_read_some(server, buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
@@ -167,7 +167,7 @@
   const Instant begun = BootClock::now();
   Connection server(co_await asio::this_coro::executor);
   ErrorCode code;
-  server.expires_after(std::min<Span>(left(delivery.firstPieceDue), 1s));
+  server.expires_after(std::min<Duration>(left(delivery.firstPieceDue), 1s));
   const Tcp::endpoint endpoint = endpointOf(Address{delivery.server.name.value});
   co_await server.async_connect(endpoint, into(code));
   if (code) co_return DeliveryResult{DeliveryEnd::NeverSent, "connect: " + code.message()};
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -34,7 +34,7 @@
   DeliveryEnd end{};
   std::string detail;
   std::uint64_t pieces = 0;
-  Span firstPieceAfter{};
+  Duration firstPieceAfter{};
 };
 
 // `mayStart` is asked right before the first byte leaves; false ends the delivery as NeverSent.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr std::size_t kQueueLimit = 1024;
-constexpr Span kFeedEvery = 100ms;
+constexpr Duration kFeedEvery = 100ms;
 // A server that is leaving gets nothing after 3 s: the list's reading and its way here must fit.
-constexpr Span kListLimit = 2500ms;
+constexpr Duration kListLimit = 2500ms;
 
 PlacementSettings placementSettings(const Settings& settings) {
   PlacementRule rule = PlacementRule::LongestPrefix;
@@ -165,12 +165,12 @@
   return response;
 }
 
-Span Proxy::longestDue() const {
-  Span longest{};
+Duration Proxy::longestDue() const {
+  Duration longest{};
   const auto seen = view();
   if (!seen->configuration) return longest;
   for (const auto& [name, policy] : seen->configuration->policies)
-    longest = std::max<Span>(longest, policy.due);
+    longest = std::max<Duration>(longest, policy.due);
   return longest;
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -24,7 +24,7 @@
   void beginLeaving() { leaving_ = true; }
   void stopAccepting() { callers_->stopAccepting(); }
   // The longest that a request accepted now may last.
-  Span longestDue() const;
+  Duration longestDue() const;
   std::size_t openConnections() const { return callers_->connections(); }
   void stop();
 
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -10,9 +10,9 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kFetchDue = 300ms;        // ours: past this, prefill is the better bet
+constexpr Duration kFetchDue = 300ms;    // ours: past this, prefill is the better bet
 constexpr std::size_t kFetchGain = 256;  // ours: fewer tokens than this are not worth the calls
-constexpr Span kBeginsWithin = 2s;       // ours: from a request's sending to its first piece
+constexpr Duration kBeginsWithin = 2s;   // ours: from a request's sending to its first piece
 
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
@@ -94,7 +94,7 @@
                          job.prefix,       tried,      job.entered.overShare};
     const auto seen = view();
     // What is sent now may wait at the server before it begins.
-    asked.mayUse = [seen, bound = Span(settings_.rolloutDue)](const ServerState& server) {
+    asked.mayUse = [seen, bound = Duration(settings_.rolloutDue)](const ServerState& server) {
       return seen->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
     };
     const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
--- a/src/register/epoch_sweep.cpp
+++ b/src/register/epoch_sweep.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // Ours: a read that only brings replicas into the epoch is soon tried again.
-constexpr Span kListSpan = 1s;
-constexpr Span kStepSpan = 2s;
+constexpr Duration kListSpan = 1s;
+constexpr Duration kStepSpan = 2s;
 
 ChangeAsked readOf(const RegisterKey& key, Instant due) { return {{}, key, true, 0, {}, {}, due}; }
 
--- a/src/register/proposer.cpp
+++ b/src/register/proposer.cpp
@@ -7,8 +7,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kPhaseSpan = 400ms;
-constexpr Span kRepeatAfter = 150ms;
+constexpr Duration kPhaseSpan = 400ms;
+constexpr Duration kRepeatAfter = 150ms;
 constexpr std::size_t kPriorWrites = 16;
 
 bool names(const RegisterValue& value, WriteId write) {
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // Ours: what a read leaves for the change behind it, and a change for the read that settles it.
-constexpr Span kChangeShare = 1500ms;
-constexpr Span kSettleShare = 800ms;
+constexpr Duration kChangeShare = 1500ms;
+constexpr Duration kSettleShare = 800ms;
 }  // namespace
 
 UpdateOperation::UpdateOperation(Update change, std::size_t bodyLimit, Instant due)
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -9,9 +9,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kConnectDue = 400ms;
+constexpr Duration kConnectDue = 400ms;
 // Ours: a process that took longer than this between two steps with nothing awaited stood still.
-constexpr Span kStoodStill = 100ms;
+constexpr Duration kStoodStill = 100ms;
 }  // namespace
 
 void Relay::Attempt::arm(Instant deadline) {
@@ -75,7 +75,7 @@
   if (!job.id.value.empty())
     attempt.connection = pool_.takeIdle(server.name, attempt.begun, job.id);
   if (!attempt.connection) {
-    const Span due = std::min<Span>(kConnectDue, job.deadline - attempt.begun);
+    const Duration due = std::min<Duration>(kConnectDue, job.deadline - attempt.begun);
     auto connected = co_await pool_.connect(server.name, due);
     if (!connected.ok()) {
       TryResult result{TryEnd::NeverSent, std::string(connected.status().message())};
@@ -152,7 +152,7 @@
   const bool whole = answered && answered->is_done() && answered->keep_alive() &&
                      (result.end == TryEnd::Done || result.end == TryEnd::NotRun);
   if (!whole || attempt.strays > 0 || attempt.job.id.value.empty()) return;
-  std::optional<Span> keepFor;
+  std::optional<Duration> keepFor;
   const auto named = numbersOf(view(answered->get()["Keep-Alive"]));
   if (!named.empty()) keepFor = std::chrono::seconds(named.front());
   attempt.connection->lastRequest = attempt.job.id;
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -5,10 +5,10 @@
 namespace quayrill {
 
 // Ours: a server that sent something this lately is alive.
-inline constexpr Span kSignsOfLife = std::chrono::milliseconds(500);
+inline constexpr Duration kSignsOfLife = std::chrono::milliseconds(500);
 // Ours: how often it is asked until when a request that waits at a server may begin there. Newer
 // weights may be named while it waits.
-inline constexpr Span kBeginningEvery = std::chrono::seconds(1);
+inline constexpr Duration kBeginningEvery = std::chrono::seconds(1);
 
 struct Relay::Attempt {
   // Outlives the timer's handler; `socket` is null once the try has ended.
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kMargin = 300ms;  // the other end counts from a little earlier
+constexpr Duration kMargin = 300ms;  // the other end counts from a little earlier
 constexpr int kUserTimeoutMs = 4000;
 
 // True while the other end has sent nothing and not closed.
@@ -35,7 +35,7 @@
 }
 
 awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> ConnectionPool::connect(
-    const ServerName& server, Span due) {
+    const ServerName& server, Duration due) {
   auto connection = std::make_unique<ServerConnection>(io_);
   Tcp::socket& socket = connection->socket;
   asio::steady_timer timer(io_);
@@ -64,9 +64,9 @@
 }
 
 void ConnectionPool::give(const ServerName& server, std::unique_ptr<ServerConnection> connection,
-                          std::optional<Span> keepFor, Instant now) {
-  const Span kept = keepFor ? *keepFor - kMargin : idleSpan_;
-  if (kept <= Span{} || connection->buffer.size() > 0) return;
+                          std::optional<Duration> keepFor, Instant now) {
+  const Duration kept = keepFor ? *keepFor - kMargin : idleSpan_;
+  if (kept <= Duration{} || connection->buffer.size() > 0) return;
   connection->usableUntil = now + kept;
   ++connection->served;
   auto& row = idle_[server];
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -25,7 +25,7 @@
  public:
   // `mostIdle`: connections kept idle for one server. `idleSpan`: how long one is kept where the
   // server names no time.
-  ConnectionPool(asio::io_context& io, std::size_t mostIdle, Span idleSpan)
+  ConnectionPool(asio::io_context& io, std::size_t mostIdle, Duration idleSpan)
       : io_(io), mostIdle_(mostIdle), idleSpan_(idleSpan) {}
 
   // The idle connection used last, if the other end has neither closed it nor sent anything. One
@@ -34,10 +34,10 @@
                                              const RequestId& request = {});
   // A new one; the error says why it did not come up within `due`.
   awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> connect(const ServerName& server,
-                                                                       Span due);
+                                                                       Duration due);
   // `keepFor`: what the server said of idle connections; nothing where it said nothing.
   void give(const ServerName& server, std::unique_ptr<ServerConnection> connection,
-            std::optional<Span> keepFor, Instant now);
+            std::optional<Duration> keepFor, Instant now);
   // Closes what has been idle too long.
   void sweep(Instant now);
   void forget(const ServerName& server) { idle_.erase(server); }
@@ -46,7 +46,7 @@
  private:
   asio::io_context& io_;
   std::size_t mostIdle_;
-  Span idleSpan_;
+  Duration idleSpan_;
   std::uint64_t opened_ = 0;
   // Oldest first; at most mostIdle_ each.
   std::map<ServerName, std::list<std::unique_ptr<ServerConnection>>> idle_;
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -9,14 +9,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kWriteDue = 10s;
-constexpr Span kDrainSpan = 1s;                // ours: for a caller to see a refusal
+constexpr Duration kWriteDue = 10s;
+constexpr Duration kDrainSpan = 1s;            // ours: for a caller to see a refusal
 constexpr std::size_t kDrainLimit = 1 << 20;   // ours: of what it goes on sending meanwhile
 constexpr std::size_t kEarlyBlock = 4096;      // ours: read at once of a next request
 constexpr std::size_t kEarlyLimit = 64 << 10;  // ours: kept of one; a close behind more is not seen
 constexpr std::size_t kCallerLimit = 3000;
 constexpr std::size_t kMostIdle = 32;  // ours: connections kept for each server
-constexpr Span kIdleSpan = 4s;         // ours: how long, where the server names no time
+constexpr Duration kIdleSpan = 4s;     // ours: how long, where the server names no time
 // Ours: prompts wait for each other's reading, so a few requests over the mean are many.
 constexpr double kSpreadRequests = 4, kSpreadFactor = 1.5;
 
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -12,9 +12,10 @@
 namespace {
 // A daemon that could not confirm its configuration for this long may lack a route or a key that is
 // there: it turns such requests away instead of denying them.
-constexpr Span kDenyLimit = 1s;
-constexpr Span kLastWords = 150ms;  // ours: beyond the deadline, for what servers sent until then
-constexpr Span kBodyDue = 30s;      // ours: where no route is known yet
+constexpr Duration kDenyLimit = 1s;
+constexpr Duration kLastWords =
+    150ms;                          // ours: beyond the deadline, for what servers sent until then
+constexpr Duration kBodyDue = 30s;  // ours: where no route is known yet
 constexpr std::uint64_t kLongestDueMs = 600000;
 
 std::string headerOf(const http::request_header<>& request, const std::string& name) {
@@ -33,11 +34,11 @@
 Instant streamEnd(const RelayRequest& job) { return job.deadline + kLastWords; }
 
 // The route's time, or the caller's own where that is shorter.
-Span Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
-  const Span due = policy.due;
+Duration Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
+  const Duration due = policy.due;
   const auto named = numberOf(headerOf(head, names_.dueMs));
   if (!named) return due;
-  return std::min<Span>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
+  return std::min<Duration>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
 }
 
 // A body that is not in by then is not worth waiting for.
@@ -68,7 +69,7 @@
   job->id = RequestId{id};
   if (refusing_) return refuse(ErrorKind::TurnedAway, "this daemon is leaving", id);
   const auto& seen = *view_;
-  const Span unconfirmed = BootClock::now() - seen.confirmedAt;
+  const Duration unconfirmed = BootClock::now() - seen.confirmedAt;
   if (!seen.configuration || unconfirmed >= settings_.freshLimit) {
     ++counters_.unconfirmed;
     return refuse(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now", id);
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -15,11 +15,13 @@
 namespace {
 // The platform asks for readiness once a second and takes out who missed twice; the third second
 // covers its question under way and the handing over.
-constexpr Span kHandOverSpan = 3s;
-constexpr Span kRefuseSpan = 500ms;  // ours: connections handed over last are refused, not reset
-constexpr Span kEndMargin = 500ms;   // ours: before the kill, for the final answers to be written
-constexpr Span kGoneMargin = 250ms;  // ours: before the kill, for the process to end
-constexpr Span kLookEvery = 20ms;
+constexpr Duration kHandOverSpan = 3s;
+constexpr Duration kRefuseSpan =
+    500ms;  // ours: connections handed over last are refused, not reset
+constexpr Duration kEndMargin =
+    500ms;  // ours: before the kill, for the final answers to be written
+constexpr Duration kGoneMargin = 250ms;  // ours: before the kill, for the process to end
+constexpr Duration kLookEvery = 20ms;
 
 // Bytes of a request wait there unread.
 bool hasBytes(Tcp::socket& socket) {
@@ -28,12 +30,12 @@
 }
 }  // namespace
 
-LeaveSchedule leaveSchedule(Instant signalAt, Span grace) {
+LeaveSchedule leaveSchedule(Instant signalAt, Duration grace) {
   LeaveSchedule schedule;
-  schedule.goneBy = signalAt + grace - std::min<Span>(kGoneMargin, grace / 32);
-  schedule.endsAt = signalAt + grace - std::min<Span>(kEndMargin, grace / 16);
-  schedule.refusesFrom = signalAt + std::min<Span>(kHandOverSpan, grace / 2);
-  schedule.mayEndFrom = schedule.refusesFrom + std::min<Span>(kRefuseSpan, grace / 16);
+  schedule.goneBy = signalAt + grace - std::min<Duration>(kGoneMargin, grace / 32);
+  schedule.endsAt = signalAt + grace - std::min<Duration>(kEndMargin, grace / 16);
+  schedule.refusesFrom = signalAt + std::min<Duration>(kHandOverSpan, grace / 2);
+  schedule.mayEndFrom = schedule.refusesFrom + std::min<Duration>(kRefuseSpan, grace / 16);
   return schedule;
 }
 
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -14,6 +14,6 @@
 };
 
 // `grace`: from the signal to the kill, of any length.
-LeaveSchedule leaveSchedule(Instant signalAt, Span grace);
+LeaveSchedule leaveSchedule(Instant signalAt, Duration grace);
 
 }  // namespace quayrill
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -8,11 +8,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kRound = 1s;          // ours: each source is asked once in this time
-constexpr Span kStoreRound = 500ms;  // ours: requests wait at servers for a store that is down
-constexpr Span kEventsDue = 500ms;
-constexpr Span kLookEvery = 100ms;  // ours: for sources that are due
-constexpr Span kReportEvery = 100ms;
+constexpr Duration kRound = 1s;          // ours: each source is asked once in this time
+constexpr Duration kStoreRound = 500ms;  // ours: requests wait at servers for a store that is down
+constexpr Duration kEventsDue = 500ms;
+constexpr Duration kLookEvery = 100ms;  // ours: for sources that are due
+constexpr Duration kReportEvery = 100ms;
 }  // namespace
 
 void Relay::takeDigest(PlaneDigest digest, Instant toldAt) {
@@ -67,7 +67,7 @@
     const Instant now = BootClock::now();
     std::erase_if(dueAt, [&](const auto& row) { return !seen->eventSources.contains(row.first); });
     for (const ServerName& source : seen->eventSources) {
-      const Span round = isStore(source) ? kStoreRound : kRound;
+      const Duration round = isStore(source) ? kStoreRound : kRound;
       // Spread from the start, so that sources are asked one after the other.
       const auto [due, isNew] = dueAt.try_emplace(source, now + round * (random_() % 100) / 100);
       if (isNew || now < due->second) continue;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -15,11 +15,11 @@
 namespace {
 // Ours: from a request's sending to its first token, as a rule. One that waits longer is ended when
 // its server's weights may be begun on no more.
-constexpr Span kBeginsWithin = 2s;
+constexpr Duration kBeginsWithin = 2s;
 // Ours: from a server's first token until it is seen here, and from a close here until the server
 // knows of it.
-constexpr Span kBeginningSlack = 200ms;
-constexpr Span kSilentSlack = 400ms;  // ours: beyond the route's target for a first event
+constexpr Duration kBeginningSlack = 200ms;
+constexpr Duration kSilentSlack = 400ms;  // ours: beyond the route's target for a first event
 }  // namespace
 
 // One try for operators: how it ended, and what was expected where it was placed.
@@ -181,7 +181,7 @@
     if (arrivals > 0 && !budgets_.couldTakeExtra(server.service, now)) break;
     if (job.policy.repeatable && sentTo.size() + 1 < most &&
         budgets_.couldTakeExtra(server.service, now))
-      firstDeadline = std::min(firstDeadline, now + Span(job.policy.target) + kSilentSlack);
+      firstDeadline = std::min(firstDeadline, now + Duration(job.policy.target) + kSilentSlack);
     ran = true;
     TryResult result = co_await attempt(caller, job, *placed, &soFar,
                                         TryAsked{firstDeadline, keepAlive, arrivals > 0});
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -87,7 +87,7 @@
 struct TryResult {
   TryEnd end{};
   std::string detail;
-  Span firstAfter{};                      // to the first event
+  Duration firstAfter{};                  // to the first event
   std::optional<HttpResponse> failure{};  // the server's own failure, whole, for where it stands
   bool retrySame = false;                 // the server said what it lacked: ask it again
   bool isUnreachable = false;             // no connection came up
@@ -142,7 +142,7 @@
   void endTries();
 
   // intake.cpp
-  Span dueOf(const http::request_header<>& head, const RoutePolicy& policy) const;
+  Duration dueOf(const http::request_header<>& head, const RoutePolicy& policy) const;
   Instant bodyDeadline(const http::request_header<>& head, Instant begun) const;
   std::optional<HttpResponse> intake(const HttpRequest& request, RelayRequest* job);
   HttpResponse refuse(ErrorKind kind, const std::string& why, const std::string& id);
--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kStep = 25ms;
-constexpr Span kSuccessorAfter = 1s;
-constexpr Span kCutFor = 5500ms;
-constexpr Span kLeaveAfterJoin = 2s;  // of a planned replacement
-constexpr Span kServesAtLeast = 3s;   // after it was told to end, as the daemon does
-constexpr Span kServesAtMost = 6s;
+constexpr Duration kStep = 25ms;
+constexpr Duration kSuccessorAfter = 1s;
+constexpr Duration kCutFor = 5500ms;
+constexpr Duration kLeaveAfterJoin = 2s;  // of a planned replacement
+constexpr Duration kServesAtLeast = 3s;   // after it was told to end, as the daemon does
+constexpr Duration kServesAtMost = 6s;
 
 WorldSettings worldOf(const LossesSettings& settings) {
   WorldSettings world;
@@ -54,10 +54,10 @@
   struct Loss {
     LossKind kind{};
     std::size_t machine = 0;
-    Span beganAt{};
-    std::optional<Span> startAt, joinAt, leaveAt, healAt;
-    std::optional<Span> leftAt;  // told to end then, and still serving
-    std::optional<Span> endsAt;  // it counts no longer
+    Duration beganAt{};
+    std::optional<Duration> startAt, joinAt, leaveAt, healAt;
+    std::optional<Duration> leftAt;  // told to end then, and still serving
+    std::optional<Duration> endsAt;  // it counts no longer
     std::size_t successor = 0;
     StoreId leaver;  // the store that was told to end
     bool repaired = false;
@@ -69,7 +69,7 @@
   const ReplicaSet& replicas() {
     return world_.core(settings_.diskMachines).freshness().replicas();
   }
-  Span within(int fromMs, int toMs) {
+  Duration within(int fromMs, int toMs) {
     return std::chrono::milliseconds(
         fromMs + static_cast<int>(world_.random()() % static_cast<unsigned>(toMs - fromMs)));
   }
@@ -124,7 +124,7 @@
     loss.epochBefore = replicas().epoch.value;
     result_.seen.push_back({loss.kind, {}, {}, 0});
     const std::size_t m = loss.machine;
-    const Span now = world_.elapsed();
+    const Duration now = world_.elapsed();
     switch (loss.kind) {
       case LossKind::Killed:
         world_.crash(m, true);
@@ -149,7 +149,7 @@
         loss.healAt = now + kCutFor;
         break;
       case LossKind::Frozen: {
-        const Span span = within(3000, 6000);
+        const Duration span = within(3000, 6000);
         world_.freeze(m, span);
         loss.healAt = now + span;
         break;
@@ -172,8 +172,8 @@
   }
 
   void follow(Loss& loss) {
-    const Span now = world_.elapsed();
-    const auto due = [&](std::optional<Span>& at) {
+    const Duration now = world_.elapsed();
+    const auto due = [&](std::optional<Duration>& at) {
       if (!at || now < *at) return false;
       at.reset();
       return true;
@@ -200,7 +200,7 @@
     if (loss.leftAt && world_.isUp(loss.machine)) endWhenHandedOver(loss, now - *loss.leftAt);
   }
 
-  void endWhenHandedOver(const Loss& loss, Span served) {
+  void endWhenHandedOver(const Loss& loss, Duration served) {
     const bool needed = world_.core(loss.machine).isHandingOver(world_.localNow(loss.machine));
     if (served >= kServesAtMost || (served >= kServesAtLeast && !needed))
       world_.crash(loss.machine, false);
@@ -250,8 +250,8 @@
         seen.repairedAfter = world_.elapsed() - loss.leftAt.value_or(loss.beganAt);
     }
   }
-  void advance(Span span) {
-    const Span until = world_.elapsed() + span;
+  void advance(Duration span) {
+    const Duration until = world_.elapsed() + span;
     while (world_.elapsed() < until) step();
   }
 
@@ -259,7 +259,7 @@
   void askChange() {
     if (asked_ != 0 && !world_.asked(asked_).done) return;
     if (asked_ != 0 && world_.asked(asked_).done->result == ChangeResult::Chosen) {
-      const Span at = world_.asked(asked_).doneAt->time_since_epoch();
+      const Duration at = world_.asked(asked_).doneAt->time_since_epoch();
       result_.longestGap = std::max(result_.longestGap, at - lastAckAt_);
       lastAckAt_ = at;
       ++result_.acknowledged;
@@ -285,10 +285,10 @@
   World world_;
   LossesResult result_;
   std::vector<Loss> losses_;
-  std::map<std::size_t, Span> diskSince_;  // of disks emptied or new since the founding
+  std::map<std::size_t, Duration> diskSince_;  // of disks emptied or new since the founding
   std::size_t nextReserve_;
   std::uint64_t asked_ = 0, newest_ = 0;
-  Span lastAckAt_{};
+  Duration lastAckAt_{};
 };
 }  // namespace
 
--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -26,7 +26,7 @@
   std::uint64_t seed = 1;
   std::size_t diskMachines = 4;
   std::size_t tolerate = 1;
-  Span catchUpSpan = std::chrono::seconds(4);
+  Duration catchUpSpan = std::chrono::seconds(4);
   std::size_t losses = 5;
   std::vector<LossKind> kinds{};  // to draw from; empty: all
 };
@@ -36,9 +36,9 @@
   // From the loss until the replica set is settled and of the wanted number, all of them in touch.
   // Of one replaced as planned: from when it was told to end until such a set stands without it.
   // Nothing where that took until after the next loss.
-  std::optional<Span> repairedAfter;
+  std::optional<Duration> repairedAfter;
   // From that same moment until the next loss might come.
-  Span allowedNextAfter{};
+  Duration allowedNextAfter{};
   std::uint64_t epochs = 0;  // steps of the replica set until the next loss
 };
 
@@ -46,7 +46,7 @@
   bool founded = false;
   std::vector<LossSeen> seen;
   std::size_t acknowledged = 0;
-  Span longestGap{};  // between two acknowledged changes
+  Duration longestGap{};  // between two acknowledged changes
   bool majorityAtEnd = false;
   bool newestKept = false;  // a read at the end finds the newest acknowledged change or a later one
   std::vector<Violation> violations;
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kOrderDue = 3500ms;  // as the daemons give an order
-constexpr Span kStep = 5ms;
+constexpr Duration kOrderDue = 3500ms;  // as the daemons give an order
+constexpr Duration kStep = 5ms;
 
 bool isYes(UpdateResult result) {
   return result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken;
@@ -106,8 +106,8 @@
 
 bool Operators::isIdle() const { return calls_.empty(); }
 
-void Operators::run(Span span) {
-  for (Span past{}; past < span; past += kStep) {
+void Operators::run(Duration span) {
+  for (Duration past{}; past < span; past += kStep) {
     for (const auto& call : calls_) {
       // What was asked of a daemon that ended is never answered.
       if (world_.isUp(call->machine)) pump(*call);
--- a/src/sim/operators.h
+++ b/src/sim/operators.h
@@ -38,7 +38,7 @@
   // Sends it to a daemon; with `answerLost` the operator does not hear what becomes of it.
   void send(std::size_t order, std::size_t machine, bool answerLost);
   // Runs the world and all that was sent, in small steps.
-  void run(Span span);
+  void run(Duration span);
   bool isIdle() const;
   const Order& order(std::size_t index) const { return orders_.at(index); }
   const std::vector<Order>& orders() const { return orders_; }
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -4,8 +4,8 @@
 
 using namespace std::chrono_literals;
 
-bool runUntilFounded(World& world, Span limit) {
-  const Span until = world.elapsed() + limit;
+bool runUntilFounded(World& world, Duration limit) {
+  const Duration until = world.elapsed() + limit;
   while (world.elapsed() < until) {
     world.run(250ms);
     bool full = true;
@@ -22,7 +22,7 @@
 namespace {
 
 // At most one disk is lost for good at a time, as the brief bounds it; kills and cuts are not.
-void oneFault(World& world, Span* wipeQuietUntil) {
+void oneFault(World& world, Duration* wipeQuietUntil) {
   auto& random = world.random();
   const std::size_t machine = random() % world.size();
   const std::size_t diskMachine = random() % world.diskMachines();
@@ -82,15 +82,15 @@
 
 }  // namespace
 
-ScenarioResult runScenario(WorldSettings settings, Span faultSpan) {
+ScenarioResult runScenario(WorldSettings settings, Duration faultSpan) {
   World world(settings);
   world.wantRole("orders/a");
   world.wantRole("orders/b");
   ScenarioResult result;
   runUntilFounded(world, 60s);
   auto& random = world.random();
-  Span wipeQuietUntil{};
-  const Span until = world.elapsed() + faultSpan;
+  Duration wipeQuietUntil{};
+  const Duration until = world.elapsed() + faultSpan;
   while (world.elapsed() < until) {
     if (random() % 6 == 0) oneFault(world, &wipeQuietUntil);
     for (int operators = 0; operators < 2; ++operators) {
@@ -105,7 +105,7 @@
     world.run(std::chrono::milliseconds(20 + random() % 400));
   }
   world.healAll();
-  const Span healedAt = world.elapsed();
+  const Duration healedAt = world.elapsed();
   for (int i = 0; i < 240 && !result.converged; ++i) {
     world.run(250ms);
     result.converged = world.isConverged();
--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -15,8 +15,8 @@
   std::size_t confirmed = 0, refused = 0, unclear = 0;  // orders, by their last clear answer
   std::size_t resends = 0;
   std::size_t incidents = 0;  // troubles that were brought about
-  Span slowestCatchUp{};      // from the end of a trouble until the newest is confirmed there
-  Span slowestVote{};         // until its replica is a writable member of a settled set
+  Duration slowestCatchUp{};  // from the end of a trouble until the newest is confirmed there
+  Duration slowestVote{};     // until its replica is a writable member of a settled set
 };
 
 struct NamedScenario {
--- a/src/sim/scenarios_copies.cpp
+++ b/src/sim/scenarios_copies.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t kChanges = 600;
 constexpr std::size_t kChangesBetween = 30;  // from one trouble to the next
 constexpr std::size_t kBodyBytes = 16 << 10;
-constexpr Span kTroubleSpan = 6s;
-constexpr Span kBackLimit = 30s;
+constexpr Duration kTroubleSpan = 6s;
+constexpr Duration kBackLimit = 30s;
 
 enum class Trouble { Kill, PowerLoss, Emptied, Slow, Stalled, Failing, Count };
 
@@ -88,23 +88,24 @@
     const auto trouble = static_cast<Trouble>(result.incidents++ % kinds);
     machine = (machine + 1) % world.diskMachines();
     begin(world, machine, trouble);
-    const Span until = world.elapsed() + kTroubleSpan;
+    const Duration until = world.elapsed() + kTroubleSpan;
     while (world.elapsed() < until) {
       if (!makeChange(world, &operators, &result)) result.broken.push_back("a change failed");
     }
-    const Span ended = world.elapsed();
+    const Duration ended = world.elapsed();
     world.healAll();
-    Span caughtUp{}, voting{};
-    while (world.elapsed() - ended < kBackLimit && (caughtUp == Span{} || voting == Span{})) {
+    Duration caughtUp{}, voting{};
+    while (world.elapsed() - ended < kBackLimit &&
+           (caughtUp == Duration{} || voting == Duration{})) {
       world.run(20ms);
-      const Span past = world.elapsed() - ended;
+      const Duration past = world.elapsed() - ended;
       const std::uint64_t number =
           readChain(world.core(machine).freshness().configuration().value.body).number;
       const bool isNewest = number >= operators.newestConfirmed();
-      if (caughtUp == Span{} && isNewest && world.isConfirmed(machine, 500ms)) caughtUp = past;
-      if (voting == Span{} && votes(world, machine)) voting = past;
+      if (caughtUp == Duration{} && isNewest && world.isConfirmed(machine, 500ms)) caughtUp = past;
+      if (voting == Duration{} && votes(world, machine)) voting = past;
     }
-    if (caughtUp == Span{} || voting == Span{})
+    if (caughtUp == Duration{} || voting == Duration{})
       result.broken.push_back("a replica never came back after trouble " +
                               std::to_string(static_cast<int>(trouble)));
     result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kFoundingLimit = 60s;
-constexpr Span kCutSpan = 20s;
-constexpr Span kServedWithin = 2s;  // a proxy's limit on an unconfirmed configuration
-constexpr Span kCatchUpLimit = 5s;
+constexpr Duration kFoundingLimit = 60s;
+constexpr Duration kCutSpan = 20s;
+constexpr Duration kServedWithin = 2s;  // a proxy's limit on an unconfirmed configuration
+constexpr Duration kCatchUpLimit = 5s;
 constexpr double kAnswersLost = 0.7;
 
 WorldSettings smallCore(std::uint64_t seed) {
@@ -39,12 +39,12 @@
 
 // Versions of the register as they were acknowledged, to judge what a machine serves.
 struct Served {
-  std::vector<std::pair<Span, std::uint64_t>> acknowledged;
-  void note(Span at, std::uint64_t number) {
+  std::vector<std::pair<Duration, std::uint64_t>> acknowledged;
+  void note(Duration at, std::uint64_t number) {
     if (acknowledged.empty() || number > acknowledged.back().second)
       acknowledged.emplace_back(at, number);
   }
-  std::uint64_t newestBefore(Span at) const {
+  std::uint64_t newestBefore(Duration at) const {
     std::uint64_t newest = 0;
     for (const auto& [when, number] : acknowledged) {
       if (when < at) newest = number;
@@ -104,10 +104,10 @@
     ++result.incidents;
     cutOff(world, machine, kind);
     std::vector<std::size_t> there;  // orders that were sent to the machine cut off
-    for (Span past{}; past < kCutSpan; past += 500ms) {
+    for (Duration past{}; past < kCutSpan; past += 500ms) {
       const std::uint64_t basis = operators.newestConfirmed();
       operators.send(operators.make(basis, basis + 1 + world.random()() % 3), elsewhere, false);
-      if (past % 2s == Span{}) {
+      if (past % 2s == Duration{}) {
         there.push_back(operators.make(basis, basis + 1 + world.random()() % 3));
         operators.send(there.back(), machine, false);
       }
@@ -128,7 +128,7 @@
       if (asked.refused) result.broken.push_back("a machine cut off refused an order for good");
     }
     world.healAll();
-    const Span healed = world.elapsed();
+    const Duration healed = world.elapsed();
     const auto isCaughtUp = [&] {
       return world.isConfirmed(machine, 500ms) &&
              numberAt(world, machine) >= operators.newestConfirmed();
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -18,13 +18,13 @@
 
 // From now until `done`, looked at every 10 ms; the limit where it stays false.
 template <class Done>
-Span runUntil(World& world, Span limit, Done done) {
-  const Span begun = world.elapsed();
+Duration runUntil(World& world, Duration limit, Done done) {
+  const Duration begun = world.elapsed();
   while (world.elapsed() - begun < limit && !done()) world.run(10ms);
   return world.elapsed() - begun;
 }
 
-void measureTraffic(World& world, Span span, SteadyResult* result) {
+void measureTraffic(World& world, Duration span, SteadyResult* result) {
   const Tally before = world.tally();
   std::vector<std::uint64_t> sentBefore, arrivedBefore;
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
@@ -61,12 +61,12 @@
 void measureChanges(World& world, std::size_t bodyBytes, SteadyResult* result) {
   constexpr std::uint64_t kChanges = 5;
   const std::uint64_t bytesBefore = world.tally().bytes, replicaBefore = world.bytesFrom(0);
-  const Span begun = world.elapsed();
+  const Duration begun = world.elapsed();
   for (std::uint64_t version = 0; version < kChanges; ++version) {
     const std::uint64_t id = world.change(world.size() - 1 - version, version,
                                           std::string(bodyBytes, static_cast<char>('a' + version)));
     for (int i = 0; i < 3000 && !world.asked(id).done; ++i) world.run(1ms);
-    const Span acknowledgedAt = world.elapsed();
+    const Duration acknowledgedAt = world.elapsed();
     for (int i = 0; i < 10000 && !world.isInForce(version + 1); ++i) world.run(1ms);
     result->changeEverywhereAfter =
         std::max(result->changeEverywhereAfter, world.elapsed() - acknowledgedAt);
@@ -82,7 +82,7 @@
                                kChanges;
 }
 
-Parting partRegions(World& world, Span span, std::size_t zones) {
+Parting partRegions(World& world, Duration span, std::size_t zones) {
   Parting parting;
   std::set<std::size_t> firstZones;
   for (std::size_t zone = 0; zone < (zones + 1) / 2; ++zone) firstZones.insert(zone);
@@ -97,7 +97,7 @@
   };
   world.cut(larger, true);
   parting.closedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
-  const Span until = world.elapsed() + span;
+  const Duration until = world.elapsed() + span;
   const auto countChosen = [&](std::uint64_t id) -> std::size_t {
     return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
   };
@@ -109,7 +109,7 @@
     const std::size_t inLarger = *larger.rbegin(), inSmaller = smaller.back();
     const auto asked = world.change(inLarger, versionAt(inLarger), "larger");
     const auto askedToo = world.change(inSmaller, versionAt(inSmaller), "smaller");
-    world.run(std::min<Span>(45s, until - world.elapsed() + 5s));
+    world.run(std::min<Duration>(45s, until - world.elapsed() + 5s));
     parting.chosenByLarger += countChosen(asked);
     parting.chosenBySmaller += countChosen(askedToo);
     parting.smallerStayedClosed = parting.smallerStayedClosed && !smallerConfirms();
@@ -150,7 +150,7 @@
   world.run(20s);
   world.healAll();
   result.zoneBackAfter = runUntil(world, 600s, agreed);
-  result.hasRegions = steady.part > Span{};
+  result.hasRegions = steady.part > Duration{};
   if (result.hasRegions) result.parting = partRegions(world, steady.part, settings.zones);
   world.read(0);
   world.run(4s);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTick = 50ms;
+constexpr Duration kTick = 50ms;
 }  // namespace
 
 World::World(const WorldSettings& settings)
@@ -59,7 +59,7 @@
   if (settings_.bootstrap) {
     settings.mayFound =
         machine.life == 1 && index < settings_.diskMachines + settings_.edgeMachines;
-    settings.foundingWait = Span{};
+    settings.foundingWait = Duration{};
   }
   std::optional<std::map<std::string, std::string>> disk;
   if (machine.hasDisk) disk = machine.synced;
@@ -67,7 +67,8 @@
   AgentEffects effects;
   effects.replicaWork = machine.core->start();
   apply(index, std::move(effects));
-  schedule({now_ + Span(random_() % kTick.count()), 0, Kind::Tick, index, machine.life, {}, {}});
+  schedule(
+      {now_ + Duration(random_() % kTick.count()), 0, Kind::Tick, index, machine.life, {}, {}});
 }
 
 void World::crash(std::size_t index, bool powerLoss) {
@@ -121,7 +122,7 @@
   start(index);
 }
 
-void World::freeze(std::size_t index, Span span) {
+void World::freeze(std::size_t index, Duration span) {
   machines_[index].frozenUntil = std::max(machines_[index].frozenUntil, now_ + span);
 }
 
@@ -144,7 +145,7 @@
   cuts_.clear();
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     machines_[i].frozenUntil = now_;
-    machines_[i].diskDelay = Span{};
+    machines_[i].diskDelay = Duration{};
     mendDisk(i);
     start(i);
   }
@@ -169,9 +170,9 @@
   if (from != to && chance(settings_.lossRate)) return;
   const int replicas = chance(settings_.duplicateRate) ? 2 : 1;
   for (int i = 0; i < replicas; ++i) {
-    Span delay = settings_.delayLow +
-                 Span(random_() % static_cast<std::uint64_t>(
-                                      (settings_.delayHigh - settings_.delayLow).count()));
+    Duration delay = settings_.delayLow +
+                     Duration(random_() % static_cast<std::uint64_t>(
+                                              (settings_.delayHigh - settings_.delayLow).count()));
     if (chance(0.01)) delay *= 40;  // late and out of order
     schedule({now_ + delay, 0, Kind::Arrive, to, 0, bytes, {}});
   }
@@ -223,7 +224,7 @@
   machine.diskBusy = true;
   const bool writes = std::any_of(machine.diskQueue.begin(), machine.diskQueue.end(),
                                   [](const ReplicaWork& work) { return !work.writes.empty(); });
-  Span cost = writes ? Span(std::chrono::microseconds(100 + random_() % 900)) : Span{};
+  Duration cost = writes ? Duration(std::chrono::microseconds(100 + random_() % 900)) : Duration{};
   if (writes) cost += machine.diskDelay;
   if (settings_.plantUnsyncedDisk) cost *= 400;
   schedule({now_ + cost,
@@ -262,7 +263,7 @@
   Machine& machine = machines_[index];
   if (!machine.diskFails) return;
   machine.diskFails = false;
-  machine.diskDelay = Span{};
+  machine.diskDelay = Duration{};
   if (!machine.core || machine.core->isWritable()) return;
   // What was handed to the disk before it was read anew has failed, answers and all.
   for (std::size_t i = 0; i < machine.diskQueue.size(); ++i) machine.core->onReplicaWorkDone();
@@ -312,7 +313,7 @@
   if (!machine.core || (event.life != 0 && event.life != machine.life)) return;
   if (event.kind != Kind::DiskDone && now_ < machine.frozenUntil) {
     Event later = event;
-    later.at = machine.frozenUntil + Span(event.order % 1000);
+    later.at = machine.frozenUntil + Duration(event.order % 1000);
     schedule(std::move(later));
     return;
   }
@@ -351,7 +352,7 @@
   checkMachine(event.machine);
 }
 
-void World::run(Span span) {
+void World::run(Duration span) {
   const Instant until = now_ + span;
   Instant nextCheck = now_;
   while (!events_.empty() && events_.top().at <= until) {
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -20,17 +20,17 @@
   std::size_t edgeMachines = 9;
   std::size_t replicasWanted = 0;  // 0: as many as there are disks
   LossesToBear losses{};
-  Span catchUpSpan{};
+  Duration catchUpSpan{};
   std::size_t reserveMachines = 0;  // empty disks that join later; their indices come last
   // Only the first start of all is told that it may found, and need not wait; every later start is
   // told that it may not.
   bool bootstrap = false;
-  Span leaseSpan{};
+  Duration leaseSpan{};
   std::size_t zones = 4;  // machines go to zones in turn
   double lossRate = 0.02;
   double duplicateRate = 0.02;
-  Span delayLow = std::chrono::microseconds(200);
-  Span delayHigh = std::chrono::milliseconds(8);
+  Duration delayLow = std::chrono::microseconds(200);
+  Duration delayHigh = std::chrono::milliseconds(8);
   // Planted defects: each must trip a checker.
   bool plantUnsyncedDisk = false;  // answers leave before the write is synced
   bool plantReusedStore = false;   // an emptied disk comes back under its old identity
@@ -40,7 +40,7 @@
 
 struct Violation {
   std::string what;
-  Span at;
+  Duration at;
 };
 
 struct Asked {
@@ -62,8 +62,8 @@
  public:
   explicit World(const WorldSettings& settings);
 
-  void run(Span span);
-  Span elapsed() const { return now_.time_since_epoch(); }
+  void run(Duration span);
+  Duration elapsed() const { return now_.time_since_epoch(); }
 
   // Faults. A machine's index stays the same across its lives.
   void crash(std::size_t machine, bool powerLoss);
@@ -79,14 +79,14 @@
   void join(std::size_t machine);
   // The machine was told to end, and serves on meanwhile.
   void leave(std::size_t machine) { machines_[machine].core->setLeaving(true); }
-  void freeze(std::size_t machine, Span span);
+  void freeze(std::size_t machine, Duration span);
   void cutOneWay(std::size_t from, std::size_t to, bool cut);
   void cut(const std::set<std::size_t>& side, bool cut);
   void healAll();
   void failDisk(std::size_t machine, bool failing) { machines_[machine].diskFails = failing; }
   // A failing disk is sound again, and its folder is opened and read anew under the same process.
   void mendDisk(std::size_t machine);
-  void slowDisk(std::size_t machine, Span delay) { machines_[machine].diskDelay = delay; }
+  void slowDisk(std::size_t machine, Duration delay) { machines_[machine].diskDelay = delay; }
 
   std::uint64_t change(std::size_t machine, std::uint64_t expectedVersion, std::string body);
   std::uint64_t read(std::size_t machine);
@@ -119,7 +119,7 @@
   bool isInForce(std::uint64_t version) const;  // at every live machine
   bool knowsAll() const;                        // every live machine lists all live machines
   std::size_t zoneOf(std::size_t machine) const { return machine % settings_.zones; }
-  bool isConfirmed(std::size_t machine, Span lately) const;
+  bool isConfirmed(std::size_t machine, Duration lately) const;
   std::size_t listedBy(std::size_t machine) const;  // live machines, itself too
   std::uint64_t arrivals(std::size_t machine) const { return machines_[machine].arrivals; }
   std::uint64_t bytesFrom(std::size_t machine) const { return machines_[machine].bytesSent; }
@@ -134,12 +134,12 @@
     std::map<std::string, std::string> synced;
     std::vector<DiskWrite> unsynced;  // lost at a power loss
     bool diskFails = false;
-    Span diskDelay{};
+    Duration diskDelay{};
     std::vector<ReplicaWork> diskQueue;  // taken whole by the next sync, as the real disk does
     bool diskBusy = false;
     std::uint64_t diskLife = 0;  // rises when a defective disk was read anew
     Instant frozenUntil{};
-    Span clockOffset{};  // machines' boot clocks have nothing in common
+    Duration clockOffset{};  // machines' boot clocks have nothing in common
     int clockRate = 1;
     std::uint64_t life = 0;
     std::uint64_t highestConfiguration = 0;  // of this life
--- a/src/sim/world_state.cpp
+++ b/src/sim/world_state.cpp
@@ -20,7 +20,7 @@
   return version.has_value();
 }
 
-bool World::isConfirmed(std::size_t machine, Span lately) const {
+bool World::isConfirmed(std::size_t machine, Duration lately) const {
   const Machine& asked = machines_[machine];
   if (!asked.core) return false;
   const auto confirmed = asked.core->freshness().confirmedAt();
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -219,7 +219,7 @@
 
 TEST_CASE("holds: taken from another life it counts only when the lease has passed") {
   LeaseScript script;
-  const Span lease = 3s;
+  const Duration lease = 3s;
   Leases first(member(1), 11, lease), second(member(2), 22, lease);
   Instant now{100s};
   script.step(first, now);
@@ -286,7 +286,7 @@
   own.take(old, now, 1, now, &sends);
   // The other's clock has nothing in common with this one.
   const Instant elsewhere{5s};
-  const auto questions = [&](Span later) {
+  const auto questions = [&](Duration later) {
     std::vector<Envelope> made;
     CHECK_FALSE(own.onTick(peers, now + later, &made));
     return only<ListAsk>(made);
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -94,17 +94,17 @@
 }
 
 TEST_CASE("checker: bounds in time are tripped just past them and not before") {
-  const auto withdrawn = [](Span before) {
+  const auto withdrawn = [](Duration before) {
     return rulesBroken([=](Ledger& l) { l.withdrawnAt["north"] = kStart - before; });
   };
   CHECK(withdrawn(4900ms).empty());
   CHECK(withdrawn(5100ms) == "withdrawn-key");
-  const auto leaving = [](Span before) {
+  const auto leaving = [](Duration before) {
     return rulesBroken([=](Ledger& l) { l.leavingAt["s"] = kStart - before; });
   };
   CHECK(leaving(2900ms).empty());
   CHECK(leaving(3100ms) == "leaving-server");
-  const auto weights = [](Span after) {
+  const auto weights = [](Duration after) {
     return rulesBroken([=](Ledger& l) {
       l.serversAtEnd = {{"s", after > 0s ? "w1" : "w0"}};
       l.weightsNamedAt["w1"] = kStart;
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("checker: each naming has its own bound, whatever is named within it") {
-  const auto named = [](Span reached, const std::string& inEnd) {
+  const auto named = [](Duration reached, const std::string& inEnd) {
     return rulesBroken([=](Ledger& l) {
       l.serversAtEnd = {{"s", inEnd}};
       l.weightsNamedAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
@@ -128,7 +128,7 @@
   CHECK(named(24s, "w3").empty());  // w1 was passed over for w2
   CHECK(named(26s, "w3") == "weights-bound");
   CHECK(named(24s, "w2") == "weights-bound");  // w3 never came
-  const auto ran = [](const std::string& weights, Span after) {
+  const auto ran = [](const std::string& weights, Duration after) {
     return rulesBroken([=](Ledger& l) {
       l.weightsNamedAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
       for (RunRow& row : l.runs) row.weights = "w3";
@@ -197,7 +197,7 @@
           l.versionInEnd = 9;
           l.acknowledged = {{kStart, 10}};
         }) == "slipped-back");
-  const auto served = [](std::uint64_t version, Span after) {
+  const auto served = [](std::uint64_t version, Duration after) {
     return rulesBroken([=](Ledger& l) {
       l.acknowledged = {{kStart, 5}};
       l.served = {{"d", version, kStart + after}};
@@ -221,7 +221,7 @@
                       {"s", "w1", 3, false, kStart + 1s, kStart + 1s}};
         }).empty());
   // Rising fences, but the older holder's order is still open when the newer one's comes.
-  const auto overlapping = [](Span open, std::uint64_t second) {
+  const auto overlapping = [](Duration open, std::uint64_t second) {
     return rulesBroken([=](Ledger& l) {
       l.orders = {{"s", "w1", 3, true, kStart, kStart + open},
                   {"s", "w1", second, true, kStart + 1s, kStart + 2s}};
@@ -240,7 +240,7 @@
   CHECK(tries(3) == "extra-tries");
   // A window that starts at an extra try sees none of the traffic that paid for it; one that would
   // end after the run is not whole.
-  const auto late = [](Span at) {
+  const auto late = [](Duration at) {
     return rulesBroken([=](Ledger& l) { l.arrivals.push_back({"n1", kStart + at}); });
   };
   CHECK(late(30s) == "extra-tries");
--- a/tests/deliver_stage.h
+++ b/tests/deliver_stage.h
@@ -24,7 +24,7 @@
 };
 
 // Request r1 on weights w1 to the server that listens there, due in `due` with its first piece too.
-inline Delivery deliveryTo(const Tcp::acceptor& server, std::string body, Span due) {
+inline Delivery deliveryTo(const Tcp::acceptor& server, std::string body, Duration due) {
   Delivery delivery;
   delivery.request = RequestId{"r1"};
   delivery.server.name = ServerName{"127.0.0.1:" + std::to_string(server.local_endpoint().port())};
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -54,7 +54,7 @@
   bool hang = false;  // keep the connection open after the script
   bool listening = true;
   bool mayStart = true;
-  Span due = 2s;
+  Duration due = 2s;
 };
 
 Played play(const Play& asked) {
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -37,7 +37,7 @@
   CHECK(of8.mayEndFrom == signal + 3500ms);
   CHECK(of8.endsAt == signal + 7500ms);
   CHECK(of8.goneBy == signal + 7750ms);
-  for (Span grace = 10ms; grace <= 30s; grace += 10ms) {
+  for (Duration grace = 10ms; grace <= 30s; grace += 10ms) {
     const LeaveSchedule schedule = leaveSchedule(signal, grace);
     CHECK(signal < schedule.refusesFrom);
     CHECK(schedule.refusesFrom <= schedule.mayEndFrom);
--- a/tests/losses_tests.cpp
+++ b/tests/losses_tests.cpp
@@ -21,14 +21,15 @@
 
 struct Sum {
   std::size_t losses = 0, unrepaired = 0;
-  Span slowest{}, leastMargin = 1h;
+  Duration slowest{}, leastMargin = 1h;
   std::uint64_t epochs = 0;
 };
 
 // Runs all seeds, checks what must hold in each, and returns the repairs by kind.
-std::map<LossKind, Sum> checkLosses(LossesSettings settings, std::uint64_t seeds, Span longestGap) {
+std::map<LossKind, Sum> checkLosses(LossesSettings settings, std::uint64_t seeds,
+                                    Duration longestGap) {
   std::map<LossKind, Sum> sums;
-  Span gap{};
+  Duration gap{};
   for (settings.seed = 1; settings.seed <= seeds; ++settings.seed) {
     const LossesResult result = runLosses(settings);
     INFO("seed " << settings.seed);
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -297,7 +297,7 @@
   constexpr std::size_t kBound = 32 * kMegabyte;
   PowerLossEnv env;
   std::size_t written = 0;
-  Span longestOpening{};
+  Duration longestOpening{};
   for (int life = 0; life < 60; ++life) {  // each opening rewrites the log
     Disk disk({kFolder, "", 1h, env.files()}, [](Disk::Rows) {});
     const Instant begun = BootClock::now();
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -19,8 +19,8 @@
 }
 // How long until `holds` is true, looked at each 10 ms; `limit` where it is not.
 template <class Condition>
-Span spanUntil(World& world, Span limit, Condition holds) {
-  const Span from = world.elapsed();
+Duration spanUntil(World& world, Duration limit, Condition holds) {
+  const Duration from = world.elapsed();
   while (world.elapsed() - from < limit && !holds()) world.run(10ms);
   return world.elapsed() - from;
 }
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("sim: disks lost one after the other, 4 s after each return, lose nothing") {
-  Span slowest{};
+  Duration slowest{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     World world(coreOfFour(seed));
@@ -130,7 +130,7 @@
       world.wipeDisk(machine);
       world.run(round % 2 ? 3s : 300ms);
       world.start(machine);
-      const Span span = spanUntil(world, 4s, [&] { return healthyMembers(world, 4) == 3; });
+      const Duration span = spanUntil(world, 4s, [&] { return healthyMembers(world, 4) == 3; });
       slowest = std::max(slowest, span);
       world.run(4s - span);
       CHECK(world.core(12).freshness().configuration().value.body == body);
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE("sim: all core machines killed at once serve again soon, and so after a power loss") {
-  Span slowest{};
+  Duration slowest{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     World world(coreOfFour(seed));
@@ -154,7 +154,7 @@
     world.run(900ms);
     for (std::size_t i = 0; i < 4; ++i) world.start(i);
     slowest = std::max(slowest, spanUntil(world, 20s, [&] { return world.isConverged(); }));
-    const Span from = world.elapsed();
+    const Duration from = world.elapsed();
     CHECK(acknowledge(world, 8, "after") > 0);
     CHECK(world.elapsed() - from < 1s);
     CHECK(world.core(7).freshness().replicas().members.size() == 3);
@@ -192,14 +192,15 @@
     spanUntil(world, 20s, [&] {
       bool held = false;
       for (std::size_t i = 0; i < 4; ++i)
-        held = held || world.core(i).held(RegisterKey{"hold/orders/x"}, Span{}, world.localNow(i));
+        held =
+            held || world.core(i).held(RegisterKey{"hold/orders/x"}, Duration{}, world.localNow(i));
       return held;
     });
     world.run(2s);
     const RegisterKey role{"hold/orders/x"};
     const auto holder = [&]() -> std::size_t {
       for (std::size_t i = 0; i < world.size(); ++i) {
-        if (world.isUp(i) && world.core(i).held(role, Span{}, world.localNow(i))) return i;
+        if (world.isUp(i) && world.core(i).held(role, Duration{}, world.localNow(i))) return i;
       }
       return world.size();
     };
@@ -219,8 +220,8 @@
       world.freeze(first, 25s);
     else
       world.crash(first, false);
-    const Span lastHeld = [&] {
-      Span last = world.elapsed();
+    const Duration lastHeld = [&] {
+      Duration last = world.elapsed();
       while (holder() == first) {
         world.run(10ms);
         last = world.elapsed();
--- a/tests/replica_leaving_tests.cpp
+++ b/tests/replica_leaving_tests.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kAckBound = 4s;
+constexpr Duration kAckBound = 4s;
 
 WorldSettings small(std::uint64_t seed, std::size_t disks, std::size_t wanted) {
   WorldSettings settings;
@@ -29,7 +29,7 @@
   World& world;
   std::uint64_t asked = 0, newest = 0;
   std::size_t acknowledged = 0, fewest = 99;
-  Span lastAck{}, longestGap{};
+  Duration lastAck{}, longestGap{};
 
   explicit Busy(World& asking) : world(asking), lastAck(asking.elapsed()) {}
   std::size_t edge() const { return world.diskMachines(); }
@@ -54,8 +54,8 @@
     const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
     asked = world.change(machine, std::max(known, newest), "body");
   }
-  void run(Span span) {
-    const Span until = world.elapsed() + span;
+  void run(Duration span) {
+    const Duration until = world.elapsed() + span;
     while (world.elapsed() < until) step();
   }
   void check() {
@@ -86,7 +86,7 @@
     busy.run(2s);
     const std::size_t leaver = someMember(busy);
     world.leave(leaver);
-    const Span told = world.elapsed();
+    const Duration told = world.elapsed();
     while (busy.isMember(leaver) && world.elapsed() - told < 6s) busy.step();
     CHECK(world.elapsed() - told < 3s);  // as long as the process stays at the least
     busy.run(1s);
@@ -137,12 +137,12 @@
     REQUIRE(runUntilFounded(world, 20s));
     Busy busy(world);
     busy.run(2s);
-    const Span begun = world.elapsed();
-    std::vector<std::optional<Span>> told(4), ended(4);
+    const Duration begun = world.elapsed();
+    std::vector<std::optional<Duration>> told(4), ended(4);
     std::size_t restarted = 0;
     while (restarted < 4 && world.elapsed() - begun < 40s) {
       busy.step();
-      const Span now = world.elapsed();
+      const Duration now = world.elapsed();
       for (std::size_t i = 0; i < 4; ++i) {
         if (!told[i] && now - begun >= i * 1300ms) {
           world.leave(i);
@@ -180,7 +180,7 @@
     for (int stall = 0; stall < 8; ++stall) {
       world.slowDisk(stalled, 3500ms);
       busy.run(100ms);
-      world.slowDisk(stalled, Span{});
+      world.slowDisk(stalled, Duration{});
       busy.run(6s);
     }
     CHECK(busy.replicas().epoch.value - before.value <= 4);
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -124,7 +124,7 @@
 
 TEST_CASE(
     "sim: five replicas stand soon after the start, and two losses at once leave a majority") {
-  Span slowest{};
+  Duration slowest{};
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
     World world(grown(seed, seed % 2 == 0 ? 8 : 5));
@@ -133,7 +133,7 @@
       return replicas.members.size() == 5 && replicas.settled;
     };
     while (!isFull() && world.elapsed() < 20s) world.run(50ms);
-    slowest = std::max(slowest, world.elapsed() - Span(1s));  // the world's clock starts at 1 s
+    slowest = std::max(slowest, world.elapsed() - Duration(1s));  // the world's clock starts at 1 s
     REQUIRE(isFull());
     const std::uint64_t first = world.change(5, 0, "kept");
     world.run(1s);
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -10,17 +10,17 @@
 using namespace std::chrono_literals;
 
 inline const ModelName kModel{"m"};
-constexpr Span kListLag = 1800ms;  // the list's own and that of its reading
-constexpr Span kReportLag = 200ms;
-constexpr Span kOrderDue = 1500ms;
-constexpr Span kStep = 10ms;
+constexpr Duration kListLag = 1800ms;  // the list's own and that of its reading
+constexpr Duration kReportLag = 200ms;
+constexpr Duration kOrderDue = 1500ms;
+constexpr Duration kStep = 10ms;
 
 struct Played {
   ServerName name;
   ServerIdentity identity;
   std::uint64_t weights = 1;
-  std::uint64_t target = 0;  // 0: no order under way
-  Span streams{}, load{};    // what is left of each
+  std::uint64_t target = 0;    // 0: no order under way
+  Duration streams{}, load{};  // what is left of each
   Fence highest;
   bool leaving = false;
   bool mute = false;  // it takes nothing and answers nothing, which shows after kOrderDue
@@ -47,7 +47,8 @@
 };
 
 struct Bench {
-  Bench(int count, Span load, Span due, Span takeoverWait = {}) : loadSpan(load), due(due) {
+  Bench(int count, Duration load, Duration due, Duration takeoverWait = {})
+      : loadSpan(load), due(due) {
     for (int i = 0; i < count; ++i) {
       Played server;
       server.name = ServerName{"10.0." + std::to_string(i / 5) + "." + std::to_string(i) + ":1"};
@@ -80,17 +81,17 @@
   }
   void playServers() {
     const auto loading = std::count_if(servers.begin(), servers.end(), [](const Played& server) {
-      return server.target > 0 && server.streams <= Span{};
+      return server.target > 0 && server.streams <= Duration{};
     });
     std::size_t switching = 0;
     for (Played& server : servers) {
       if (server.target > 0) {
         ++switching;
-        if (server.streams > Span{})
+        if (server.streams > Duration{})
           server.streams -= kStep;
         else
           server.load -= kStep * 3 / std::max<long>(3, loading);
-        if (server.load <= Span{}) {
+        if (server.load <= Duration{}) {
           server.weights = server.target;
           server.target = 0;
         }
@@ -169,7 +170,7 @@
       apply(holder, made);
     }
   }
-  void run(Span span) {
+  void run(Duration span) {
     for (const Instant until = now + span; now < until;) {
       now += kStep;
       playServers();
@@ -185,17 +186,17 @@
     return std::all_of(servers.begin(), servers.end(),
                        [&](const Played& server) { return server.weights == weights; });
   }
-  Span untilAllOn(std::uint64_t weights, Span limit = 60s) {
+  Duration untilAllOn(std::uint64_t weights, Duration limit = 60s) {
     while (!allOn(weights) && now - namedAt < limit) run(kStep);
     return now - namedAt;
   }
 
-  Span loadSpan, due;
+  Duration loadSpan, due;
   Instant now{1000s};
   Instant namedAt{};
   WeightsHistory history;
   std::map<std::uint64_t, Instant> namings;  // each version, by when it was named
-  Span longestBehind{};                      // the longest that a server kept a superseded version
+  Duration longestBehind{};                  // the longest that a server kept a superseded version
   std::vector<Played> servers;
   std::deque<Holder> holders;
   std::vector<std::pair<Instant, Fence>> arrivals;
--- a/tests/rollout_tests.cpp
+++ b/tests/rollout_tests.cpp
@@ -6,7 +6,7 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("rollout: 18 servers are done within the bound, and never more than a third switches") {
-  for (const auto& [load, due] : {std::pair<Span, Span>{1800ms, 15s}, {1100ms, 12s}}) {
+  for (const auto& [load, due] : {std::pair<Duration, Duration>{1800ms, 15s}, {1100ms, 12s}}) {
     Bench bench(18, load, due);
     bench.name(2);
     bench.run(600ms);  // until the lease is there
@@ -104,7 +104,7 @@
     const auto half = static_cast<std::size_t>(count) / 2;
     CHECK(late.mostSwitching == half);
     // Nobody serves until then. Loads share what the servers' stores give: three at full speed.
-    const Span all = 1800ms * count / 3;
+    const Duration all = 1800ms * count / 3;
     const auto reached = [&] {
       return static_cast<std::size_t>(
           std::count_if(late.servers.begin(), late.servers.end(),
@@ -121,9 +121,9 @@
 
 TEST_CASE("rollout: each version's own bound holds, whatever is named within it") {
   struct Day {
-    Span load, due;
+    Duration load, due;
     std::size_t namings;
-    Span gap;
+    Duration gap;
   };
   for (const Day& day : {Day{1800ms, 15s, 3, 7s}, Day{1100ms, 12s, 3, 7s}, Day{1800ms, 15s, 7, 3s},
                          Day{1100ms, 12s, 7, 3s}, Day{1800ms, 15s, 12, 2s}}) {
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kDelay = 2ms;     // of a message
-constexpr Span kReading = 40ms;  // that the platform takes to answer
-constexpr Span kForgotten = 6s;  // until the others count a silent daemon out
+constexpr Duration kDelay = 2ms;     // of a message
+constexpr Duration kReading = 40ms;  // that the platform takes to answer
+constexpr Duration kForgotten = 6s;  // until the others count a silent daemon out
 
 Address daemon(std::size_t number) { return Address{"10.0.0." + std::to_string(number) + ":7"}; }
 
@@ -29,7 +29,7 @@
 struct Fleet {
   struct Node {
     ServerList list;
-    Span offset;  // clocks have nothing in common
+    Duration offset;  // clocks have nothing in common
     bool up = true, alone = false, blind = false;
     std::optional<Instant> downAt{};
     std::optional<Instant> readingSince{};
@@ -40,7 +40,7 @@
     std::size_t to;
     Envelope envelope;
   };
-  Fleet(std::size_t count, double rate, Span every) {
+  Fleet(std::size_t count, double rate, Duration every) {
     for (std::size_t i = 0; i < count; ++i)
       nodes.push_back({ServerList({daemon(i), every, rate}), 1000s * static_cast<int>(i + 1)});
   }
@@ -113,7 +113,7 @@
     }
   }
   Instant newestCall() const { return calls.empty() ? Instant{} : calls.back(); }
-  void run(Span span) {
+  void run(Duration span) {
     for (const Instant until = now + span; now < until;) step();
   }
   bool allKnow(const std::vector<ListRow>& rows) const {
@@ -121,16 +121,16 @@
       return !node.up || node.alone || node.list.rows() == rows;
     });
   }
-  Span untilAllKnow(const std::vector<ListRow>& rows, Span limit) {
+  Duration untilAllKnow(const std::vector<ListRow>& rows, Duration limit) {
     const Instant begun = now;
     while (!allKnow(rows) && now - begun < limit) step();
     return now - begun;
   }
-  Span oldest() const {
-    Span age{};
+  Duration oldest() const {
+    Duration age{};
     for (const Node& node : nodes) {
       if (node.up && !node.alone)
-        age = std::max(age, node.list.readAt() ? local(node) - *node.list.readAt() : Span(1h));
+        age = std::max(age, node.list.readAt() ? local(node) - *node.list.readAt() : Duration(1h));
     }
     return age;
   }
@@ -138,7 +138,7 @@
     return static_cast<std::size_t>(
         std::count_if(calls.begin(), calls.end(), [&](Instant at) { return at >= since; }));
   }
-  std::size_t mostCallsIn(Span window) const {
+  std::size_t mostCallsIn(Duration window) const {
     std::size_t most = 0;
     for (std::size_t i = 0, from = 0; i < calls.size(); ++i) {
       while (calls[i] - calls[from] >= window) ++from;
@@ -148,14 +148,14 @@
   }
 
   Instant now{100s};
-  Span cutFor{};
+  Duration cutFor{};
   std::vector<Node> nodes;
   std::vector<Flight> flights;
   std::vector<ListRow> content = rowsOf(1);
   std::function<bool(std::size_t, std::size_t)> loses;
   std::vector<Instant> calls;
   Instant lastReading{};
-  Span leastPause{1h};
+  Duration leastPause{1h};
   bool platformDown = false, overRate = false, tooYoung = false;
 };
 }  // namespace
@@ -221,7 +221,7 @@
           1s + 300ms * static_cast<int>(killed + 1) + 250ms);
     fleet.run(500ms);
   }
-  Span worst{};
+  Duration worst{};
   for (int i = 0; i < 60; ++i) {
     fleet.run(100ms);
     worst = std::max(worst, fleet.oldest());
@@ -249,7 +249,7 @@
 
 TEST_CASE("server list: cut off from each other, all together stay within the platform's rate") {
   for (const auto& [count, rate, every] :
-       {std::tuple<std::size_t, double, Span>{17, 47, 1s}, {40, 47, 1s}, {13, 50, 400ms}}) {
+       {std::tuple<std::size_t, double, Duration>{17, 47, 1s}, {40, 47, 1s}, {13, 50, 400ms}}) {
     Fleet fleet(count, rate, every);
     fleet.run(5s);
     for (auto& node : fleet.nodes) node.alone = true;
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -42,7 +42,7 @@
   notes.take(
       {ServerName{"s"}, ServerIdentity{"i"}, kModel, WeightsVersion{"w1"}, false, Fence{3}, 1},
       now);
-  const auto weights = [&](Span later) {
+  const auto weights = [&](Duration later) {
     return notes.over(ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"w0"}, now + later)
         .weights;
   };
--- a/tests/try_budget_tests.cpp
+++ b/tests/try_budget_tests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr double kShare = 0.2, kSlack = 58;
-constexpr Span kWindow = 10s;
+constexpr Duration kWindow = 10s;
 const ServiceName kService{"svc"};
 
 std::size_t within(const std::vector<Instant>& times, Instant from, Instant to) {
@@ -24,7 +24,7 @@
 double leftIn(const std::vector<Instant>& requests, const std::vector<Instant>& extras,
               Instant from) {
   std::size_t most = 0;
-  for (const Span back : {Span{}, Span(kWindow / 2), Span(kWindow)})
+  for (const Duration back : {Duration{}, Duration(kWindow / 2), Duration(kWindow)})
     most = std::max(most, within(requests, from - back, from - back + kWindow));
   return kShare * static_cast<double>(most) + kSlack -
          static_cast<double>(within(extras, from, from + kWindow));
@@ -76,7 +76,7 @@
   // The fullest windows begin with an extra try or end right behind one.
   for (const Instant at : extras) {
     worst.left = std::min(worst.left, leftIn(requests, extras, at));
-    worst.left = std::min(worst.left, leftIn(requests, extras, at - kWindow + Span(1)));
+    worst.left = std::min(worst.left, leftIn(requests, extras, at - kWindow + Duration(1)));
   }
   return worst;
 }
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr std::size_t kLimit = 1 << 20;
-constexpr Span kDue = 3500ms;
+constexpr Duration kDue = 3500ms;
 
 std::string config(std::uint64_t generation, const std::string& service = "b") {
   return R"({"gen":)" + std::to_string(generation) +
@@ -289,8 +289,8 @@
     call.pending = asked->isRead ? world.read(call.machine)
                                  : world.change(call.machine, asked->expectedVersion, asked->body);
   }
-  void run(Span span) {
-    for (Span past{}; past < span; past += 5ms) {
+  void run(Duration span) {
+    for (Duration past{}; past < span; past += 5ms) {
       for (const auto& call : calls) {
         if (!call->updateOperation.done()) pump(*call);
       }
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -9,7 +9,7 @@
 namespace {
 const ModelName kModel{"m"};
 const Instant kNow{1000s};
-constexpr Span kBound = 15s;
+constexpr Duration kBound = 15s;
 const WeightsVersion kOne{"1"}, kTwo{"2"}, kThree{"3"}, kFour{"4"};
 }  // namespace
 
