--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -188,7 +188,7 @@
   const Instant now = BootClock::now();
   const auto verb = request.method();
   ++callsOpen_;
-  AtEnd answered([this] { --callsOpen_; });
+  ScopeExit answered([this] { --callsOpen_; });
   if (dialect_.operatorCall) {
     auto answer = co_await dialect_.operatorCall(*this, request);
     if (answer) co_return std::move(*answer);
--- a/src/base/at_end.h
+++ b/src/base/at_end.h
@@ -4,12 +4,12 @@
 namespace quayrill {
 
 // Runs its action once, when its scope ends.
-struct AtEnd {
+struct ScopeExit {
   std::function<void()> action;
-  explicit AtEnd(std::function<void()> a) : action(std::move(a)) {}
-  AtEnd(const AtEnd&) = delete;
-  AtEnd& operator=(const AtEnd&) = delete;
-  ~AtEnd() {
+  explicit ScopeExit(std::function<void()> a) : action(std::move(a)) {}
+  ScopeExit(const ScopeExit&) = delete;
+  ScopeExit& operator=(const ScopeExit&) = delete;
+  ~ScopeExit() {
     if (action) action();
   }
 };
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -69,7 +69,7 @@
     response =
         turnAway(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
   } else {
-    AtEnd exit([this, name = job.tenant, policy = job.policyName] {
+    ScopeExit exit([this, name = job.tenant, policy = job.policyName] {
       admission_.mustPost([=](Admission& admission) { admission.leave(name, policy); });
     });
     job.entered = *entered;
@@ -107,7 +107,7 @@
     counters_.promptTokens += placed.promptTokens;
     counters_.matchedTokens += placed.matchedTokens;
     bool ran = false;
-    AtEnd unlock([this, &ran, ticket = placed.ticket] {
+    ScopeExit unlock([this, &ran, ticket = placed.ticket] {
       placement_.mustPost([ticket, didRun = ran](Placement& placement) {
         placement.release(ticket, didRun, BootClock::now());
       });
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -169,7 +169,7 @@
     if (!placed) break;
     const ServerState& server = placed->chosenServer;
     bool ran = false;
-    AtEnd release([this, alive = alive_, ticket = placed->ticket, &ran] {
+    ScopeExit release([this, alive = alive_, ticket = placed->ticket, &ran] {
       if (*alive) placement_.release(ticket, ran, BootClock::now());
     });
     // One that said what it lacked may be asked again; each other one counts.
