--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -2,7 +2,7 @@
 #include <glog/logging.h>
 
 #include "agent/agent.h"
-#include "base/at_end.h"
+#include "base/scope_exit.h"
 
 namespace quayrill {
 
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -1,7 +1,7 @@
 // A request's way from admission to its last piece.
 #include <glog/logging.h>
 
-#include "base/at_end.h"
+#include "base/scope_exit.h"
 #include "proxy/proxy.h"
 
 namespace quayrill {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "base/at_end.h"
+#include "base/scope_exit.h"
 
 namespace quayrill {
 
