--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -223,7 +223,7 @@
   if (core_->list().readAt() == takenList_) return;
   takenList_ = core_->list().readAt();
   std::set<ServerName> names;
-  for (const ListRow& server : core_->list().rows()) {
+  for (const ListedServer& server : core_->list().rows()) {
     names.insert(server.name);
     const auto [row, fresh] = servers_.try_emplace(server.name);
     if (!fresh && !row->second.listed.leaving && server.leaving)
@@ -241,7 +241,7 @@
 
 // What the list itself tells of a server stands in for its own word.
 void Agent::takeTold(Polled& row, Instant readAt) const {
-  const ListRow& listed = row.listed;
+  const ListedServer& listed = row.listed;
   ServerState state;
   state.name = listed.name;
   state.service = listed.service;
@@ -301,7 +301,7 @@
                        configurationVersion_ > 0;
   snapshot.confirmedAgoMicros = inForce ? ago(core_->freshness().confirmedAt()) : -1;
   snapshot.listedAgoMicros = ago(takenList_);
-  for (const NewsItem& item : core_->live(now))
+  for (const GossipItem& item : core_->live(now))
     snapshot.proxies += item.proxyAddress.empty() ? 0 : 1;
   for (const auto& [name, row] : servers_) {
     if (row.state) snapshot.servers.push_back(toSnapshot(stateOf(row, now), now));
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -57,7 +57,7 @@
 
  private:
   struct Polled {
-    ListRow listed;
+    ListedServer listed;
     std::optional<ServerState> state;
     Instant healthyAt{};  // start of the last poll that was answered
     std::uint64_t life = 0;
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -209,7 +209,7 @@
 std::vector<Address> AgentCore::staying(Instant now) const {
   std::vector<Address> live;
   if (!hasHeardOfOthers(now)) return live;
-  for (const NewsItem& item : news_.live(now)) {
+  for (const GossipItem& item : news_.live(now)) {
     if (!item.leaving && item.store.value != 0) live.push_back(item.source);
   }
   return live;
@@ -240,8 +240,8 @@
   if (now >= nextListPeers_) {
     nextListPeers_ = now + 400ms;
     std::set<Address> first(settings_.seeds.begin(), settings_.seeds.end()), then;
-    const std::vector<NewsItem> live = news_.live(now);
-    for (const NewsItem& item : live) {
+    const std::vector<GossipItem> live = news_.live(now);
+    for (const GossipItem& item : live) {
       first.erase(item.source);
       if (item.leaving) continue;
       (item.store.value != 0 ? first : then).insert(item.source);
@@ -259,8 +259,8 @@
   effects->readList = list_.onTick(listPeers_, now, &effects->sends);
 }
 
-void AgentCore::takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-                         AgentEffects* effects) {
+void AgentCore::takeList(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
+                         Instant now, AgentEffects* effects) {
   std::vector<Envelope> sends;
   list_.take(std::move(rows), askedAt, calls, now, &sends);
   sendListAnswers(std::move(sends), now, effects);
@@ -276,7 +276,7 @@
 
 void AgentCore::tellNote(const ServerNote& note, Instant now, AgentEffects* effects) {
   notes_.take(note, now);
-  for (const NewsItem& item : news_.live(now)) {
+  for (const GossipItem& item : news_.live(now)) {
     if (item.source != settings_.self)
       effects->sends.push_back({settings_.self, item.source, note});
   }
@@ -310,7 +310,7 @@
   const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
   sendAll(freshness_.begin(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
-  for (const NewsItem& item : news_.live(now)) {
+  for (const GossipItem& item : news_.live(now)) {
     const bool isIn =
         std::any_of(replicas.members.begin(), replicas.members.end(),
                     [&](const ReplicaMember& member) { return member.store == item.store; });
@@ -329,7 +329,7 @@
   if (now < nextBeat_ && !isUrgent) return;
   nextBeat_ = now + 1s;
   told_ = told;
-  NewsItem own;
+  GossipItem own;
   own.zone = settings_.zone;
   own.proxyAddress = settings_.proxyAddress;
   own.store = store;
@@ -344,7 +344,7 @@
 void AgentCore::tellStoreHolders(Instant now, AgentEffects* effects) {
   std::set<Address> holders(settings_.seeds.begin(), settings_.seeds.end());
   for (const ReplicaMember& member : freshness_.replicas().members) holders.insert(member.address);
-  for (const NewsItem& item : news_.live(now)) {
+  for (const GossipItem& item : news_.live(now)) {
     if (item.store.value != 0) holders.insert(item.source);
   }
   holders.erase(settings_.self);
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -101,7 +101,7 @@
     return leases_.held(role, needed, now);
   }
 
-  void takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
+  void takeList(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls, Instant now,
                 AgentEffects* effects);
   void onListFailed(std::size_t calls, bool overRate, Instant now) {
     list_.onReadFailed(calls, overRate, now);
@@ -128,7 +128,7 @@
   // would read everything.
   std::vector<ServerName> eventSources(const std::vector<EventSource>& sources, Instant now) const;
   const Freshness& freshness() const { return freshness_; }
-  std::vector<NewsItem> live(Instant now) const { return news_.live(now); }
+  std::vector<GossipItem> live(Instant now) const { return news_.live(now); }
   const AgentSettings& settings() const { return settings_; }
   StoreId store() const { return replica_ ? replica_->store() : StoreId{}; }
   bool isWritable() const { return replica_ && replica_->isVoting(); }
--- a/src/agent/core/event_sources.cpp
+++ b/src/agent/core/event_sources.cpp
@@ -6,11 +6,11 @@
 
 namespace quayrill {
 
-std::vector<ServerName> sourcesOf(const Address& self, const std::vector<NewsItem>& live,
+std::vector<ServerName> sourcesOf(const Address& self, const std::vector<GossipItem>& live,
                                   const std::vector<EventSource>& sources) {
   std::map<std::string, std::vector<Address>> readersOfZone;
   std::vector<Address> readers;
-  for (const NewsItem& item : live) {
+  for (const GossipItem& item : live) {
     if (item.proxyAddress.empty() || item.leaving) continue;
     readersOfZone[item.zone].push_back(item.source);
     readers.push_back(item.source);
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/news.cpp
@@ -17,8 +17,8 @@
   own_.version.incarnation = Incarnation{1};
 }
 
-void News::describeSelf(const NewsItem& item) {
-  const NewsVersion version = own_.version;
+void News::describeSelf(const GossipItem& item) {
+  const GossipVersion version = own_.version;
   const std::uint64_t nonce = own_.nonce;
   own_ = item;
   own_.source = self_;
@@ -32,7 +32,7 @@
 }
 
 // An earlier life of this address had a higher version: outlive it.
-void News::meetOwn(const NewsVersion& version) {
+void News::meetOwn(const GossipVersion& version) {
   if (version > own_.version)
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
@@ -45,7 +45,7 @@
 }
 
 NewsAnswer News::answer(const NewsAsk& ask) {
-  std::map<Address, NewsVersion> known(ask.known.begin(), ask.known.end());
+  std::map<Address, GossipVersion> known(ask.known.begin(), ask.known.end());
   NewsAnswer answer;
   if (const auto mine = known.find(self_); mine != known.end()) meetOwn(mine->second);
   if (own_.version > known[self_]) answer.items.push_back(own_);
@@ -56,7 +56,7 @@
 }
 
 void News::take(const NewsAnswer& answer, Instant now) {
-  for (const NewsItem& item : answer.items) {
+  for (const GossipItem& item : answer.items) {
     if (item.source == self_) {
       if (item.nonce != own_.nonce) meetOwn(item.version);
       continue;
@@ -72,8 +72,8 @@
   return row != rows_.end() && now - row->second.advancedAt < kLiveSpan;
 }
 
-std::vector<NewsItem> News::live(Instant now) const {
-  std::vector<NewsItem> items{own_};
+std::vector<GossipItem> News::live(Instant now) const {
+  std::vector<GossipItem> items{own_};
   for (const auto& [source, row] : rows_) {
     if (isLive(source, now)) items.push_back(row.item);
   }
@@ -82,7 +82,7 @@
   return items;
 }
 
-std::optional<NewsItem> News::item(const Address& source) const {
+std::optional<GossipItem> News::item(const Address& source) const {
   if (source == self_) return own_;
   const auto row = rows_.find(source);
   if (row == rows_.end()) return std::nullopt;
--- a/src/agent/core/news.h
+++ b/src/agent/core/news.h
@@ -15,26 +15,26 @@
   News(Address self, std::uint64_t nonce);
 
   // The own item's fields but for its version, which only this class moves.
-  void describeSelf(const NewsItem& item);
+  void describeSelf(const GossipItem& item);
   void beat(Instant now);
   NewsAsk ask() const;
   NewsAnswer answer(const NewsAsk& ask);
   void take(const NewsAnswer& answer, Instant now);
 
-  std::vector<NewsItem> live(Instant now) const;  // sorted by address, self always in
+  std::vector<GossipItem> live(Instant now) const;  // sorted by address, self always in
   bool isLive(const Address& source, Instant now) const;
-  std::optional<NewsItem> item(const Address& source) const;
+  std::optional<GossipItem> item(const Address& source) const;
 
  private:
   // A source's version never falls here, live or not: a forgotten source can't come back by echo.
   struct Row {
-    NewsItem item;
+    GossipItem item;
     Instant advancedAt;
   };
-  void meetOwn(const NewsVersion& version);
+  void meetOwn(const GossipVersion& version);
 
   Address self_;
-  NewsItem own_;
+  GossipItem own_;
   std::map<Address, Row> rows_;  // never self
 };
 
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -46,9 +46,9 @@
 }
 }  // namespace
 
-Address aggregatorOf(const std::string& zone, const std::vector<NewsItem>& live) {
+Address aggregatorOf(const std::string& zone, const std::vector<GossipItem>& live) {
   std::vector<Address> idle, all;
-  for (const NewsItem& item : live) {
+  for (const GossipItem& item : live) {
     if (item.zone != zone || item.leaving) continue;
     all.push_back(item.source);
     if (item.proxyAddress.empty()) idle.push_back(item.source);
@@ -73,7 +73,7 @@
     if (digests_.size() > kMostDigests) digests_.erase(digests_.begin());
     return;
   }
-  zones_[digest.zone] = {digest.outstanding, now - std::chrono::microseconds(digest.agoMicros)};
+  zones_[digest.zone] = {digest.outstanding, now - std::chrono::microseconds(digest.ageMicros)};
   append(&farBatches_, digest.batches);
 }
 
@@ -89,7 +89,7 @@
     age += now - report.at;
   }
   if (!reports_.empty())
-    digest.agoMicros = microsOf(age) / static_cast<std::int64_t>(reports_.size());
+    digest.ageMicros = microsOf(age) / static_cast<std::int64_t>(reports_.size());
   digest.outstanding = rowsOf(sums);
   digest.batches = nearBatches_;
   return digest;
@@ -99,18 +99,18 @@
   digest.zone.clear();
   Sums sums;
   add(&sums, digest.outstanding);
-  std::int64_t age = digest.agoMicros;
+  std::int64_t age = digest.ageMicros;
   for (const auto& [name, zone] : zones_) {
     add(&sums, zone.outstanding);
     age += microsOf(now - zone.at);
   }
-  digest.agoMicros = age / static_cast<std::int64_t>(zones_.size() + 1);
+  digest.ageMicros = age / static_cast<std::int64_t>(zones_.size() + 1);
   digest.outstanding = rowsOf(sums);
   append(&digest.batches, farBatches_);
   return digest;
 }
 
-void PlaneExchange::aggregate(const std::vector<NewsItem>& live,
+void PlaneExchange::aggregate(const std::vector<GossipItem>& live,
                               const std::map<std::string, Address>& others, Instant now,
                               std::vector<Envelope>* sends) {
   std::erase_if(reports_, [&](const auto& row) { return now - row.second.at > kReportSpan; });
@@ -123,7 +123,7 @@
   const PlaneDigest told = fleet(std::move(mine), now);
   nearBatches_.clear();
   farBatches_.clear();
-  for (const NewsItem& item : live) {
+  for (const GossipItem& item : live) {
     if (item.zone != zone_ || item.proxyAddress.empty()) continue;
     if (item.source == self_)
       onDigest(told, now);
@@ -132,7 +132,7 @@
   }
 }
 
-void PlaneExchange::onTick(const std::vector<NewsItem>& live, Instant now,
+void PlaneExchange::onTick(const std::vector<GossipItem>& live, Instant now,
                            std::vector<Envelope>* sends) {
   nextTick_ = now + kEvery;
   const Address aggregator = aggregatorOf(zone_, live);
@@ -151,7 +151,7 @@
     return;
   }
   std::map<std::string, Address> others;
-  for (const NewsItem& item : live) {
+  for (const GossipItem& item : live) {
     if (item.zone != zone_ && !others.contains(item.zone))
       others[item.zone] = aggregatorOf(item.zone, live);
   }
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -27,7 +27,7 @@
   void onDigest(const PlaneDigest& digest, Instant now);
   bool isDue(Instant now) const { return now >= nextTick_; }
   // `live`: all live daemons, this one too.
-  void onTick(const std::vector<NewsItem>& live, Instant now, std::vector<Envelope>* sends);
+  void onTick(const std::vector<GossipItem>& live, Instant now, std::vector<Envelope>* sends);
   // What came for this daemon's own data plane, oldest first; given out once.
   std::vector<PlaneDigest> takeDigests();
 
@@ -40,7 +40,7 @@
     std::vector<OutstandingRow> outstanding;
     Instant at;  // when its rows were told, on average
   };
-  void aggregate(const std::vector<NewsItem>& live, const std::map<std::string, Address>& others,
+  void aggregate(const std::vector<GossipItem>& live, const std::map<std::string, Address>& others,
                  Instant now, std::vector<Envelope>* sends);
   PlaneDigest ownZone(Instant now) const;
   // The own zone's digest with those of the others added.
@@ -60,6 +60,6 @@
 
 // The daemon that aggregates for a zone: by rendezvous over those of its live daemons that have no
 // data plane, else over all of them. Address{}: none is there.
-Address aggregatorOf(const std::string& zone, const std::vector<NewsItem>& live);
+Address aggregatorOf(const std::string& zone, const std::vector<GossipItem>& live);
 
 }  // namespace quayrill
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kAsked = 16;
 constexpr std::size_t kKept = 1024;
 
-std::uint64_t digestOf(const std::vector<ListRow>& rows) {
+std::uint64_t digestOf(const std::vector<ListedServer>& rows) {
   return stableHash(encodeValue(rows)) | 1;  // 0 stands for no list
 }
 }  // namespace
@@ -71,12 +71,12 @@
   return true;
 }
 
-void ServerList::take(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-                      std::vector<Envelope>* sends) {
+void ServerList::take(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
+                      Instant now, std::vector<Envelope>* sends) {
   reading_ = false;
   callsEach_ = std::max<std::size_t>(1, calls);
   backOff_ = Duration{};
-  std::sort(rows.begin(), rows.end(), [](const ListRow& a, const ListRow& b) {
+  std::sort(rows.begin(), rows.end(), [](const ListedServer& a, const ListedServer& b) {
     return std::tie(a.name, a.identity) < std::tie(b.name, b.identity);
   });
   const std::uint64_t digest = digestOf(rows);
@@ -91,7 +91,7 @@
   nextRead_ = std::max(nextRead_, now + backOff_);
 }
 
-bool ServerList::replace(std::vector<ListRow> rows, std::uint64_t digest, Instant readAt) {
+bool ServerList::replace(std::vector<ListedServer> rows, std::uint64_t digest, Instant readAt) {
   if (readAt_ && *readAt_ >= readAt) return false;
   readAt_ = readAt;
   if (digest == digest_) return true;
@@ -103,8 +103,8 @@
 // `sinceCame` is how long the question has been here, in which the asker's own reading aged too.
 bool ServerList::isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const {
   if (!readAt_) return false;
-  if (ask.knownAgoMicros < 0) return true;
-  const Duration theirs = std::chrono::microseconds(ask.knownAgoMicros) + sinceCame;
+  if (ask.knownAgeMicros < 0) return true;
+  const Duration theirs = std::chrono::microseconds(ask.knownAgeMicros) + sinceCame;
   const Duration own = now - *readAt_;
   // The same reading looks a little older at the asker, by the time that it took to get there.
   return own < theirs && (ask.knownDigest != digest_ || own + settings_.every / 2 < theirs);
@@ -142,13 +142,13 @@
 std::optional<Instant> ServerList::onAnswer(const ListAnswer& answer, Instant now,
                                             std::vector<Envelope>* sends) {
   const auto asked = asked_.find(answer.sequence);
-  if (asked == asked_.end() || answer.agoMicros < 0 || answer.heldMicros < 0) return std::nullopt;
+  if (asked == asked_.end() || answer.ageMicros < 0 || answer.heldMicros < 0) return std::nullopt;
   // The question came there after it was asked, so an age that is counted from then is only ever
   // too high. The other's clock may run a little faster, so `told` may not pass the present.
   const Instant told =
       std::min(now, asked->second.at + std::chrono::microseconds(answer.heldMicros));
   asked_.erase(asked);
-  const Instant readAt = told - std::chrono::microseconds(answer.agoMicros);
+  const Instant readAt = told - std::chrono::microseconds(answer.ageMicros);
   // 'Unchanged' since rows that are no longer the ones here says nothing.
   const bool whole = !answer.rows.empty() || answer.digest == digestOf({});
   if ((whole || answer.digest == digest_) && replace(answer.rows, answer.digest, readAt))
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -37,7 +37,7 @@
   // begun.
   bool onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends);
   // A reading of the platform's own list, begun at `askedAt`, which took so many calls.
-  void take(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
+  void take(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls, Instant now,
             std::vector<Envelope>* sends);
   void onReadFailed(std::size_t calls, bool overRate, Instant now);
   // Answered at once where this daemon knows a newer reading, else kept until it does.
@@ -46,7 +46,7 @@
   std::optional<Instant> onAnswer(const ListAnswer& answer, Instant now,
                                   std::vector<Envelope>* sends);
 
-  const std::vector<ListRow>& rows() const { return rows_; }
+  const std::vector<ListedServer>& rows() const { return rows_; }
   std::uint64_t digest() const { return digest_; }
   // The start of the reading, wherever it was made; only ever too old, never too young.
   std::optional<Instant> readAt() const { return readAt_; }
@@ -65,12 +65,12 @@
   Duration overdue(Instant now) const;
   bool isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const;
   Envelope answer(const Address& to, const KeptAsk& kept, Instant now) const;
-  bool replace(std::vector<ListRow> rows, std::uint64_t digest, Instant readAt);
+  bool replace(std::vector<ListedServer> rows, std::uint64_t digest, Instant readAt);
   void answerKept(Instant now, std::vector<Envelope>* sends);
   Envelope ask(const Address& to, Instant now);
 
   ListSettings settings_;
-  std::vector<ListRow> rows_;  // sorted, so that one content has one digest
+  std::vector<ListedServer> rows_;  // sorted, so that one content has one digest
   std::uint64_t digest_ = 0;
   std::optional<Instant> readAt_;   // never falls
   std::optional<Instant> firstAt_;  // the first tick; stands for a reading where there is none
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -39,9 +39,9 @@
   return {newer ? row.reached : shown, row.note.switching && now - row.at < kSwitchingSpan};
 }
 
-void ServerNotes::forgetUnlisted(const std::vector<ListRow>& rows, Instant now) {
+void ServerNotes::forgetUnlisted(const std::vector<ListedServer>& rows, Instant now) {
   std::set<ServerName> listed;
-  for (const ListRow& row : rows) listed.insert(row.name);
+  for (const ListedServer& row : rows) listed.insert(row.name);
   std::erase_if(rows_, [&](const auto& row) {
     return !listed.contains(row.first) && now - row.second.at > kKeepSpan;
   });
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -23,7 +23,7 @@
   ServerKnown over(const ServerName& server, const ServerIdentity& identity,
                    const WeightsVersion& shown, Instant now) const;
   // Forgets servers that are gone; notes of a life that the list does not show are kept a while.
-  void forgetUnlisted(const std::vector<ListRow>& rows, Instant now);
+  void forgetUnlisted(const std::vector<ListedServer>& rows, Instant now);
   // The last sign of somebody who orders this model's weights; nullopt: none yet.
   std::optional<Instant> lastSign(const ModelName& model) const;
 
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -13,8 +13,8 @@
 void WeightsHistories::take(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
   for (const SupersededWeights& told : superseded) {
     const auto row = rows_.find(told.model);
-    if (row == rows_.end() || told.agoMicros < 0) continue;
-    row->second.noteNewestAt(told.weights, toldAt - std::chrono::microseconds(told.agoMicros));
+    if (row == rows_.end() || told.ageMicros < 0) continue;
+    row->second.noteNewestAt(told.weights, toldAt - std::chrono::microseconds(told.ageMicros));
   }
 }
 
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -134,7 +134,7 @@
 
 Json Agent::membersJson(Instant now) const {
   Json members = Json::array();
-  for (const NewsItem& item : core_->live(now)) {
+  for (const GossipItem& item : core_->live(now)) {
     members.push_back({{"cohort", item.source.value},
                        {"callers", item.proxyAddress},
                        {"zone", item.zone},
--- a/src/agent/view.cpp
+++ b/src/agent/view.cpp
@@ -6,8 +6,8 @@
     const ProxyView& before, const Snapshot& told, Instant askedAt,
     const std::function<absl::StatusOr<Configuration>(const std::string&)>& readConfiguration) {
   ProxyView next = before;
-  const auto since = [&](std::int64_t agoMicros) {
-    return agoMicros < 0 ? Instant{} : askedAt - std::chrono::microseconds(agoMicros);
+  const auto since = [&](std::int64_t ageMicros) {
+    return ageMicros < 0 ? Instant{} : askedAt - std::chrono::microseconds(ageMicros);
   };
   if (told.configurationVersion != before.configurationVersion && !told.configurationBody.empty()) {
     auto parsed = readConfiguration(told.configurationBody);
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -47,8 +47,8 @@
   // field.
   std::function<absl::StatusOr<Configuration>(const std::string& body)> readConfiguration;
   // The platform's whole list, all of its pages. `calls` is raised by the calls it took.
-  std::function<awaitable<absl::StatusOr<std::vector<ListRow>>>(Address platform, Address from,
-                                                                Duration due, std::size_t* calls)>
+  std::function<awaitable<absl::StatusOr<std::vector<ListedServer>>>(
+      Address platform, Address from, Duration due, std::size_t* calls)>
       readList;
   // One server's own word about itself; empty where the list tells all.
   std::function<awaitable<absl::StatusOr<ServerState>>(Address server, Duration due)> readServer;
--- a/src/dialect/own.cpp
+++ b/src/dialect/own.cpp
@@ -5,8 +5,8 @@
 namespace quayrill {
 
 namespace {
-awaitable<absl::StatusOr<std::vector<ListRow>>> readOwnList(Address platform, Address from,
-                                                            Duration due, std::size_t* calls) {
+awaitable<absl::StatusOr<std::vector<ListedServer>>> readOwnList(Address platform, Address from,
+                                                                 Duration due, std::size_t* calls) {
   ++*calls;
   co_return co_await readPlatformList(platform, from, due);
 }
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -122,15 +122,15 @@
   return true;
 }
 
-awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
-                                                                 Duration due) {
+awaitable<absl::StatusOr<std::vector<ListedServer>>> readPlatformList(Address platform,
+                                                                      Address from, Duration due) {
   HttpCall call = callTo(platform, http::verb::get, "/servers", due);
   call.from = from;
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
   if (!json.ok()) co_return json.status();
   try {
-    std::vector<ListRow> servers;
+    std::vector<ListedServer> servers;
     for (const auto& row : json->at("servers")) {
       servers.push_back({ServerName{row.at("name").get<std::string>()},
                          row.at("zone").get<std::string>(), row.at("state") != "live"});
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -48,8 +48,8 @@
 bool isEndMark(const std::string& line, std::uint64_t* pieces);
 
 // GET /servers of the platform, from this machine's own address.
-awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
-                                                                 Duration due);
+awaitable<absl::StatusOr<std::vector<ListedServer>>> readPlatformList(Address platform,
+                                                                      Address from, Duration due);
 
 // GET /kept of the store: how many tokens of the prefix it keeps under that salt and weights.
 awaitable<absl::StatusOr<std::size_t>> readKept(Address store, Address from, ModelName model,
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -72,16 +72,16 @@
 };
 
 // One version per source: (incarnation, counter). Only the source itself raises it.
-struct NewsVersion {
+struct GossipVersion {
   Incarnation incarnation;
   std::uint64_t counter = 0;
-  auto operator<=>(const NewsVersion&) const = default;
+  auto operator<=>(const GossipVersion&) const = default;
   QUAYRILL_FIELDS(incarnation, counter)
 };
 
-struct NewsItem {
+struct GossipItem {
   Address source;
-  NewsVersion version;
+  GossipVersion version;
   std::uint64_t nonce = 0;  // tells two lives of one address apart
   std::string zone;
   StoreId store;  // 0: holds no replica and wants none
@@ -93,7 +93,7 @@
                   fleet)
 };
 
-using NewsVector = std::vector<std::pair<Address, NewsVersion>>;
+using GossipDigest = std::vector<std::pair<Address, GossipVersion>>;
 
 struct Probe {
   std::uint64_t sequence = 0;
@@ -114,11 +114,11 @@
   QUAYRILL_FIELDS(entries)
 };
 struct NewsAsk {
-  NewsVector known;
+  GossipDigest known;
   QUAYRILL_FIELDS(known)
 };
 struct NewsAnswer {
-  std::vector<NewsItem> items;
+  std::vector<GossipItem> items;
   QUAYRILL_FIELDS(items)
 };
 
@@ -206,7 +206,7 @@
 };
 
 // One server as the platform lists it.
-struct ListRow {
+struct ListedServer {
   ServerName name;
   std::string zone;
   bool leaving = false;
@@ -217,34 +217,34 @@
   ModelName model{};
   WeightsVersion weights{};
   std::uint32_t slots = 1;
-  bool operator==(const ListRow&) const = default;
+  bool operator==(const ListedServer&) const = default;
   QUAYRILL_FIELDS(name, zone, leaving, told, identity, service, model, weights, slots)
 };
 // Asks for a newer reading of the list than the asker's own. It is kept until there is one.
 struct ListAsk {
   std::uint64_t sequence = 0;
   std::uint64_t knownDigest = 0;     // of the rows that the asker has; 0: none
-  std::int64_t knownAgoMicros = -1;  // since that reading began; -1: none
-  QUAYRILL_FIELDS(sequence, knownDigest, knownAgoMicros)
+  std::int64_t knownAgeMicros = -1;  // since that reading began; -1: none
+  QUAYRILL_FIELDS(sequence, knownDigest, knownAgeMicros)
 };
-// Weights that were the newest of their model agoMicros ago at the latest, and are no more.
+// Weights that were the newest of their model ageMicros ago at the latest, and are no more.
 struct SupersededWeights {
   ModelName model;
   WeightsVersion weights;
-  std::int64_t agoMicros = 0;
+  std::int64_t ageMicros = 0;
   bool operator==(const SupersededWeights&) const = default;
-  QUAYRILL_FIELDS(model, weights, agoMicros)
+  QUAYRILL_FIELDS(model, weights, ageMicros)
 };
 // Spans are of the answering daemon's clock. No rows: they are those of the digest that was asked
 // with.
 struct ListAnswer {
   std::uint64_t sequence = 0;
   std::int64_t heldMicros = 0;  // that the question was kept
-  std::int64_t agoMicros = 0;   // since the reading began
+  std::int64_t ageMicros = 0;   // since the reading began
   std::uint64_t digest = 0;     // of the reading's rows
-  std::vector<ListRow> rows;
+  std::vector<ListedServer> rows;
   std::vector<SupersededWeights> superseded;
-  QUAYRILL_FIELDS(sequence, heldMicros, agoMicros, digest, rows, superseded)
+  QUAYRILL_FIELDS(sequence, heldMicros, ageMicros, digest, rows, superseded)
 };
 // Who orders weights tells all daemons at once what it knows of a server. Notes of one server are
 // ordered by (fence, sequence).
@@ -306,10 +306,10 @@
 // the aggregators of the other zones, and the fleet's to the daemons of its zone.
 struct PlaneDigest {
   std::string zone;            // "": of the fleet
-  std::int64_t agoMicros = 0;  // since the rows of `outstanding` were told, on average
+  std::int64_t ageMicros = 0;  // since the rows of `outstanding` were told, on average
   std::vector<OutstandingRow> outstanding;
   std::vector<PartEventBatch> batches;
-  QUAYRILL_FIELDS(zone, agoMicros, outstanding, batches)
+  QUAYRILL_FIELDS(zone, ageMicros, outstanding, batches)
 };
 
 // Type and printed name. A message is identified on the wire by its position in this table.
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -22,7 +22,7 @@
       std::vector<ServerOutstanding> fleet;
       for (const OutstandingRow& row : digest.outstanding)
         fleet.push_back({row.server, {row.requests, row.unreadTokens}});
-      placement_.noteFleet(fleet, toldAt - std::chrono::microseconds(digest.agoMicros));
+      placement_.noteFleet(fleet, toldAt - std::chrono::microseconds(digest.ageMicros));
     }
     for (const PartEventBatch& batch : digest.batches) takeBatch(batch);
   });
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -25,9 +25,9 @@
   }
   return found;
 }
-NewsItem newsOf(const Address& source, std::uint64_t incarnation, std::uint64_t counter,
-                std::uint64_t nonce = 7) {
-  NewsItem item;
+GossipItem newsOf(const Address& source, std::uint64_t incarnation, std::uint64_t counter,
+                  std::uint64_t nonce = 7) {
+  GossipItem item;
   item.source = source;
   item.version = {Incarnation{incarnation}, counter};
   item.nonce = nonce;
@@ -117,7 +117,7 @@
   ask.known = {{member(2), {Incarnation{1}, 5}}, {member(3), {Incarnation{1}, 99}}};
   const auto answer = news.answer(ask);
   std::set<Address> sources;
-  for (const NewsItem& item : answer.items) sources.insert(item.source);
+  for (const GossipItem& item : answer.items) sources.insert(item.source);
   CHECK(sources == std::set<Address>{kSelf, member(3)});
 }
 
@@ -126,7 +126,7 @@
   news.beat(Instant{1s});
   news.take({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
   const auto own = news.item(kSelf);
-  CHECK(own->version > NewsVersion{Incarnation{3}, 400});
+  CHECK(own->version > GossipVersion{Incarnation{3}, 400});
   CHECK(own->nonce == 2);
 }
 
@@ -280,7 +280,7 @@
   ServerList own({member(1), 1s, 50}), other({member(2), 1s, 50});
   const ListPeers peers{{member(2), member(1)}, 2};
   Instant now{100s};
-  const std::vector<ListRow> old{{ServerName{"a"}, "z", false}},
+  const std::vector<ListedServer> old{{ServerName{"a"}, "z", false}},
       fresh{{ServerName{"a"}, "z", true}};
   std::vector<Envelope> sends;
   own.take(old, now, 1, now, &sends);
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -202,7 +202,7 @@
     auto news = std::make_unique<News>(Address{"10.0.0.1:7100"}, 1);
     NewsAnswer answer;
     for (std::size_t i = 1; i < count; ++i) {
-      NewsItem item;
+      GossipItem item;
       item.source =
           Address{"10.1." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7100"};
       item.version.counter = 1;
--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kMegabyte = 1 << 20;
 
 Envelope bodyFor(const std::string& to, std::size_t bytes) {
-  NewsItem item;
+  GossipItem item;
   item.zone = std::string(bytes, 'z');
   return {Address{"127.9.9.1:7100"}, Address{to}, NewsAnswer{{item}}};
 }
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -10,8 +10,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-NewsItem daemonAt(const std::string& address, const std::string& zone, bool hasPlane) {
-  NewsItem item;
+GossipItem daemonAt(const std::string& address, const std::string& zone, bool hasPlane) {
+  GossipItem item;
   item.source = Address{address};
   item.zone = zone;
   item.proxyAddress = hasPlane ? address + "0" : "";
@@ -29,7 +29,7 @@
 
 // Two zones of three edges each; the first zone has a daemon without a data plane besides.
 struct Fleet {
-  std::vector<NewsItem> live;
+  std::vector<GossipItem> live;
   std::map<Address, PlaneExchange> exchanges;
   std::set<Address> dead;  // they neither send nor get anything
   std::map<Address, std::vector<PlaneDigest>> told;
@@ -41,7 +41,7 @@
             daemonAt("n2", "north", true),    daemonAt("n3", "north", true),
             daemonAt("s1", "south", true),    daemonAt("s2", "south", true),
             daemonAt("s3", "south", true)};
-    for (const NewsItem& item : live)
+    for (const GossipItem& item : live)
       exchanges.emplace(item.source, PlaneExchange(item.source, item.zone));
   }
   PlaneExchange& at(const std::string& address) { return exchanges.at(Address{address}); }
@@ -68,7 +68,7 @@
   // Each live edge has `requests` at one server, and reports it in each round.
   void reportedRounds(int rounds, std::uint32_t requests) {
     for (int i = 0; i < rounds; ++i) {
-      for (const NewsItem& item : live) {
+      for (const GossipItem& item : live) {
         if (!item.proxyAddress.empty() && !dead.contains(item.source))
           at(item.source.value).takeOwn({{{ServerName{"m"}, requests, 100}}, {}});
       }
@@ -97,7 +97,7 @@
   const Address south = aggregatorOf("south", fleet.live);
   CHECK(south.value.front() == 's');
   CHECK(aggregatorOf("west", fleet.live) == Address{});
-  for (NewsItem& item : fleet.live) item.leaving = item.source == south;
+  for (GossipItem& item : fleet.live) item.leaving = item.source == south;
   CHECK(aggregatorOf("south", fleet.live) != south);
 }
 
@@ -108,8 +108,8 @@
     CHECK(fleet.lastTold(edge) == 12);
     const PlaneDigest& last = fleet.told[Address{edge}].back();
     CHECK(last.outstanding.front().unreadTokens == 600);
-    CHECK(last.agoMicros >= 0);
-    CHECK(last.agoMicros <= 1200000);
+    CHECK(last.ageMicros >= 0);
+    CHECK(last.ageMicros <= 1200000);
   }
   CHECK(fleet.told[Address{"core"}].empty());
 }
@@ -144,7 +144,7 @@
   fleet.reportedRounds(6, 1);
   CHECK(fleet.told[Address{"n1"}].size() == before);  // nothing old is told again
   CHECK(fleet.lastTold("s1") == 3);                   // the south alone
-  std::erase_if(fleet.live, [](const NewsItem& item) { return item.source.value == "core"; });
+  std::erase_if(fleet.live, [](const GossipItem& item) { return item.source.value == "core"; });
   fleet.reportedRounds(6, 1);
   for (const char* edge : {"n1", "s1"}) CHECK(fleet.lastTold(edge) == 6);
 }
@@ -183,7 +183,7 @@
                                                             : i % 3 == 1 ? "south"
                                                                          : "west"});
   std::map<ServerName, std::vector<std::string>> readers;
-  for (const NewsItem& item : fleet.live) {
+  for (const GossipItem& item : fleet.live) {
     for (const ServerName& source : sourcesOf(item.source, fleet.live, sources))
       readers[source].push_back(item.source.value);
   }
@@ -202,8 +202,8 @@
                                          {ServerName{"m2"}, "south"},
                                          {ServerName{"m3"}, "south"},
                                          {ServerName{"m4"}, "south"}};
-  for (NewsItem& item : fleet.live) item.leaving = item.source.value == "s1";
-  std::erase_if(fleet.live, [](const NewsItem& item) { return item.source.value == "s2"; });
+  for (GossipItem& item : fleet.live) item.leaving = item.source.value == "s1";
+  std::erase_if(fleet.live, [](const GossipItem& item) { return item.source.value == "s2"; });
   CHECK(sourcesOf(Address{"s3"}, fleet.live, sources).size() == 4);
   CHECK(sourcesOf(Address{"s1"}, fleet.live, sources).empty());
 }
--- a/tests/platform_servers_tests.cpp
+++ b/tests/platform_servers_tests.cpp
@@ -28,7 +28,7 @@
   REQUIRE(read.ok());
   CHECK(read->next == "p-50");
   REQUIRE(read->rows.size() == 1);
-  const ListRow& row = read->rows[0];
+  const ListedServer& row = read->rows[0];
   CHECK(row.name == ServerName{"10.128.0.9:8080"});
   CHECK(row.zone == "oriente");
   CHECK(row.told);
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -16,10 +16,10 @@
 
 Address daemon(std::size_t number) { return Address{"10.0.0." + std::to_string(number) + ":7"}; }
 
-std::vector<ListRow> rowsOf(int version) {
-  std::vector<ListRow> rows;
+std::vector<ListedServer> rowsOf(int version) {
+  std::vector<ListedServer> rows;
   for (int i = 0; i < 18; ++i) {
-    ListRow row{ServerName{"10.9.0." + std::to_string(10 + i) + ":1"}, "z"};  // sorted
+    ListedServer row{ServerName{"10.9.0." + std::to_string(10 + i) + ":1"}, "z"};  // sorted
     row.identity = ServerIdentity{"i-" + std::to_string(i == 0 ? version : 0)};
     rows.push_back(row);
   }
@@ -116,12 +116,12 @@
   void run(Duration span) {
     for (const Instant until = now + span; now < until;) step();
   }
-  bool allKnow(const std::vector<ListRow>& rows) const {
+  bool allKnow(const std::vector<ListedServer>& rows) const {
     return std::all_of(nodes.begin(), nodes.end(), [&](const Node& node) {
       return !node.up || node.alone || node.list.rows() == rows;
     });
   }
-  Duration untilAllKnow(const std::vector<ListRow>& rows, Duration limit) {
+  Duration untilAllKnow(const std::vector<ListedServer>& rows, Duration limit) {
     const Instant begun = now;
     while (!allKnow(rows) && now - begun < limit) step();
     return now - begun;
@@ -151,7 +151,7 @@
   Duration cutFor{};
   std::vector<Node> nodes;
   std::vector<Flight> flights;
-  std::vector<ListRow> content = rowsOf(1);
+  std::vector<ListedServer> content = rowsOf(1);
   std::function<bool(std::size_t, std::size_t)> loses;
   std::vector<Instant> calls;
   Instant lastReading{};
