--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -111,7 +111,7 @@
   ReplicaEffects made;
   if (prepared) made = replica_->onPrepare(*prepared);
   if (accepted) made = replica_->onAccept(*accepted);
-  if (const auto* confirm = std::get_if<Confirm>(&envelope.body))
+  if (const auto* confirm = std::get_if<ConfirmRequest>(&envelope.body))
     made = replica_->onConfirm(*confirm);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
@@ -123,15 +123,15 @@
 
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
   std::vector<ChangeDone> done;
-  if (const auto* ask = std::get_if<NewsAsk>(&envelope.body)) {
+  if (const auto* ask = std::get_if<GossipRequest>(&envelope.body)) {
     effects->sends.push_back({settings_.self, envelope.from, news_.answer(*ask)});
-  } else if (const auto* answer = std::get_if<NewsAnswer>(&envelope.body)) {
+  } else if (const auto* answer = std::get_if<GossipResponse>(&envelope.body)) {
     news_.take(*answer, now);
-  } else if (const auto* listAsk = std::get_if<ListAsk>(&envelope.body)) {
+  } else if (const auto* listAsk = std::get_if<ServerListRequest>(&envelope.body)) {
     std::vector<Envelope> sends;
     list_.onAsk(envelope.from, *listAsk, now, &sends);
     sendListAnswers(std::move(sends), now, effects);
-  } else if (const auto* told = std::get_if<ListAnswer>(&envelope.body)) {
+  } else if (const auto* told = std::get_if<ServerListResponse>(&envelope.body)) {
     std::vector<Envelope> sends;
     if (const auto toldAt = list_.onAnswer(*told, now, &sends))
       weights_.take(told->superseded, *toldAt);
@@ -142,20 +142,20 @@
     exchange_.onReport(envelope.from, *report, now);
   } else if (const auto* digest = std::get_if<PlaneDigest>(&envelope.body)) {
     exchange_.onDigest(*digest, now);
-  } else if (const auto* replicaAnswer = std::get_if<ReplicaAnswer>(&envelope.body)) {
+  } else if (const auto* replicaAnswer = std::get_if<ReplicaResponse>(&envelope.body)) {
     sendAll(proposer_.onAnswer(*replicaAnswer, now, &done), effects);
     adopt(replicaAnswer->replicas, now, effects);
-  } else if (const auto* confirmed = std::get_if<ConfirmAnswer>(&envelope.body)) {
+  } else if (const auto* confirmed = std::get_if<ConfirmResponse>(&envelope.body)) {
     noteContact(envelope.from, *confirmed, now);
     freshness_.onAnswer(*confirmed, now);
     sendAll(freshness_.widen(now), effects);
     keepReplicaSet(effects);
   } else if (std::holds_alternative<Prepare>(envelope.body) ||
              std::holds_alternative<Accept>(envelope.body) ||
-             std::holds_alternative<Confirm>(envelope.body)) {
+             std::holds_alternative<ConfirmRequest>(envelope.body)) {
     handleReplica(envelope, now, effects);
-  } else if (std::holds_alternative<FoundAsk>(envelope.body) ||
-             std::holds_alternative<FoundAnswer>(envelope.body)) {
+  } else if (std::holds_alternative<FoundingRequest>(envelope.body) ||
+             std::holds_alternative<FoundingResponse>(envelope.body)) {
     handleFounding(envelope, now, effects);
   } else {
     membership_.onMessage(envelope, now, &effects->sends);
@@ -268,7 +268,7 @@
 
 void AgentCore::sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects) {
   for (Envelope& envelope : sends) {
-    if (auto* answer = std::get_if<ListAnswer>(&envelope.body))
+    if (auto* answer = std::get_if<ServerListResponse>(&envelope.body))
       answer->superseded = weights_.tell(now);
     effects->sends.push_back(std::move(envelope));
   }
@@ -348,7 +348,7 @@
     if (item.store.value != 0) holders.insert(item.source);
   }
   holders.erase(settings_.self);
-  const NewsAnswer told{{*news_.item(settings_.self)}};
+  const GossipResponse told{{*news_.item(settings_.self)}};
   for (const Address& holder : holders) effects->sends.push_back({settings_.self, holder, told});
 }
 
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -142,7 +142,8 @@
   void handleReplica(const Envelope& envelope, Instant now, AgentEffects* effects);
   void handleFounding(const Envelope& envelope, Instant now, AgentEffects* effects);
   // Answers what a seed was asked; a grant is on the disk before its answer leaves.
-  void answerFounder(const Address& from, const FoundAsk& ask, Instant now, AgentEffects* effects);
+  void answerFounder(const Address& from, const FoundingRequest& ask, Instant now,
+                     AgentEffects* effects);
   bool isFounder(Instant now) const;
   // Founding needs the grants of all seeds, so that any two founders ask one machine in common.
   // Lists that changed in between hold to this only while each keeps most of the first one.
@@ -156,7 +157,7 @@
   void tickConfirm(Instant now, AgentEffects* effects);
   void tickReplicas(Instant now, AgentEffects* effects);
   void tickEpoch(Instant now, AgentEffects* effects);
-  void noteContact(const Address& from, const ConfirmAnswer& answer, Instant now);
+  void noteContact(const Address& from, const ConfirmResponse& answer, Instant now);
   bool isInTouch(StoreId store, Instant now) const;
   // Gone for certain, or silent for `span`.
   bool isLost(const ReplicaMember& member, Duration span, Instant now) const;
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -34,15 +34,15 @@
   grant_ = {kept.to, kept.fleet, Instant::max()};
 }
 
-void AgentCore::answerFounder(const Address& from, const FoundAsk& ask, Instant now,
+void AgentCore::answerFounder(const Address& from, const FoundingRequest& ask, Instant now,
                               AgentEffects* effects) {
   const bool free = grant_.fleet == 0 || now >= grant_.until || grant_.to == from;
   const bool unfounded = replica_ && replica_->isVoting() &&
                          freshness_.replicas().epoch.value == 0 && (free || ask.fleet == 0);
   const Envelope answer{
       settings_.self, from,
-      FoundAnswer{ask.nonce, unfounded, settings_.mayFound,
-                  replica_ ? replica_->store() : StoreId{}, freshness_.replicas()}};
+      FoundingResponse{ask.nonce, unfounded, settings_.mayFound,
+                       replica_ ? replica_->store() : StoreId{}, freshness_.replicas()}};
   if (!unfounded || ask.fleet == 0) {
     effects->sends.push_back(answer);
     return;
@@ -64,9 +64,9 @@
 
 // An empty machine whose seeds know a fleet learns it here and joins; it never founds another.
 void AgentCore::handleFounding(const Envelope& envelope, Instant now, AgentEffects* effects) {
-  if (const auto* ask = std::get_if<FoundAsk>(&envelope.body))
+  if (const auto* ask = std::get_if<FoundingRequest>(&envelope.body))
     return answerFounder(envelope.from, *ask, now, effects);
-  const auto& answer = std::get<FoundAnswer>(envelope.body);
+  const auto& answer = std::get<FoundingResponse>(envelope.body);
   adopt(answer.replicas, now, effects);
   const auto round = foundingRounds_.find(answer.nonce);
   if (!replica_ || !answer.unfounded || round == foundingRounds_.end()) return;
@@ -133,10 +133,10 @@
                                            ? Address{}
                                            : settings_.seeds[random_() % settings_.seeds.size()]}) {
     if (known == Address{} || known == settings_.self) continue;
-    effects->sends.push_back({settings_.self, known, FoundAsk{0, 0}});
+    effects->sends.push_back({settings_.self, known, FoundingRequest{0, 0}});
     // Seeds that lost their disks all at once must not take the fleet for unfounded.
     effects->sends.push_back(
-        {settings_.self, known, FoundAnswer{0, false, false, {}, freshness_.replicas()}});
+        {settings_.self, known, FoundingResponse{0, false, false, {}, freshness_.replicas()}});
   }
 }
 
@@ -156,7 +156,8 @@
   foundingRounds_[nonce] = {now, wantsGrant};
   for (const Address& seed : settings_.seeds) {
     if (seed != settings_.self)
-      effects->sends.push_back({settings_.self, seed, FoundAsk{nonce, wantsGrant ? ownFleet_ : 0}});
+      effects->sends.push_back(
+          {settings_.self, seed, FoundingRequest{nonce, wantsGrant ? ownFleet_ : 0}});
   }
   foundWhenGranted(now, effects);
 }
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kSlowest = 2s;
 constexpr Duration kBodyEvery = 1s;  // ours: a body may take as long on a slow link
 
-bool isWithoutBody(const ConfirmAnswer& answer, const RegisterKey& key) {
+bool isWithoutBody(const ConfirmResponse& answer, const RegisterKey& key) {
   return std::find(answer.withoutBody.begin(), answer.withoutBody.end(), key) !=
          answer.withoutBody.end();
 }
@@ -22,7 +22,7 @@
   return left.version == right.version && left.writeId == right.writeId;
 }
 
-const ConfirmedKey* find(const ConfirmAnswer& answer, const RegisterKey& key) {
+const ConfirmedKey* find(const ConfirmResponse& answer, const RegisterKey& key) {
   for (const ConfirmedKey& held : answer.keys) {
     if (held.key == key) return &held;
   }
@@ -50,7 +50,7 @@
   }
 }
 
-Confirm Freshness::question(StoreId store, bool wantsKeys) const {
+ConfirmRequest Freshness::question(StoreId store, bool wantsKeys) const {
   return {sequence_,
           store,
           {{kReplicaSetKey, replicaSetValue_.ballot}, {kConfigurationKey, configuration_.ballot}},
@@ -130,7 +130,7 @@
 
 // What a replica accepted, with the body that its answer left out where that is known here.
 std::optional<RegisterValue> Freshness::wholeValue(const RegisterKey& key,
-                                                   const ConfirmAnswer& answer,
+                                                   const ConfirmResponse& answer,
                                                    const ConfirmedKey& held,
                                                    const ChosenValue& chosen) const {
   if (!isWithoutBody(answer, key)) return held.value;
@@ -144,7 +144,7 @@
   return value;
 }
 
-void Freshness::keepBodies(const ConfirmAnswer& answer) {
+void Freshness::keepBodies(const ConfirmResponse& answer) {
   const ConfirmedKey* held = find(answer, kConfigurationKey);
   if (!held || isWithoutBody(answer, kConfigurationKey)) return;
   if (held->acceptedAt > body_.ballot && held->value.version > 0)
@@ -162,13 +162,13 @@
   bodyHolders_.clear();
   for (const ReplicaMember& member : replicas_.members) {
     if (member.store != chosen) continue;
-    Confirm asked = question(member.store, false);
+    ConfirmRequest asked = question(member.store, false);
     asked.wantsBodies = true;
     sends->emplace_back(member, asked);
   }
 }
 
-void Freshness::onAnswer(const ConfirmAnswer& answer, Instant now) {
+void Freshness::onAnswer(const ConfirmResponse& answer, Instant now) {
   adopt(answer.replicas);
   const bool isMember =
       std::any_of(replicas_.members.begin(), replicas_.members.end(),
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -37,8 +37,8 @@
   // The rest of the newest round's replicas, once an answer is overdue or shows something newer,
   // and one replica for a body that is lacking.
   Sends widen(Instant now);
-  Confirm question(StoreId store, bool wantsKeys) const;
-  void onAnswer(const ConfirmAnswer& answer, Instant now);
+  ConfirmRequest question(StoreId store, bool wantsKeys) const;
+  void onAnswer(const ConfirmResponse& answer, Instant now);
   // A value that a round of this daemon's own proposer proved chosen.
   void learnChosen(const RegisterKey& key, const ChosenValue& chosen);
   // The key that needs a read to settle it, once it has stayed unsettled for a while.
@@ -47,16 +47,16 @@
  private:
   struct Round {
     Instant sentAt;
-    std::map<StoreId, ConfirmAnswer> answers;  // of members, under this epoch
+    std::map<StoreId, ConfirmResponse> answers;  // of members, under this epoch
     std::set<StoreId> asked;
     bool wantsKeys = false;
     bool unsettled = false;  // an answer shows something newer
     bool confirmed = false;
   };
-  std::optional<RegisterValue> wholeValue(const RegisterKey& key, const ConfirmAnswer& answer,
+  std::optional<RegisterValue> wholeValue(const RegisterKey& key, const ConfirmResponse& answer,
                                           const ConfirmedKey& held,
                                           const ChosenValue& chosen) const;
-  void keepBodies(const ConfirmAnswer& answer);
+  void keepBodies(const ConfirmResponse& answer);
   void askBody(Instant now, Sends* sends);
   enum class Verdict { Current, Unsettled };
   Verdict judge(const Round& round, const RegisterKey& key, ChosenValue* chosen);
--- a/src/agent/core/membership.cpp
+++ b/src/agent/core/membership.cpp
@@ -73,7 +73,7 @@
   const auto shuffleWith = [&](const Address& neighbour) {
     std::vector<ViewEntry> entries = sample(kShuffleSize - 1);
     entries.push_back({self_, 0});
-    sends->push_back({self_, neighbour, ShuffleAsk{entries}});
+    sends->push_back({self_, neighbour, ShuffleRequest{entries}});
   };
   if (now >= nextShuffle_ && !view_.empty()) {
     nextShuffle_ = now + 1s;
@@ -116,24 +116,24 @@
 void Membership::onMessage(const Envelope& envelope, Instant now, std::vector<Envelope>* sends) {
   if (const auto* probe = std::get_if<Probe>(&envelope.body)) {
     if (probe->subject == self_) {
-      sends->push_back({self_, envelope.from, ProbeAnswer{probe->sequence, self_}});
+      sends->push_back({self_, envelope.from, ProbeResponse{probe->sequence, self_}});
     } else if (relays_.size() < kRelayLimit) {
       relays_[++sequence_] = {envelope.from, probe->sequence, now + 1s};
       sends->push_back({self_, probe->subject, Probe{sequence_, probe->subject}});
     }
     learn(envelope.from, 0);
-  } else if (const auto* answer = std::get_if<ProbeAnswer>(&envelope.body)) {
+  } else if (const auto* answer = std::get_if<ProbeResponse>(&envelope.body)) {
     if (const auto relay = relays_.find(answer->sequence); relay != relays_.end()) {
-      sends->push_back(
-          {self_, relay->second.asker, ProbeAnswer{relay->second.askerSequence, answer->subject}});
+      sends->push_back({self_, relay->second.asker,
+                        ProbeResponse{relay->second.askerSequence, answer->subject}});
       relays_.erase(relay);
     } else if (probes_.erase(answer->sequence) > 0) {
       learn(answer->subject, 0);
     }
-  } else if (const auto* ask = std::get_if<ShuffleAsk>(&envelope.body)) {
-    sends->push_back({self_, envelope.from, ShuffleAnswer{sample(kShuffleSize)}});
+  } else if (const auto* ask = std::get_if<ShuffleRequest>(&envelope.body)) {
+    sends->push_back({self_, envelope.from, ShuffleResponse{sample(kShuffleSize)}});
     for (const ViewEntry& entry : ask->entries) learn(entry.address, entry.age);
-  } else if (const auto* shuffled = std::get_if<ShuffleAnswer>(&envelope.body)) {
+  } else if (const auto* shuffled = std::get_if<ShuffleResponse>(&envelope.body)) {
     learn(envelope.from, 0);
     for (const ViewEntry& entry : shuffled->entries) learn(entry.address, entry.age + 1);
   }
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/news.cpp
@@ -37,16 +37,16 @@
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
 
-NewsAsk News::ask() const {
-  NewsAsk ask;
+GossipRequest News::ask() const {
+  GossipRequest ask;
   ask.known.emplace_back(self_, own_.version);
   for (const auto& [source, row] : rows_) ask.known.emplace_back(source, row.item.version);
   return ask;
 }
 
-NewsAnswer News::answer(const NewsAsk& ask) {
+GossipResponse News::answer(const GossipRequest& ask) {
   std::map<Address, GossipVersion> known(ask.known.begin(), ask.known.end());
-  NewsAnswer answer;
+  GossipResponse answer;
   if (const auto mine = known.find(self_); mine != known.end()) meetOwn(mine->second);
   if (own_.version > known[self_]) answer.items.push_back(own_);
   for (const auto& [source, row] : rows_) {
@@ -55,7 +55,7 @@
   return answer;
 }
 
-void News::take(const NewsAnswer& answer, Instant now) {
+void News::take(const GossipResponse& answer, Instant now) {
   for (const GossipItem& item : answer.items) {
     if (item.source == self_) {
       if (item.nonce != own_.nonce) meetOwn(item.version);
--- a/src/agent/core/news.h
+++ b/src/agent/core/news.h
@@ -17,9 +17,9 @@
   // The own item's fields but for its version, which only this class moves.
   void describeSelf(const GossipItem& item);
   void beat(Instant now);
-  NewsAsk ask() const;
-  NewsAnswer answer(const NewsAsk& ask);
-  void take(const NewsAnswer& answer, Instant now);
+  GossipRequest ask() const;
+  GossipResponse answer(const GossipRequest& ask);
+  void take(const GossipResponse& answer, Instant now);
 
   std::vector<GossipItem> live(Instant now) const;  // sorted by address, self always in
   bool isLive(const Address& source, Instant now) const;
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -29,7 +29,7 @@
 }
 Duration AgentCore::silentAloneSpan() const { return kSilentAloneSpan; }
 
-void AgentCore::noteContact(const Address& from, const ConfirmAnswer& answer, Instant now) {
+void AgentCore::noteContact(const Address& from, const ConfirmResponse& answer, Instant now) {
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
   Contact& contact = row->second;
   if (isNew) contact.steadySince = now;
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -37,7 +37,7 @@
   while (asked_.size() > kAsked) asked_.erase(asked_.begin());
   const std::int64_t ago =
       readAt_ ? std::chrono::duration_cast<std::chrono::microseconds>(now - *readAt_).count() : -1;
-  return {settings_.self, to, ListAsk{sequence_, digest_, ago}};
+  return {settings_.self, to, ServerListRequest{sequence_, digest_, ago}};
 }
 
 bool ServerList::onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends) {
@@ -101,7 +101,7 @@
 }
 
 // `sinceCame` is how long the question has been here, in which the asker's own reading aged too.
-bool ServerList::isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const {
+bool ServerList::isNewer(const ServerListRequest& ask, Duration sinceCame, Instant now) const {
   if (!readAt_) return false;
   if (ask.knownAgeMicros < 0) return true;
   const Duration theirs = std::chrono::microseconds(ask.knownAgeMicros) + sinceCame;
@@ -113,12 +113,12 @@
 Envelope ServerList::answer(const Address& to, const KeptAsk& kept, Instant now) const {
   const auto held = std::chrono::floor<std::chrono::microseconds>(now - kept.cameAt);
   const auto ago = std::chrono::ceil<std::chrono::microseconds>(now - *readAt_);
-  ListAnswer told{kept.ask.sequence, held.count(), ago.count(), digest_, {}, {}};
+  ServerListResponse told{kept.ask.sequence, held.count(), ago.count(), digest_, {}, {}};
   if (kept.ask.knownDigest != digest_) told.rows = rows_;
   return {settings_.self, to, std::move(told)};
 }
 
-void ServerList::onAsk(const Address& from, const ListAsk& ask, Instant now,
+void ServerList::onAsk(const Address& from, const ServerListRequest& ask, Instant now,
                        std::vector<Envelope>* sends) {
   if (isNewer(ask, Duration{}, now)) {
     kept_.erase(from);
@@ -139,7 +139,7 @@
   });
 }
 
-std::optional<Instant> ServerList::onAnswer(const ListAnswer& answer, Instant now,
+std::optional<Instant> ServerList::onAnswer(const ServerListResponse& answer, Instant now,
                                             std::vector<Envelope>* sends) {
   const auto asked = asked_.find(answer.sequence);
   if (asked == asked_.end() || answer.ageMicros < 0 || answer.heldMicros < 0) return std::nullopt;
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -41,9 +41,10 @@
             std::vector<Envelope>* sends);
   void onReadFailed(std::size_t calls, bool overRate, Instant now);
   // Answered at once where this daemon knows a newer reading, else kept until it does.
-  void onAsk(const Address& from, const ListAsk& ask, Instant now, std::vector<Envelope>* sends);
+  void onAsk(const Address& from, const ServerListRequest& ask, Instant now,
+             std::vector<Envelope>* sends);
   // When the answer was given, at the earliest; nullopt: it answers nothing that was asked.
-  std::optional<Instant> onAnswer(const ListAnswer& answer, Instant now,
+  std::optional<Instant> onAnswer(const ServerListResponse& answer, Instant now,
                                   std::vector<Envelope>* sends);
 
   const std::vector<ListedServer>& rows() const { return rows_; }
@@ -53,7 +54,7 @@
 
  private:
   struct KeptAsk {
-    ListAsk ask;
+    ServerListRequest ask;
     Instant cameAt;
   };
   struct SentAsk {
@@ -63,7 +64,7 @@
   // What must be overdue before this daemon reads.
   Duration patience(const ListPeers& peers) const;
   Duration overdue(Instant now) const;
-  bool isNewer(const ListAsk& ask, Duration sinceCame, Instant now) const;
+  bool isNewer(const ServerListRequest& ask, Duration sinceCame, Instant now) const;
   Envelope answer(const Address& to, const KeptAsk& kept, Instant now) const;
   bool replace(std::vector<ListedServer> rows, std::uint64_t digest, Instant readAt);
   void answerKept(Instant now, std::vector<Envelope>* sends);
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -91,7 +91,7 @@
   }
 }
 
-void Caller::answer(const ReplicaAnswer& answer, OrderSet acked, StepEffects* effects) {
+void Caller::answer(const ReplicaResponse& answer, OrderSet acked, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposer_.answer(answer, &done);
   known_.adopt(answer.replicas);
--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -20,7 +20,7 @@
   std::optional<std::size_t> nextOrder() const;
   // `acked`: the orders acknowledged so far, by whomever.
   void start(OrderSet acked, StepEffects* effects);
-  void answer(const ReplicaAnswer& answer, OrderSet acked, StepEffects* effects);
+  void answer(const ReplicaResponse& answer, OrderSet acked, StepEffects* effects);
   void passPhase(OrderSet acked, StepEffects* effects);
   void passDeadline(OrderSet acked, StepEffects* effects);
   // The daemon ends: the call gets no answer, and a new daemon sends the next one.
--- a/src/model/machine.cpp
+++ b/src/model/machine.cpp
@@ -15,7 +15,7 @@
   for (const DiskWrite& write : writes) disk_[write.key] = write.bytes;
 }
 
-std::optional<ReplicaAnswer> Machine::take(const Message& request) {
+std::optional<ReplicaResponse> Machine::take(const Message& request) {
   ReplicaEffects effects;
   if (const auto* prepare = std::get_if<Prepare>(&request)) {
     effects = replica_.onPrepare(*prepare);
@@ -27,7 +27,7 @@
   if (const auto* accept = std::get_if<Accept>(&request)) effects = replica_.onAccept(*accept);
   sync(effects.writes);
   if (!effects.answer) return std::nullopt;
-  return std::get<ReplicaAnswer>(*effects.answer);
+  return std::get<ReplicaResponse>(*effects.answer);
 }
 
 void Machine::adopt(const ReplicaSet& replicas) { sync(replica_.adopt(replicas)); }
@@ -46,23 +46,23 @@
 }
 
 ConfirmedKey Machine::accepted(const RegisterKey& key) const {
-  Confirm question;
+  ConfirmRequest question;
   question.store = replica_.store();
   question.known = {{key, Ballot{}}};
   question.wantsBodies = true;
   const ReplicaEffects effects = replica_.onConfirm(question);
   if (!effects.answer) return {key, {}, {}};
-  const auto& answer = std::get<ConfirmAnswer>(*effects.answer);
+  const auto& answer = std::get<ConfirmResponse>(*effects.answer);
   return answer.keys.empty() ? ConfirmedKey{key, {}, {}} : answer.keys.front();
 }
 
 std::vector<RegisterKey> Machine::keys() const {
-  Confirm question;
+  ConfirmRequest question;
   question.store = replica_.store();
   question.wantsKeys = true;
   const ReplicaEffects effects = replica_.onConfirm(question);
   if (!effects.answer) return {};
-  return std::get<ConfirmAnswer>(*effects.answer).allKeys;
+  return std::get<ConfirmResponse>(*effects.answer).allKeys;
 }
 
 std::string Machine::bytesButStore() const {
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -57,7 +57,7 @@
   }
 }
 
-void Mover::answer(const ReplicaAnswer& answer, StepEffects* effects) {
+void Mover::answer(const ReplicaResponse& answer, StepEffects* effects) {
   for (std::size_t i = 0; i < kProposers; ++i) {
     if (proposerOf(answer.operation) != proposerId(i)) continue;
     std::vector<ChangeDone> done;
--- a/src/model/mover.h
+++ b/src/model/mover.h
@@ -22,7 +22,7 @@
   // `listed` and `following` as EpochSweep asks for them.
   void step(const std::optional<std::vector<RegisterKey>>& listed,
             const std::optional<ReplicaSet>& following, StepEffects* effects);
-  void answer(const ReplicaAnswer& answer, StepEffects* effects);
+  void answer(const ReplicaResponse& answer, StepEffects* effects);
   void passPhase(std::size_t proposer, StepEffects* effects);
   void passDeadline(std::size_t proposer, StepEffects* effects);
   void die();
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -40,7 +40,7 @@
   return sends;
 }
 
-Sends TimedProposer::answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done) {
+Sends TimedProposer::answer(const ReplicaResponse& answer, std::vector<ChangeDone>* done) {
   Sends sends = proposer_.onAnswer(answer, clock_, done);
   note(sends);
   end(*done);
--- a/src/model/timed_proposer.h
+++ b/src/model/timed_proposer.h
@@ -21,7 +21,7 @@
 
   // The operation gets the next id of this proposer.
   Sends begin(ChangeAsked change, const ReplicaSet& replicas);
-  Sends answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done);
+  Sends answer(const ReplicaResponse& answer, std::vector<ChangeDone>* done);
   // The time of the present phase has passed, and the rest before the next round too.
   Sends passPhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
   void passDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -56,7 +56,7 @@
     std::string stateBytes() const;
   };
   struct Answer {
-    ReplicaAnswer body;
+    ReplicaResponse body;
     std::string stateBytes() const { return encodeValue(body); }
   };
   struct Text {
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -100,24 +100,24 @@
   Address subject;
   QUAYRILL_FIELDS(sequence, subject)
 };
-struct ProbeAnswer {
+struct ProbeResponse {
   std::uint64_t sequence = 0;
   Address subject;
   QUAYRILL_FIELDS(sequence, subject)
 };
-struct ShuffleAsk {
+struct ShuffleRequest {
   std::vector<ViewEntry> entries;
   QUAYRILL_FIELDS(entries)
 };
-struct ShuffleAnswer {
+struct ShuffleResponse {
   std::vector<ViewEntry> entries;
   QUAYRILL_FIELDS(entries)
 };
-struct NewsAsk {
+struct GossipRequest {
   GossipDigest known;
   QUAYRILL_FIELDS(known)
 };
-struct NewsAnswer {
+struct GossipResponse {
   std::vector<GossipItem> items;
   QUAYRILL_FIELDS(items)
 };
@@ -141,7 +141,7 @@
 };
 // Answers both rounds. granted: promised or accepted. Otherwise `promised` says what was in the
 // way and `copies` what epoch the replica is in.
-struct ReplicaAnswer {
+struct ReplicaResponse {
   OperationId operation;
   RegisterKey key;
   Ballot ballot;
@@ -157,7 +157,7 @@
 };
 // Asks a replica for what it accepted, without a round. Bodies come only for ballots above `known`,
 // and the replica set's members only where the asker's (epoch, fleet, settled) is another.
-struct Confirm {
+struct ConfirmRequest {
   std::uint64_t sequence = 0;
   StoreId store;
   std::vector<std::pair<RegisterKey, Ballot>> known;
@@ -177,7 +177,7 @@
 };
 // A store that is no member of its replica set, or that was asked under another store's name,
 // answers without keys: that tells who is there now, and vouches for nothing.
-struct ConfirmAnswer {
+struct ConfirmResponse {
   std::uint64_t sequence = 0;
   StoreId asked;  // the store that the question named
   StoreId store;  // the one that answers
@@ -189,14 +189,14 @@
   QUAYRILL_FIELDS(sequence, asked, store, replicas, keys, withoutBody, listsKeys, allKeys)
 };
 // fleet: the fleet that the asker would found; 0 where it only asks for one that exists.
-struct FoundAsk {
+struct FoundingRequest {
   std::uint64_t nonce = 0;
   std::uint64_t fleet = 0;
   QUAYRILL_FIELDS(nonce, fleet)
 };
 // unfounded is said only by a machine with a data folder that knows no fleet and has granted no
 // other founder; `store` is then its replica's. mayFound: it may found a fleet itself.
-struct FoundAnswer {
+struct FoundingResponse {
   std::uint64_t nonce = 0;
   bool unfounded = false;
   bool mayFound = false;
@@ -221,7 +221,7 @@
   QUAYRILL_FIELDS(name, zone, leaving, told, identity, service, model, weights, slots)
 };
 // Asks for a newer reading of the list than the asker's own. It is kept until there is one.
-struct ListAsk {
+struct ServerListRequest {
   std::uint64_t sequence = 0;
   std::uint64_t knownDigest = 0;     // of the rows that the asker has; 0: none
   std::int64_t knownAgeMicros = -1;  // since that reading began; -1: none
@@ -237,7 +237,7 @@
 };
 // Spans are of the answering daemon's clock. No rows: they are those of the digest that was asked
 // with.
-struct ListAnswer {
+struct ServerListResponse {
   std::uint64_t sequence = 0;
   std::int64_t heldMicros = 0;  // that the question was kept
   std::int64_t ageMicros = 0;   // since the reading began
@@ -316,20 +316,20 @@
 // clang-format off
 #define QUAYRILL_MESSAGES(X) \
   X(Probe, "Probe") \
-  X(ProbeAnswer, "ProbeAnswer") \
-  X(ShuffleAsk, "ShuffleAsk") \
-  X(ShuffleAnswer, "ShuffleAnswer") \
-  X(NewsAsk, "NewsAsk") \
-  X(NewsAnswer, "NewsAnswer") \
+  X(ProbeResponse, "ProbeAnswer") \
+  X(ShuffleRequest, "ShuffleAsk") \
+  X(ShuffleResponse, "ShuffleAnswer") \
+  X(GossipRequest, "NewsAsk") \
+  X(GossipResponse, "NewsAnswer") \
   X(Prepare, "Prepare") \
   X(Accept, "Accept") \
-  X(ReplicaAnswer, "ReplicaAnswer") \
-  X(Confirm, "Confirm") \
-  X(ConfirmAnswer, "ConfirmAnswer") \
-  X(FoundAsk, "FoundAsk") \
-  X(FoundAnswer, "FoundAnswer") \
-  X(ListAsk, "ListAsk") \
-  X(ListAnswer, "ListAnswer") \
+  X(ReplicaResponse, "ReplicaAnswer") \
+  X(ConfirmRequest, "Confirm") \
+  X(ConfirmResponse, "ConfirmAnswer") \
+  X(FoundingRequest, "FoundAsk") \
+  X(FoundingResponse, "FoundAnswer") \
+  X(ServerListRequest, "ListAsk") \
+  X(ServerListResponse, "ListAnswer") \
   X(ServerNote, "ServerNote") \
   X(PlaneReport, "PlaneReport") \
   X(PlaneDigest, "PlaneDigest")
--- a/src/register/proposer.cpp
+++ b/src/register/proposer.cpp
@@ -116,7 +116,7 @@
   operations_.erase(operation.change.operation);
 }
 
-Proposer::Sends Proposer::onAnswer(const ReplicaAnswer& answer, Instant now,
+Proposer::Sends Proposer::onAnswer(const ReplicaResponse& answer, Instant now,
                                    std::vector<ChangeDone>* done) {
   highestRound_ = std::max(highestRound_, answer.promised.round);
   if (answer.replicas.epoch > newestReplicas_.epoch) newestReplicas_ = answer.replicas;
--- a/src/register/proposer.h
+++ b/src/register/proposer.h
@@ -44,7 +44,8 @@
 
   std::vector<std::pair<ReplicaMember, Message>> begin(const ChangeAsked& change,
                                                        const ReplicaSet& replicas, Instant now);
-  std::vector<std::pair<ReplicaMember, Message>> onAnswer(const ReplicaAnswer& answer, Instant now,
+  std::vector<std::pair<ReplicaMember, Message>> onAnswer(const ReplicaResponse& answer,
+                                                          Instant now,
                                                           std::vector<ChangeDone>* done);
   std::vector<std::pair<ReplicaMember, Message>> onTick(const ReplicaSet& replicas, Instant now,
                                                         std::vector<ChangeDone>* done);
@@ -67,7 +68,7 @@
     ReplicaSet replicas;
     Ballot ballot;
     Phase phase = Phase::Preparing;
-    std::map<StoreId, ReplicaAnswer> granted;
+    std::map<StoreId, ReplicaResponse> granted;
     std::set<StoreId> turnedAway;
     RegisterValue proposal;
     bool acceptSent = false;
--- a/src/register/replica.cpp
+++ b/src/register/replica.cpp
@@ -95,9 +95,9 @@
   return bytes;
 }
 
-ReplicaAnswer RegisterReplica::answerTo(const OperationId& operation, const RegisterKey& key,
-                                        const Ballot& ballot, bool accepting) const {
-  ReplicaAnswer answer{operation, key, ballot, store_, accepting, false, {}, {}, {}, replicas_};
+ReplicaResponse RegisterReplica::answerTo(const OperationId& operation, const RegisterKey& key,
+                                          const Ballot& ballot, bool accepting) const {
+  ReplicaResponse answer{operation, key, ballot, store_, accepting, false, {}, {}, {}, replicas_};
   if (const auto slot = slots_.find(key); slot != slots_.end()) {
     answer.promised = slot->second.promised;
     answer.acceptedAt = slot->second.acceptedAt;
@@ -124,7 +124,7 @@
       slot.promised = message.ballot;
       effects.writes.push_back(slotWrite(message.key, slot));
     }
-    ReplicaAnswer answer = answerTo(message.operation, message.key, message.ballot, false);
+    ReplicaResponse answer = answerTo(message.operation, message.key, message.ballot, false);
     answer.granted = granted;
     effects.answer = answer;
   } else {
@@ -148,15 +148,15 @@
       effects.writes.push_back(slotWrite(message.key, slot));
     }
   }
-  ReplicaAnswer answer = answerTo(message.operation, message.key, message.ballot, true);
+  ReplicaResponse answer = answerTo(message.operation, message.key, message.ballot, true);
   answer.granted = granted;
   effects.answer = answer;
   return effects;
 }
 
-ReplicaEffects RegisterReplica::onConfirm(const Confirm& message) const {
+ReplicaEffects RegisterReplica::onConfirm(const ConfirmRequest& message) const {
   if (!voting_) return {};
-  ConfirmAnswer answer{message.sequence, message.store, store_, replicas_, {}, {}, false, {}};
+  ConfirmResponse answer{message.sequence, message.store, store_, replicas_, {}, {}, false, {}};
   if (message.epoch == replicas_.epoch && message.fleet == replicas_.fleet &&
       message.settled == replicas_.settled)
     answer.replicas.members.clear();
--- a/src/register/replica.h
+++ b/src/register/replica.h
@@ -41,7 +41,7 @@
   // Both rounds grant the same ballot again: a proposer repeats what was lost on the way.
   ReplicaEffects onPrepare(const Prepare& message);
   ReplicaEffects onAccept(const Accept& message);
-  ReplicaEffects onConfirm(const Confirm& message) const;
+  ReplicaEffects onConfirm(const ConfirmRequest& message) const;
   // Takes a chosen replica set that is newer than the one held. One of another fleet disowns a
   // copy that took part in its own, for good: what it holds belongs to a register that was given
   // up.
@@ -67,8 +67,8 @@
     Ballot acceptedAt;
     RegisterValue value;
   };
-  ReplicaAnswer answerTo(const OperationId& operation, const RegisterKey& key, const Ballot& ballot,
-                         bool accepting) const;
+  ReplicaResponse answerTo(const OperationId& operation, const RegisterKey& key,
+                           const Ballot& ballot, bool accepting) const;
   // Two fleets under one epoch can only be two foundings that raced: a replica votes in the one
   // that it wrote down first, and never in the other.
   bool isForeign(const ReplicaSet& replicas) const;
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -61,7 +61,7 @@
   membership.onTick(now, &sends);
   const auto probe = only<Probe>(sends).at(0);
   const auto sequence = std::get<Probe>(probe.body).sequence;
-  membership.onMessage({member(9), kSelf, ProbeAnswer{sequence, probe.to}}, now + 500ms, &sends);
+  membership.onMessage({member(9), kSelf, ProbeResponse{sequence, probe.to}}, now + 500ms, &sends);
   membership.onTick(now + 950ms, &sends);
   const auto view = membership.view();
   CHECK(std::find(view.begin(), view.end(), probe.to) != view.end());
@@ -76,18 +76,18 @@
   CHECK(asked[0].to == member(6));
   sends.clear();
   const auto sequence = std::get<Probe>(asked[0].body).sequence;
-  membership.onMessage({member(6), kSelf, ProbeAnswer{sequence, member(6)}}, Instant{1s}, &sends);
-  const auto answered = only<ProbeAnswer>(sends);
+  membership.onMessage({member(6), kSelf, ProbeResponse{sequence, member(6)}}, Instant{1s}, &sends);
+  const auto answered = only<ProbeResponse>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(5));
-  CHECK(std::get<ProbeAnswer>(answered[0].body).sequence == 77);
+  CHECK(std::get<ProbeResponse>(answered[0].body).sequence == 77);
 }
 
 TEST_CASE("membership: the view stays small whatever is shuffled into it") {
   Membership membership(kSelf, {member(2)}, 1);
   std::vector<Envelope> sends;
   for (int round = 0; round < 50; ++round) {
-    ShuffleAsk ask;
+    ShuffleRequest ask;
     for (int i = 0; i < 10; ++i) ask.entries.push_back({member(10 + (round * 10 + i) % 200), 0});
     ask.entries.push_back({kSelf, 0});
     membership.onMessage({member(3), kSelf, ask}, Instant{1s}, &sends);
@@ -113,7 +113,7 @@
 TEST_CASE("news: only what is lacked is pulled") {
   News news(kSelf, 1);
   news.take({{newsOf(member(2), 1, 5), newsOf(member(3), 2, 1)}}, Instant{1s});
-  NewsAsk ask;
+  GossipRequest ask;
   ask.known = {{member(2), {Incarnation{1}, 5}}, {member(3), {Incarnation{1}, 99}}};
   const auto answer = news.answer(ask);
   std::set<Address> sources;
@@ -289,21 +289,21 @@
   const auto questions = [&](Duration later) {
     std::vector<Envelope> made;
     CHECK_FALSE(own.onTick(peers, now + later, &made));
-    return only<ListAsk>(made);
+    return only<ServerListRequest>(made);
   };
   const auto asked = questions(1s);
   REQUIRE(asked.size() == 1);
   CHECK(asked[0].to == member(2));
   CHECK(questions(1100ms).empty());  // one question at a time
-  const auto& ask = std::get<ListAsk>(asked[0].body);
+  const auto& ask = std::get<ServerListRequest>(asked[0].body);
   other.onAsk(member(1), ask, elsewhere, &sends);
-  CHECK(only<ListAnswer>(sends).empty());  // it knows no reading yet
+  CHECK(only<ServerListResponse>(sends).empty());  // it knows no reading yet
   other.take(fresh, elsewhere + 100ms, 1, elsewhere + 300ms, &sends);
-  const auto answered = only<ListAnswer>(sends);
+  const auto answered = only<ServerListResponse>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(1));
-  const auto& answer = std::get<ListAnswer>(answered[0].body);
-  ListAnswer unasked = answer;
+  const auto& answer = std::get<ServerListResponse>(answered[0].body);
+  ServerListResponse unasked = answer;
   ++unasked.sequence;
   CHECK_FALSE(own.onAnswer(unasked, now + 2s, &sends));  // an answer to nothing that was asked
   CHECK(own.rows() == old);
@@ -315,7 +315,8 @@
   CHECK_FALSE(own.onAnswer(answer, now + 2s, &sends));  // each question is answered once
   const auto later = questions(2s);
   REQUIRE(later.size() >= 1);
-  ListAnswer aged{std::get<ListAsk>(later[0].body).sequence, 0, 2900000, 77, old, {}};
+  ServerListResponse aged{
+      std::get<ServerListRequest>(later[0].body).sequence, 0, 2900000, 77, old, {}};
   own.onAnswer(aged, now + 2s, &sends);  // read at 99.1 s: older than what is here
   CHECK(own.rows() == fresh);
   CHECK(own.readAt() == now + 1100ms);
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -200,7 +200,7 @@
   for (const std::size_t count : {13U, 100U, 340U}) {
     const std::size_t before = heapBytes();
     auto news = std::make_unique<News>(Address{"10.0.0.1:7100"}, 1);
-    NewsAnswer answer;
+    GossipResponse answer;
     for (std::size_t i = 1; i < count; ++i) {
       GossipItem item;
       item.source =
@@ -217,7 +217,7 @@
     const double micros = microsOf(200, [&] {
       const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->ask()}));
       REQUIRE(envelope.ok());
-      news->answer(std::get<NewsAsk>(envelope->body));
+      news->answer(std::get<GossipRequest>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
               << " bytes of an ask " << asked.size() << " asked and answered in us " << micros
--- a/tests/founding_tests.cpp
+++ b/tests/founding_tests.cpp
@@ -65,12 +65,12 @@
 TEST_CASE("founding: the grant is on the disk before the answer leaves") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s}, /*losesPower=*/true);
+  seed.take(kFounder, FoundingRequest{1, kGrantedFleet}, Instant{10s}, /*losesPower=*/true);
   CHECK(seed.answersAtOnce == 0);
   CHECK(seed.answers.empty());
-  seed.take(kFounder, FoundAsk{2, kGrantedFleet}, Instant{10s});
+  seed.take(kFounder, FoundingRequest{2, kGrantedFleet}, Instant{10s});
   REQUIRE(seed.answers.size() == 1);
-  const auto& answer = std::get<FoundAnswer>(seed.answers[0].body);
+  const auto& answer = std::get<FoundingResponse>(seed.answers[0].body);
   CHECK(answer.unfounded);
   CHECK(answer.nonce == 2);
 }
@@ -78,8 +78,8 @@
 TEST_CASE("founding: a seed that restarts takes no founding but the one that it granted") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kEarlierFleet}, Instant{10s});
-  seed.take(kFounder, FoundAsk{2, kGrantedFleet}, Instant{11s});  // the founder's next life
+  seed.take(kFounder, FoundingRequest{1, kEarlierFleet}, Instant{10s});
+  seed.take(kFounder, FoundingRequest{2, kGrantedFleet}, Instant{11s});  // the founder's next life
   seed.start();
   // Late, of the life that ended, also after the first tick of the seed's new life.
   seed.takeFounding(kEarlierFleet, Instant{12s});
@@ -88,8 +88,8 @@
   seed.core->onTick(Instant{12s}, &effects);
   seed.takeFounding(kEarlierFleet, Instant{13s});
   CHECK(seed.core->freshness().replicas().epoch == Epoch{0});
-  seed.take(kOther, FoundAsk{3, 99}, Instant{14s});
-  CHECK_FALSE(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
+  seed.take(kOther, FoundingRequest{3, 99}, Instant{14s});
+  CHECK_FALSE(std::get<FoundingResponse>(seed.answers.back().body).unfounded);
   seed.takeFounding(kGrantedFleet, Instant{14s});
   CHECK(seed.core->freshness().replicas().fleet == kGrantedFleet);
 }
@@ -97,14 +97,14 @@
 TEST_CASE("founding: a grant that was never used runs out after a restart too") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s});
+  seed.take(kFounder, FoundingRequest{1, kGrantedFleet}, Instant{10s});
   seed.start();
   AgentEffects effects;
   seed.core->onTick(Instant{12s}, &effects);
-  seed.take(kOther, FoundAsk{2, 99}, Instant{21s});
-  CHECK_FALSE(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
-  seed.take(kOther, FoundAsk{3, 99}, Instant{23s});
-  CHECK(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
+  seed.take(kOther, FoundingRequest{2, 99}, Instant{21s});
+  CHECK_FALSE(std::get<FoundingResponse>(seed.answers.back().body).unfounded);
+  seed.take(kOther, FoundingRequest{3, 99}, Instant{23s});
+  CHECK(std::get<FoundingResponse>(seed.answers.back().body).unfounded);
 }
 
 TEST_CASE("sim: seeds and founders that restart while the fleet is founded end in one fleet") {
--- a/tests/freshness_tests.cpp
+++ b/tests/freshness_tests.cpp
@@ -38,10 +38,10 @@
   }
   void deliver(const Freshness::Sends& sends, const std::set<StoreId>& mute = {}) {
     for (const auto& [member, message] : sends) {
-      const auto& confirm = std::get<Confirm>(message);
+      const auto& confirm = std::get<ConfirmRequest>(message);
       if (mute.contains(member.store)) continue;
       const auto made = replicas[member.store.value - 1].onConfirm(confirm);
-      const auto& answer = std::get<ConfirmAnswer>(*made.answer);
+      const auto& answer = std::get<ConfirmResponse>(*made.answer);
       for (const ConfirmedKey& held : answer.keys) {
         bytes += held.value.body.size();
         bodies += held.value.body.size() >= kLarge ? 1 : 0;
@@ -96,7 +96,7 @@
     for (int i = 0; i < 4; ++i) {
       Freshness::Sends sends = fleet.freshness.widen(fleet.now);
       std::erase_if(sends, [&](const auto& send) {
-        const auto& confirm = std::get<Confirm>(send.second);
+        const auto& confirm = std::get<ConfirmRequest>(send.second);
         if (confirm.wantsBodies) asked.insert(confirm.store);
         return confirm.wantsBodies && asked.size() < 2;
       });
--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -11,7 +11,7 @@
 Envelope bodyFor(const std::string& to, std::size_t bytes) {
   GossipItem item;
   item.zone = std::string(bytes, 'z');
-  return {Address{"127.9.9.1:7100"}, Address{to}, NewsAnswer{{item}}};
+  return {Address{"127.9.9.1:7100"}, Address{to}, GossipResponse{{item}}};
 }
 }  // namespace
 
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -98,7 +98,7 @@
     const Ballot earlier{Epoch{1}, acknowledged_->round - 1, ProposerId{9}};
     const auto made =
         replica_.onPrepare({{}, kConfigurationKey, earlier, replica_.store(), replica_.replicas()});
-    const bool refuses = made.answer && !std::get<ReplicaAnswer>(*made.answer).granted;
+    const bool refuses = made.answer && !std::get<ReplicaResponse>(*made.answer).granted;
     return refuses && value->body.size() == kBodyBytes ? Found::All : Found::Older;
   }
   bool change() {
--- a/tests/register_tests.cpp
+++ b/tests/register_tests.cpp
@@ -22,14 +22,14 @@
     }
     for (RegisterReplica& replica : replicas) replica.adopt(set);
   }
-  std::optional<ReplicaAnswer> at(std::size_t index, const Message& message) {
+  std::optional<ReplicaResponse> at(std::size_t index, const Message& message) {
     ReplicaEffects effects;
     if (const auto* prepare = std::get_if<Prepare>(&message))
       effects = replicas[index].onPrepare(*prepare);
     if (const auto* accept = std::get_if<Accept>(&message))
       effects = replicas[index].onAccept(*accept);
     if (!effects.answer) return std::nullopt;
-    return std::get<ReplicaAnswer>(*effects.answer);
+    return std::get<ReplicaResponse>(*effects.answer);
   }
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   // Delivers to the replicas in `reach` and the answers back, until nothing moves.
@@ -209,7 +209,7 @@
   RegisterReplica replica(StoreId{1});
   const Ballot ballot{Epoch{1}, 1, ProposerId{1}}, higher{Epoch{1}, 2, ProposerId{2}};
   const auto granted = [](const ReplicaEffects& effects) {
-    return std::get<ReplicaAnswer>(*effects.answer).granted;
+    return std::get<ReplicaResponse>(*effects.answer).granted;
   };
   CHECK(granted(replica.onPrepare({OperationId{1}, kConfigurationKey, ballot, StoreId{1}, first})));
   CHECK_FALSE(
@@ -240,10 +240,10 @@
   const auto late =
       restarted.onAccept({OperationId{3}, kConfigurationKey, low, StoreId{1}, bench.set, value});
   REQUIRE(late.answer);
-  CHECK_FALSE(std::get<ReplicaAnswer>(*late.answer).granted);
+  CHECK_FALSE(std::get<ReplicaResponse>(*late.answer).granted);
   const auto asked = restarted.onPrepare(
       {OperationId{4}, kConfigurationKey, {Epoch{1}, 9, ProposerId{1}}, StoreId{1}, bench.set});
-  CHECK(std::get<ReplicaAnswer>(*asked.answer).value == value);
+  CHECK(std::get<ReplicaResponse>(*asked.answer).value == value);
   restarted.stopVoting();
   CHECK_FALSE(restarted
                   .onPrepare({OperationId{5},
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -78,9 +78,9 @@
       Node& node = nodes[flight.to];
       if (!node.up) continue;
       std::vector<Envelope> sends;
-      if (const auto* ask = std::get_if<ListAsk>(&flight.envelope.body))
+      if (const auto* ask = std::get_if<ServerListRequest>(&flight.envelope.body))
         node.list.onAsk(flight.envelope.from, *ask, local(node), &sends);
-      if (const auto* answer = std::get_if<ListAnswer>(&flight.envelope.body))
+      if (const auto* answer = std::get_if<ServerListResponse>(&flight.envelope.body))
         node.list.onAnswer(*answer, local(node), &sends);
       carry(flight.to, std::move(sends));
     }
@@ -187,7 +187,7 @@
     CHECK(fleet.untilAllKnow(rowsOf(version), 2s) <= 60ms);
     fleet.run(1s);
     for (const auto& flight : fleet.flights) {
-      const auto* answer = std::get_if<ListAnswer>(&flight.envelope.body);
+      const auto* answer = std::get_if<ServerListResponse>(&flight.envelope.body);
       rowsSent += answer ? answer->rows.size() : 0;
     }
   }
