--- a/src/base/error.h
+++ b/src/base/error.h
@@ -30,11 +30,11 @@
   X(TurnedAway, "TurnedAway", 503, kUnavailable, "come back after Retry-After; it never ran") \
   X(OutcomeUnknown, "OutcomeUnknown", 502, kUnknown,                                          \
     "don't send it again before its effect is looked up")                                     \
-  X(DuePassed, "DuePassed", 504, kDeadlineExceeded,                                           \
+  X(DeadlineExceeded, "DuePassed", 504, kDeadlineExceeded,                                    \
     "don't send it again before its effect is looked up")                                     \
   X(OutcomeUnknownRepeatable, "OutcomeUnknownRepeatable", 502, kUnknown,                      \
     "come back after Retry-After; it may be repeated")                                        \
-  X(DuePassedRepeatable, "DuePassedRepeatable", 504, kDeadlineExceeded,                       \
+  X(DeadlineExceededRepeatable, "DuePassedRepeatable", 504, kDeadlineExceeded,                \
     "come back after Retry-After; it may be repeated")                                        \
   X(ChangeUnknown, "ChangeUnknown", 504, kUnknown,                                            \
     "read the spec: its version tells whether the change was made")                           \
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -242,8 +242,8 @@
   const bool late = BootClock::now() >= job.deadline;
   const ErrorKind kind =
       job.policy.repeatable
-          ? (late ? ErrorKind::DuePassedRepeatable : ErrorKind::OutcomeUnknownRepeatable)
-          : (late ? ErrorKind::DuePassed : ErrorKind::OutcomeUnknown);
+          ? (late ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
+          : (late ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
   HttpResponse response =
       refuse(kind, "the request may have run (" + lastDetail + ")", job.id.value);
   if (job.policy.repeatable) response.set(http::field::retry_after, "0.2");
