--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 HttpResponse turnedAway(const std::string& why) {
-  HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
+  HttpResponse response = errorResponse({ErrorKind::Rejected, why});
   response.set(http::field::retry_after, "1");
   return response;
 }
@@ -69,8 +69,8 @@
   }
   if (body.size() > kConfigurationLimit)
     co_return errorResponse(
-        {ErrorKind::Oversize, "the configuration would have " + std::to_string(body.size()) +
-                                  " bytes of at most " + std::to_string(kConfigurationLimit)});
+        {ErrorKind::BodyTooLarge, "the configuration would have " + std::to_string(body.size()) +
+                                      " bytes of at most " + std::to_string(kConfigurationLimit)});
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse({ErrorKind::BadConfiguration, std::string(parsed.status().message())});
   ChangeAsked change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
@@ -94,7 +94,7 @@
     case ChangeResult::Unknown:
       break;
   }
-  co_return errorResponse({ErrorKind::ChangeUnknown, "the change may or may not be made"});
+  co_return errorResponse({ErrorKind::ChangeOutcomeUnknown, "the change may or may not be made"});
 }
 
 // The last resort: the majority of the register's disks is lost for good.
@@ -121,11 +121,12 @@
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
   if (!made.turnedAway.empty())
-    co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
+    co_return errorResponse({ErrorKind::RegisterAvailable, made.turnedAway});
   // A round of the new register shows that what founds it is synced.
   const ChangeDone done = co_await readSettled(3s);
   if (done.result != ChangeResult::Chosen)
-    co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
+    co_return errorResponse(
+        {ErrorKind::ChangeOutcomeUnknown, "the new register did not answer yet"});
   LOG(INFO) << "register founded again as fleet " << made.replicas.fleet;
   co_return jsonResponse(200, {{"fleet", made.replicas.fleet},
                                {"epoch", made.replicas.epoch.value},
@@ -197,7 +198,7 @@
     co_return co_await changeConfiguration(request, verb == http::verb::patch);
   if (path == "/q/refound" && verb == http::verb::post) co_return co_await recover(request);
   if (verb != http::verb::get)
-    co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
+    co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
     const auto confirmed = core_->freshness().confirmedAt();
@@ -227,7 +228,7 @@
       co_return turnedAway("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
-  co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
+  co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
 }
 
 }  // namespace quayrill
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -148,7 +148,7 @@
       if (code == beast::error::timeout || !connection.socket().is_open()) co_return;
       const bool large = code == http::error::body_limit || code == http::error::header_limit;
       HttpResponse response =
-          errorResponse({large ? ErrorKind::Oversize : ErrorKind::MalformedRequest,
+          errorResponse({large ? ErrorKind::BodyTooLarge : ErrorKind::MalformedRequest,
                          "the request can't be read (" + code.message() + ")"});
       response.keep_alive(false);
       connection.expires_after(2s);
--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -31,19 +31,19 @@
   const auto way =
       seen.configuration->ways.find(path.substr(std::min<std::size_t>(4, path.size())));
   if (path.rfind("/v1/", 0) != 0 || way == seen.configuration->ways.end())
-    return Error{ErrorKind::UnknownWay, "no way '" + path + "'"};
+    return Error{ErrorKind::UnknownRoute, "no way '" + path + "'"};
   if (request.method() != http::verb::post)
     return Error{ErrorKind::MalformedRequest, "ways take POST"};
   job->policyName = way->second;
   job->policy = seen.configuration->policies.at(way->second);
   if (request.body().size() > job->policy.bodyLimit)
-    return Error{ErrorKind::Oversize, "the body is over the policy's limit"};
+    return Error{ErrorKind::BodyTooLarge, "the body is over the policy's limit"};
   const std::string salt = headerOf(request, wire::kSalt);
   if (salt.size() > 64 || !std::all_of(salt.begin(), salt.end(), isSaltLetter))
     return Error{ErrorKind::MalformedRequest,
                  "Quayrill-Cache-Salt: at most 64 of A-Z a-z 0-9 . _ - :"};
   if (!saltFor(*seen.configuration, job->tenant, salt, &job->salt))
-    return Error{ErrorKind::SaltMisuse, "the salt belongs to isolated tenants"};
+    return Error{ErrorKind::ForbiddenSalt, "the salt belongs to isolated tenants"};
   auto prefix = parsePrefix(headerOf(request, wire::kPrefix));
   if (!prefix.ok())
     return Error{ErrorKind::MalformedRequest, std::string(prefix.status().message())};
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -184,8 +184,8 @@
 HttpResponse Proxy::explain(const std::string& id) const {
   const auto line = decisions_.find(id);
   if (!line)
-    return errorResponse(
-        {ErrorKind::UnknownWay, "request '" + id + "' is not among the last 20000 of this daemon"});
+    return errorResponse({ErrorKind::UnknownRoute,
+                          "request '" + id + "' is not among the last 20000 of this daemon"});
   return textResponse(200, *line + "\n");
 }
 
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -43,7 +43,7 @@
   const auto seen = view();
   if (!isFresh(*seen, job.begun)) {
     ++counters_.unconfirmed;
-    co_return turnAway(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
+    co_return turnAway(ErrorKind::Rejected, "this daemon can't confirm the configuration now",
                        job.id);
   }
   if (const auto error = intake(request, *seen, &job)) {
@@ -66,8 +66,7 @@
   std::optional<HttpResponse> response;
   if (!entered || !entered->isIn) {
     trace.outcome = "turned away at admission";
-    response =
-        turnAway(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
+    response = turnAway(ErrorKind::Overloaded, "the tenant or the policy is at its limit", job.id);
   } else {
     ScopeExit exit([this, name = job.tenant, policy = job.policyName] {
       admission_.mustPost([=](Admission& admission) { admission.leave(name, policy); });
@@ -187,7 +186,7 @@
     co_return unknown(kind, "the request may have run (" + lastDetail + ")", job);
   }
   trace->outcome = "turned away";
-  co_return turnAway(ErrorKind::TurnedAway, late ? "the due passed before it ran" : lastDetail,
+  co_return turnAway(ErrorKind::Rejected, late ? "the due passed before it ran" : lastDetail,
                      job.id);
 }
 
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -54,7 +54,7 @@
 
 HttpResponse Relay::refuse(ErrorKind kind, const std::string& why, const std::string& id) {
   HttpResponse response = errorResponse({kind, why});
-  if (kind == ErrorKind::TurnedAway) {
+  if (kind == ErrorKind::Rejected) {
     ++counters_.turnedAway;
     // Spread, so that those refused together don't come back together.
     const auto tenths = 2 + random_() % 4;
@@ -67,23 +67,23 @@
 std::optional<HttpResponse> Relay::intake(const HttpRequest& request, RelayRequest* job) {
   const std::string id = headerOf(request, names_.requestId);
   job->id = RequestId{id};
-  if (refusing_) return refuse(ErrorKind::TurnedAway, "this daemon is leaving", id);
+  if (refusing_) return refuse(ErrorKind::Rejected, "this daemon is leaving", id);
   const auto& seen = *view_;
   const Duration unconfirmed = BootClock::now() - seen.confirmedAt;
   if (!seen.configuration || unconfirmed >= settings_.freshLimit) {
     ++counters_.unconfirmed;
-    return refuse(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now", id);
+    return refuse(ErrorKind::Rejected, "this daemon can't confirm the configuration now", id);
   }
   const auto deny = [&](ErrorKind kind, const std::string& why) {
     ++counters_.badInput;
     if (unconfirmed >= kDenyLimit)
-      return refuse(ErrorKind::TurnedAway, "the configuration is not confirmed: " + why, id);
+      return refuse(ErrorKind::Rejected, "the configuration is not confirmed: " + why, id);
     return refuse(kind, why, id);
   };
   const Configuration& configuration = *seen.configuration;
   const std::string path = pathOf(request);
   const Route* route = findRoute(configuration, headerOf(request, "Host"), path);
-  if (!route) return deny(ErrorKind::UnknownWay, "no route for '" + path + "'");
+  if (!route) return deny(ErrorKind::UnknownRoute, "no route for '" + path + "'");
   job->needsKey = !route->isPublic && !configuration.tenants.empty();
   std::optional<unsigned> tenantPriority;
   if (job->needsKey) {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -234,7 +234,7 @@
   }
   if (!mayHaveRun) {
     record(job, trail, "refused");
-    co_return refuse(ErrorKind::TurnedAway, lastDetail, job.id.value);
+    co_return refuse(ErrorKind::Rejected, lastDetail, job.id.value);
   }
   ++counters_.unknown;
   record(job, trail, "unknown");
