--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -9,13 +9,13 @@
 // field, name in the metrics, help text
 #define QUAYRILL_COUNTERS(X)                                                                      \
   X(requests, "requests", "requests read")                                                        \
-  X(done, "done", "answers finished with the server's end mark")                                  \
-  X(turnedAway, "turnedAway", "requests turned away, certain never to run")                       \
-  X(unknown, "unknown", "requests whose outcome is unknown")                                      \
-  X(cut, "cut", "answers cut after their first piece")                                            \
+  X(completed, "done", "answers finished with the server's end mark")                             \
+  X(rejected, "turnedAway", "requests turned away, certain never to run")                         \
+  X(outcomeUnknown, "unknown", "requests whose outcome is unknown")                               \
+  X(truncated, "cut", "answers cut after their first piece")                                      \
   X(badInput, "badInput", "requests with bad input or a bad key")                                 \
-  X(callerGone, "callerGone", "callers who left before the end")                                  \
-  X(extraTries, "extraTries", "sends beyond a request's first")                                   \
+  X(callerDisconnected, "callerGone", "callers who left before the end")                          \
+  X(retries, "extraTries", "sends beyond a request's first")                                      \
   X(unconfirmed, "unconfirmed",                                                                   \
     "requests turned away because the configuration or the server list was unconfirmed")          \
   X(fetches, "fetches", "prefixes fetched from a peer or the store")                              \
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -145,7 +145,7 @@
 }  // namespace
 
 HttpResponse Proxy::turnAway(ErrorKind kind, const std::string& why, const RequestId& id) {
-  ++counters_.turnedAway;
+  ++counters_.rejected;
   HttpResponse response = errorResponse({kind, why});
   sayWhen(&response);
   response.set("Quayrill-Outcome", "turned-away");
@@ -156,7 +156,7 @@
 // It may have run. Only what may be repeated is told when to come back: for the rest, coming back
 // would be a second run.
 HttpResponse Proxy::unknown(ErrorKind kind, const std::string& why, const Job& job) {
-  ++counters_.unknown;
+  ++counters_.outcomeUnknown;
   HttpResponse response = errorResponse({kind, why});
   if (job.policy.repeatable) sayWhen(&response);
   response.set("Quayrill-Outcome", "unknown");
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -118,7 +118,7 @@
       };
       const auto paid = co_await admission_.ask<bool>(pay);
       if (!paid || !*paid) break;
-      ++counters_.extraTries;
+      ++counters_.retries;
     }
     const Fetched fetched = co_await fetch(job, placed);
 
@@ -156,13 +156,13 @@
     lastDetail = result.detail;
     switch (result.end) {
       case DeliveryEnd::Done:
-        ++counters_.done;
+        ++counters_.completed;
         co_return std::nullopt;
       case DeliveryEnd::Cut:
-        ++counters_.cut;
+        ++counters_.truncated;
         co_return std::nullopt;
       case DeliveryEnd::CallerGone:
-        ++counters_.callerGone;
+        ++counters_.callerDisconnected;
         co_return std::nullopt;
       case DeliveryEnd::NeverSent:
       case DeliveryEnd::NotRun:
@@ -181,8 +181,8 @@
     trace->outcome = "unknown";
     const ErrorKind kind =
         job.policy.repeatable
-            ? (late ? ErrorKind::DuePassedRepeatable : ErrorKind::OutcomeUnknownRepeatable)
-            : (late ? ErrorKind::DuePassed : ErrorKind::OutcomeUnknown);
+            ? (late ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
+            : (late ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
     co_return unknown(kind, "the request may have run (" + lastDetail + ")", job);
   }
   trace->outcome = "turned away";
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -55,7 +55,7 @@
 HttpResponse Relay::refuse(ErrorKind kind, const std::string& why, const std::string& id) {
   HttpResponse response = errorResponse({kind, why});
   if (kind == ErrorKind::Rejected) {
-    ++counters_.turnedAway;
+    ++counters_.rejected;
     // Spread, so that those refused together don't come back together.
     const auto tenths = 2 + random_() % 4;
     response.set(http::field::retry_after, "0." + std::to_string(tenths));
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -199,7 +199,7 @@
       tried.insert(server.name);
       continue;
     }
-    if (arrivals > 0) ++counters_.extraTries;
+    if (arrivals > 0) ++counters_.retries;
     ++arrivals;
     sentTo.insert(server.name);
     if (result.end == TryEnd::NotRun && result.retrySame) {
@@ -215,18 +215,18 @@
     if (soFar.headSent && !canGoOn) break;
   }
   if (lastEnd == TryEnd::Done) {
-    ++counters_.done;
+    ++counters_.completed;
     record(job, trail, "done");
     co_return std::nullopt;
   }
   if (lastEnd == TryEnd::CallerGone || caller->isGone) {
-    ++counters_.callerGone;
+    ++counters_.callerDisconnected;
     caller->isGone = true;
     record(job, trail, "caller gone");
     co_return std::nullopt;
   }
   if (soFar.headSent) {  // nothing may follow but the close: a cut answer never looks complete
-    ++counters_.cut;
+    ++counters_.truncated;
     ErrorCode code;
     caller->socket.close(code);
     record(job, trail, "cut");
@@ -236,7 +236,7 @@
     record(job, trail, "refused");
     co_return refuse(ErrorKind::Rejected, lastDetail, job.id.value);
   }
-  ++counters_.unknown;
+  ++counters_.outcomeUnknown;
   record(job, trail, "unknown");
   if (failure) co_return std::move(*failure);
   const bool late = BootClock::now() >= job.deadline;
