--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -25,8 +25,8 @@
       settings.peer,     settings.zone,           settings.seeds,    settings.callers.value,
       nonce | 1,         settings.replicasWanted, settings.mayFound, settings.foundingWait,
       settings.leaseSpan};
-  core.listEvery = settings.listEvery;
-  core.listCallsPerS = settings.listCallsPerS;
+  core.listInterval = settings.listInterval;
+  core.listCallsPerSecond = settings.listCallsPerSecond;
   core.losses = settings.losses;
   core.topology = settings.topology;
   core.catchUpSpan = settings.catchUp;
@@ -40,7 +40,7 @@
 absl::Status Agent::start() {
   std::optional<std::map<std::string, std::string>> kept;
   if (!settings_.dataFolder.empty()) {
-    disk_ = std::make_unique<Disk>(DiskSettings{settings_.dataFolder, settings_.diskDrag},
+    disk_ = std::make_unique<Disk>(DiskSettings{settings_.dataFolder, settings_.syncDelayFile},
                                    [this](Disk::Rows rows) { takeDisk(std::move(rows)); });
     auto opened = disk_->open();
     if (!opened.ok()) return opened.status();
@@ -48,7 +48,7 @@
     if (!kept) LOG(ERROR) << kDiskClosed;
   }
   core_.emplace(coreSettings(settings_), kept);
-  link_ = std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerVia, [this](Envelope e) {
+  link_ = std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerRelay, [this](Envelope e) {
     AgentEffects effects;
     const Instant now = BootClock::now();
     core_->onMessage(e, now, &effects);
@@ -78,7 +78,7 @@
 void Agent::takeSettings(const Settings& changed) {
   asio::post(io_, [this, changed] {
     settings_.platform = changed.platform;
-    core_->setListLimits(changed.listEvery, changed.listCallsPerS);
+    core_->setListLimits(changed.listInterval, changed.listCallsPerSecond);
     if (core_->settings().seeds != changed.seeds) core_->setSeeds(changed.seeds);
   });
 }
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -30,7 +30,7 @@
       freshness_(settings_.nonce),
       proposer_(ProposerId{settings_.nonce}, settings_.nonce + 2),
       leases_(settings_.self, settings_.nonce, settings_.leaseSpan),
-      list_({settings_.self, settings_.listEvery, settings_.listCallsPerS}),
+      list_({settings_.self, settings_.listInterval, settings_.listCallsPerSecond}),
       exchange_(settings_.self, settings_.zone) {
   ownFleet_ = random_() | 1;
   if (!disk) return;
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -33,9 +33,9 @@
   // that the whole system starts for the first time.
   Duration foundingWait = std::chrono::seconds(3);
   Duration leaseSpan{};  // two holders of one leader role never act within this of each other
-  std::chrono::milliseconds listEvery{400};
-  double listCallsPerS = 50;  // for the platform's list, of all daemons together
-  LossesToBear losses{};      // that replicasWanted bear
+  std::chrono::milliseconds listInterval{400};
+  double listCallsPerSecond = 50;  // for the platform's list, of all daemons together
+  LossesToBear losses{};           // that replicasWanted bear
   Topology topology{};
   // The next loss may come so long after a lost machine, or its successor, started; 0: not
   // promised.
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -203,7 +203,7 @@
   if (path == "/readyz") {
     const auto confirmed = core_->freshness().confirmedAt();
     const bool ready =
-        configurationVersion_ > 0 && confirmed && now - *confirmed < settings_.freshLimit;
+        configurationVersion_ > 0 && confirmed && now - *confirmed < settings_.stalenessLimit;
     co_return textResponse(ready ? 200 : 503, ready ? "ready\n" : "configuration unconfirmed\n");
   }
   if (path == "/metrics") co_return textResponse(200, renderCounters(counters_));
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -34,19 +34,19 @@
         {name, state.identity, state.weights, state.healthy && !state.leaving, state.switching});
   }
   const auto confirmed = core_->freshness().confirmedAt();
-  if (confirmed && now - *confirmed < settings_.freshLimit)
+  if (confirmed && now - *confirmed < settings_.stalenessLimit)
     view.fence = core_->held(orderLease(model), kOrderDue + kOrderMargin, now);
   return view;
 }
 
 void Agent::tickOrders(Instant now) {
-  core_->forgetWeightsBefore(now - settings_.rolloutDue);
+  core_->forgetWeightsBefore(now - settings_.rolloutDeadline);
   if (!configuration_) return;
   std::erase_if(rollouts_,
                 [&](const auto& row) { return !configuration_->weights.contains(row.first); });
   for (const auto& [model, newest] : configuration_->weights) {
     // The lease itself waits a lease out before it counts.
-    const RolloutSettings rolloutSettings{settings_.rolloutDue, Duration{}};
+    const RolloutSettings rolloutSettings{settings_.rolloutDeadline, Duration{}};
     Rollout& rollout = rollouts_.try_emplace(model, model, rolloutSettings).first->second;
     const RolloutView view = rolloutView(model, now);
     const RegisterKey key = orderLease(model);
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -81,8 +81,8 @@
 struct CallerLimits {
   std::size_t headerBytes = 16 << 10;
   std::size_t bodyBytes = 16 << 20;
-  std::chrono::milliseconds headerDue{10000};
-  std::chrono::milliseconds idleDue{60000};
+  std::chrono::milliseconds headerTimeout{10000};
+  std::chrono::milliseconds idleTimeout{60000};
 };
 
 struct Configuration {
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -247,8 +247,8 @@
   CallerLimits& bounds = configuration.callerLimits;
   bounds.headerBytes = limits.value("header_bytes", bounds.headerBytes);
   bounds.bodyBytes = limits.value("body_bytes", bounds.bodyBytes);
-  bounds.headerDue = millisOf(limits, "header_due_ms", bounds.headerDue);
-  bounds.idleDue = millisOf(limits, "idle_due_ms", bounds.idleDue);
+  bounds.headerTimeout = millisOf(limits, "header_due_ms", bounds.headerTimeout);
+  bounds.idleTimeout = millisOf(limits, "idle_due_ms", bounds.idleTimeout);
   sortRoutes(&configuration);
   return configuration;
 }
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -37,25 +37,25 @@
     StartSetting{"callers", same<&Settings::callers>},
     StartSetting{"ready", same<&Settings::ready>},
     StartSetting{"data_folder", same<&Settings::dataFolder>},
-    StartSetting{"disk_drag", same<&Settings::diskDrag>},
+    StartSetting{"disk_drag", same<&Settings::syncDelayFile>},
     StartSetting{"store", same<&Settings::store>},
-    StartSetting{"cohort_via", same<&Settings::peerVia>},
+    StartSetting{"cohort_via", same<&Settings::peerRelay>},
     StartSetting{"placement", same<&Settings::placement>},
     StartSetting{"fetch", same<&Settings::fetch>},
     StartSetting{"copies_wanted", same<&Settings::replicasWanted>},
     StartSetting{"block_tokens", same<&Settings::blockTokens>},
     StartSetting{"traffic_threads", same<&Settings::trafficThreads>},
-    StartSetting{"fresh_limit_ms", same<&Settings::freshLimit>},
-    StartSetting{"drain bound", same<&Settings::drainDue>},
+    StartSetting{"fresh_limit_ms", same<&Settings::stalenessLimit>},
+    StartSetting{"drain bound", same<&Settings::drainTimeout>},
     StartSetting{"lease bound", same<&Settings::leaseSpan>},
-    StartSetting{"rollout bound", same<&Settings::rolloutDue>},
-    StartSetting{"retry ratio", same<&Settings::extraShare>},
-    StartSetting{"retry window", same<&Settings::extraWindow>},
-    StartSetting{"retry slack", same<&Settings::extraSlack>}};
+    StartSetting{"rollout bound", same<&Settings::rolloutDeadline>},
+    StartSetting{"retry ratio", same<&Settings::retryShare>},
+    StartSetting{"retry window", same<&Settings::retryWindow>},
+    StartSetting{"retry slack", same<&Settings::retryHeadroom>}};
 
 bool differsLive(const Settings& a, const Settings& b) {
-  return a.seeds != b.seeds || a.platform != b.platform || a.listEvery != b.listEvery ||
-         a.listCallsPerS != b.listCallsPerS || a.grace != b.grace;
+  return a.seeds != b.seeds || a.platform != b.platform || a.listInterval != b.listInterval ||
+         a.listCallsPerSecond != b.listCallsPerSecond || a.grace != b.grace;
 }
 
 std::string joined(const std::vector<std::string>& names) {
@@ -108,8 +108,8 @@
   Settings taken = before;
   taken.seeds = after.seeds;
   taken.platform = after.platform;
-  taken.listEvery = after.listEvery;
-  taken.listCallsPerS = after.listCallsPerS;
+  taken.listInterval = after.listInterval;
+  taken.listCallsPerSecond = after.listCallsPerSecond;
   taken.grace = after.grace;
   return taken;
 }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -42,7 +42,7 @@
   std::size_t headerLimit = 16 << 10;
   std::size_t connectionLimit = 4096;
   Duration readDue = std::chrono::seconds(10);
-  Duration idleDue = std::chrono::seconds(60);
+  Duration idleTimeout = std::chrono::seconds(60);
 };
 
 class HttpServer {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -66,7 +66,7 @@
 }
 
 bool Proxy::isFresh(const ProxyView& seen, Instant now) const {
-  return seen.configuration && now - seen.confirmedAt < settings_.freshLimit &&
+  return seen.configuration && now - seen.confirmedAt < settings_.stalenessLimit &&
          now - seen.listedAt < kListLimit;
 }
 
@@ -77,7 +77,8 @@
   if (!seen->configuration->tenantOfDigest.contains(job.digest)) return false;
   for (const ServerState& row : seen->servers) {
     if (row.name == server.name)
-      return !row.leaving && seen->usableUntil(server, settings_.rolloutDue) > BootClock::now();
+      return !row.leaving &&
+             seen->usableUntil(server, settings_.rolloutDeadline) > BootClock::now();
   }
   return false;
 }
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -68,7 +68,7 @@
     std::cerr << "quayrilld: " << error.what() << ": see --help\n";
     return 2;
   }
-  quayrill::SettingsAsked asked;
+  quayrill::SettingsArguments asked;
   for (const auto& [flag, value] : flags) {
     if (!value || !value.isString()) continue;
     if (flag == "--settings")
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -36,8 +36,8 @@
       names_(dialect_.relayNames.value()),
       callers_(io_),
       placement_(placementSettings(settings_)),
-      budgets_(settings_.extraShare, settings_.extraWindow),
-      slackShare_(settings_.extraWindow),
+      budgets_(settings_.retryShare, settings_.retryWindow),
+      slackShare_(settings_.retryWindow),
       pool_(io_, settings_.mechanisms.has(Mechanism::KeptConnections) ? kMostIdle : 0, kIdleSpan) {}
 
 Relay::~Relay() {
@@ -71,7 +71,7 @@
 
 bool Relay::isReady(Instant now) const {
   return !leaving_ && view_->configuration && !view_->servers.empty() &&
-         now - view_->confirmedAt < settings_.freshLimit;
+         now - view_->confirmedAt < settings_.stalenessLimit;
 }
 
 awaitable<std::optional<HttpResponse>> Relay::handleOwn(HttpRequest& request) {
@@ -204,9 +204,9 @@
     const Instant idleSince = BootClock::now();
     do {  // a configuration that came meanwhile may let it rest longer
       caller->timedOut = false;
-      setDeadline(caller, idleSince + limitsNow().idleDue);
+      setDeadline(caller, idleSince + limitsNow().idleTimeout);
       co_await caller->socket.async_wait(Tcp::socket::wait_read, into(code));
-    } while (code && caller->timedOut && BootClock::now() < idleSince + limitsNow().idleDue);
+    } while (code && caller->timedOut && BootClock::now() < idleSince + limitsNow().idleTimeout);
     if (code) co_return false;
   }
   caller->isIdle = false;
@@ -216,7 +216,7 @@
   http::request_parser<http::string_body> parser;
   parser.header_limit(static_cast<std::uint32_t>(limits.headerBytes));
   parser.body_limit(limits.bodyBytes);
-  setDeadline(caller, BootClock::now() + limits.headerDue);
+  setDeadline(caller, BootClock::now() + limits.headerTimeout);
   co_await http::async_read_header(caller->socket, caller->buffer, parser, into(code));
   if (!code && !parser.is_done()) {
     setDeadline(caller, bodyDeadline(parser.get(), caller->requestBegun));
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -70,7 +70,7 @@
   if (refusing_) return refuse(ErrorKind::Rejected, "this daemon is leaving", id);
   const auto& seen = *view_;
   const Duration unconfirmed = BootClock::now() - seen.confirmedAt;
-  if (!seen.configuration || unconfirmed >= settings_.freshLimit) {
+  if (!seen.configuration || unconfirmed >= settings_.stalenessLimit) {
     ++counters_.unconfirmed;
     return refuse(ErrorKind::Rejected, "this daemon can't confirm the configuration now", id);
   }
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -70,7 +70,7 @@
 
 void Relay::keepBudgets(std::size_t daemons, Instant now) {
   slackShare_.note(daemons, now);
-  budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.extraSlack), now));
+  budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.retryHeadroom), now));
   budgets_.forgetIdle(now);
 }
 
@@ -84,7 +84,7 @@
 bool Relay::mayRun(const RelayRequest& job, const ServerState& server) const {
   const auto& seen = *view_;
   if (ending_) return false;
-  if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.freshLimit)
+  if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.stalenessLimit)
     return false;
   if (job.needsKey) {
     const auto owner = seen.configuration->tenantOfDigest.find(job.keyDigest);
@@ -100,7 +100,7 @@
 
 // By the weights that a request for that server asks for.
 Instant Relay::mayBeginUntil(const ServerState& server) const {
-  const Instant until = view_->usableUntil(server, settings_.rolloutDue);
+  const Instant until = view_->usableUntil(server, settings_.rolloutDeadline);
   return until == Instant::max() || until == Instant::min() ? until : until - kBeginningSlack;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -117,7 +117,7 @@
   const Row rows[] = {
       {"cohort", settings.peer, agent, agent},   {"operators", settings.operators, true, true},
       {"callers", settings.callers, true, true}, {"platform", settings.platform, agent, false},
-      {"store", settings.store, false, false},   {"cohort_via", settings.peerVia, false, false}};
+      {"store", settings.store, false, false},   {"cohort_via", settings.peerRelay, false, false}};
   std::map<Address, std::string> taken;
   for (const Row& row : rows) {
     if (row.address.value.empty()) {
@@ -151,7 +151,7 @@
   return absl::OkStatus();
 }
 
-absl::StatusOr<Settings> loadSettings(const SettingsAsked& asked) {
+absl::StatusOr<Settings> loadSettings(const SettingsArguments& asked) {
   if (asked.settingsFile.empty()) return readSettings("{}", asked.flags);
   std::ifstream in(asked.settingsFile);
   if (!in) return bad("settings", "'" + asked.settingsFile + "' can't be read: name a JSON file");
@@ -174,10 +174,10 @@
   settings.callers = Address{text("callers")};
   settings.zone = fields.value("zone", "zone");
   settings.dataFolder = text("data_folder");
-  settings.diskDrag = text("disk_drag");
+  settings.syncDelayFile = text("disk_drag");
   settings.platform = Address{text("platform")};
   settings.store = Address{text("store")};
-  settings.peerVia = Address{text("cohort_via")};
+  settings.peerRelay = Address{text("cohort_via")};
   settings.placement = fields.value("placement", settings.placement);
   settings.fetch = fields.value("fetch", "on") == "on";
   const auto mechanisms = mechanismsWithout(text("without"));
@@ -188,8 +188,8 @@
       std::chrono::milliseconds(fields.value("catch_up_ms", settings.catchUp.count()));
   settings.blockTokens = fields.value("block_tokens", settings.blockTokens);
   settings.trafficThreads = fields.value("traffic_threads", settings.trafficThreads);
-  settings.freshLimit =
-      std::chrono::milliseconds(fields.value("fresh_limit_ms", settings.freshLimit.count()));
+  settings.stalenessLimit =
+      std::chrono::milliseconds(fields.value("fresh_limit_ms", settings.stalenessLimit.count()));
   settings.grace = std::chrono::milliseconds(fields.value("grace_ms", settings.grace.count()));
   for (const auto& seed : fields.value("seeds", Json::array())) {
     const std::string address = seed.get<std::string>();
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -22,10 +22,10 @@
   std::string zone;
   std::vector<Address> seeds;        // three peer addresses
   std::string dataFolder;            // "" on machines that keep no register replica
-  std::string diskDrag;              // file with the milliseconds that each sync is to last longer
+  std::string syncDelayFile;         // file with the milliseconds that each sync is to last longer
   Address platform;                  // the platform's list of servers
   Address store;                     // the store of kept prompt parts; may be absent
-  Address peerVia;                   // relay for peer connections, used by quayrill-local's cuts
+  Address peerRelay;                 // relay for peer connections, used by quayrill-local's cuts
   std::string placement = "prefix";  // prefix; least-burden and round-robin for comparisons
   bool fetch = true;                 // let servers pull missing prefixes from peers and the store
   std::size_t replicasWanted = 4;
@@ -38,7 +38,7 @@
   std::chrono::milliseconds catchUp{0};
   std::size_t blockTokens = 16;
   std::size_t trafficThreads = 2;
-  std::chrono::milliseconds freshLimit{2000};
+  std::chrono::milliseconds stalenessLimit{2000};
   std::chrono::milliseconds grace{10000};
   Address ready;         // readiness is told here too, where the platform asks at an own address
   std::string node;      // this machine's name in logs and orders; "" takes the peer address
@@ -48,28 +48,28 @@
   std::chrono::milliseconds foundingWait{3000};
   // How old the platform's list may grow before this fleet reads it again, and the calls a second
   // that all daemons together may make for it.
-  std::chrono::milliseconds listEvery{400};
-  double listCallsPerS = 50;
+  std::chrono::milliseconds listInterval{400};
+  double listCallsPerSecond = 50;
   // A server that shows as leaving gets nothing after this; 0: by the product's own bound.
-  std::chrono::milliseconds drainDue{3000};
+  std::chrono::milliseconds drainTimeout{3000};
   // Two holders of one leader role never order within this of each other.
   std::chrono::milliseconds leaseSpan{3000};
   // No request begins on older weights later than this after newer ones were named.
-  std::chrono::milliseconds rolloutDue{20000};
+  std::chrono::milliseconds rolloutDeadline{20000};
   // Extra tries over all daemons: at most share * firsts + slack in any window.
-  double extraShare = 0.2;
-  std::chrono::milliseconds extraWindow{10000};
-  std::size_t extraSlack = 0;
+  double retryShare = 0.2;
+  std::chrono::milliseconds retryWindow{10000};
+  std::size_t retryHeadroom = 0;
   Mechanisms mechanisms;  // what decides where requests go; all on but for measurements
 };
 
-struct SettingsAsked {
+struct SettingsArguments {
   std::string settingsFile;
   std::map<std::string, std::string> flags;  // settings given on the command line win
 };
 
 // Reads, checks against the schema and the rules, and names the field and the remedy.
-absl::StatusOr<Settings> loadSettings(const SettingsAsked& asked);
+absl::StatusOr<Settings> loadSettings(const SettingsArguments& asked);
 
 // The same from the text of a settings file, JSON, with the flags over it.
 absl::StatusOr<Settings> readSettings(const std::string& settingsText,
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -65,7 +65,7 @@
 
 TEST_CASE("limits: a connection rests as long as the configuration of the day says") {
   RelayStage stage(1);
-  stage.configuration.callerLimits.idleDue = 1500ms;
+  stage.configuration.callerLimits.idleTimeout = 1500ms;
   stage.addRoute("/last/", false, 1);
   tellAnew(stage);
   asio::io_context own;
@@ -81,7 +81,7 @@
     return isHere;
   };
   CHECK(askAgain("r1"));
-  stage.configuration.callerLimits.idleDue = 120s;  // while it rests
+  stage.configuration.callerLimits.idleTimeout = 120s;  // while it rests
   tellAnew(stage);
   // Until the former limit is long over.
   stage.all([](int, const std::string& request) {
@@ -91,7 +91,7 @@
   CHECK(statusOf(stage.post("/last/", "last", "X-Key: key\r\nX-Due: 2500\r\n")) == 504);
   stage.tell();  // the configuration is to be confirmed lately
   CHECK(askAgain("r2"));
-  stage.configuration.callerLimits.idleDue = 300ms;
+  stage.configuration.callerLimits.idleTimeout = 300ms;
   tellAnew(stage);
   CHECK(askAgain("r3"));
   ErrorCode code;
--- a/tests/configuration_tests.cpp
+++ b/tests/configuration_tests.cpp
@@ -137,7 +137,7 @@
   CHECK(east.models.at(0).value == "till");
   CHECK(east.eventReaders == 12);
   CHECK(configuration->stores.at(ServiceName{"shelf"}).address.value == "10.0.0.2:8680");
-  CHECK(configuration->callerLimits.headerDue == 3s);
+  CHECK(configuration->callerLimits.headerTimeout == 3s);
   CHECK(configuration->callerLimits.bodyBytes == 4096);
 }
 
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -109,7 +109,7 @@
   CHECK(configuration.tenants.at(TenantName{"kaje80"}).isolated);
   CHECK_FALSE(configuration.tenants.at(TenantName{"open"}).priority);
   CHECK(configuration.callerLimits.bodyBytes == 4194304);
-  CHECK(configuration.callerLimits.headerDue == 3s);
+  CHECK(configuration.callerLimits.headerTimeout == 3s);
 }
 
 TEST_CASE("platform config: a stream that isn't resumable is not repeatable") {
@@ -320,8 +320,8 @@
   CHECK(configuration->services.contains(ServiceName{"south"}));
   CHECK_FALSE(configuration->policies.contains(PolicyName{"look"}));
   CHECK(configuration->tenants.size() == 1);
-  CHECK(configuration->callerLimits.idleDue == 9s);
-  CHECK(configuration->callerLimits.headerDue == 3s);
+  CHECK(configuration->callerLimits.idleTimeout == 9s);
+  CHECK(configuration->callerLimits.headerTimeout == 3s);
   const Document document = platform::readBody(body)->config;
   CHECK(document["gen"] == 9);
   CHECK(document["later"] == sample()["later"]);
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -42,10 +42,10 @@
   // Called on the relay's own thread as it reads a configuration.
   std::function<void()> whileReading = [] {};
 
-  // `isTold` false: the relay has heard nothing of its agent. `extraShare`: of the budget for extra
+  // `isTold` false: the relay has heard nothing of its agent. `retryShare`: of the budget for extra
   // tries; the default lets every test's further tries pass.
   explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool isTold = true,
-                      double extraShare = 20) {
+                      double retryShare = 20) {
     configuration.weights[ModelName{"m"}] = WeightsVersion{"1"};
     configuration.tenants[TenantName{"north"}] = {};
     configuration.tenants[TenantName{"hill"}].isolated = true;
@@ -79,7 +79,7 @@
     settings.callers = callers;
     settings.ready = ready;
     settings.trafficThreads = 1;
-    settings.extraShare = extraShare;
+    settings.retryShare = retryShare;
     settings.grace = grace;
     Dialect dialect = ownDialect();
     dialect.relayNames = relayTestNames();
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -178,7 +178,7 @@
   RelayStage stage(1);
   stage.configuration.callerLimits.headerBytes = 512;
   stage.configuration.callerLimits.bodyBytes = 100;
-  stage.configuration.callerLimits.headerDue = 30ms;
+  stage.configuration.callerLimits.headerTimeout = 30ms;
   stage.told.configurationVersion = 2;
   stage.tell();
   CHECK(statusOf(stage.post("/once/", "r1", "X-Long: " + std::string(2000, 'a') + "\r\n")) == 431);
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -137,7 +137,7 @@
   CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.9:1"}});
   CHECK(look.changed->grace == 4000ms);
   CHECK(look.changed->zone == readOwn(kOld)->zone);
-  CHECK(look.changed->freshLimit == readOwn(kOld)->freshLimit);
+  CHECK(look.changed->stalenessLimit == readOwn(kOld)->stalenessLimit);
   const std::string moved = R"({"cohort":"10.0.0.1:9","operators":"10.0.0.1:8",)"
                             R"("callers":"10.0.0.1:7","role":"agent","platform":"10.0.9.2:1",)"
                             R"("seeds":["10.0.0.9:1"]})";
@@ -275,8 +275,8 @@
   const auto fractions =
       read("bounds.retrySlack=32.94736842105263\nbounds.retryRatio=0.2\nbounds.rolloutMs=1500.5\n");
   REQUIRE(fractions.ok());
-  CHECK(fractions->extraSlack == 32);
-  CHECK(fractions->rolloutDue == 1500ms);
+  CHECK(fractions->retryHeadroom == 32);
+  CHECK(fractions->rolloutDeadline == 1500ms);
   for (const char* wrong : {"nan", "inf", "-1", "1e300", "many", "5x"}) {
     CAPTURE(wrong);
     const auto refused = read("bounds.retrySlack=" + std::string(wrong) + "\n");
