--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,9 +21,10 @@
 // grace.
 void leave(Proxy& plane, const Settings& settings) {
   plane.beginLeaving();
-  const Duration grace = std::max<Duration>(settings.grace, plane.longestDue() + 2s);
+  const Duration grace = std::max<Duration>(settings.shutdownGrace, plane.longestDue() + 2s);
   const auto graceEnd = BootClock::now() + grace;
-  std::this_thread::sleep_for(std::min<std::chrono::milliseconds>(settings.grace / 2, 3000ms));
+  std::this_thread::sleep_for(
+      std::min<std::chrono::milliseconds>(settings.shutdownGrace / 2, 3000ms));
   plane.stopAccepting();
   while (plane.openConnections() > 0 && BootClock::now() < graceEnd)
     std::this_thread::sleep_for(20ms);
@@ -38,8 +39,9 @@
     return std::max<Duration>(Duration{}, toldAt + span - BootClock::now());
   };
   if (settings.role == "agent")
-    std::this_thread::sleep_for(until(std::min<std::chrono::milliseconds>(settings.grace, 3000ms)));
-  while (agent.isHandingOver() && until(settings.grace * 3 / 4) > Duration{})
+    std::this_thread::sleep_for(
+        until(std::min<std::chrono::milliseconds>(settings.shutdownGrace, 3000ms)));
+  while (agent.isHandingOver() && until(settings.shutdownGrace * 3 / 4) > Duration{})
     std::this_thread::sleep_for(20ms);
 }
 
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -55,7 +55,7 @@
 
 bool differsLive(const Settings& a, const Settings& b) {
   return a.seeds != b.seeds || a.platform != b.platform || a.listInterval != b.listInterval ||
-         a.listCallsPerSecond != b.listCallsPerSecond || a.grace != b.grace;
+         a.listCallsPerSecond != b.listCallsPerSecond || a.shutdownGrace != b.shutdownGrace;
 }
 
 std::string joined(const std::vector<std::string>& names) {
@@ -110,7 +110,7 @@
   taken.platform = after.platform;
   taken.listInterval = after.listInterval;
   taken.listCallsPerSecond = after.listCallsPerSecond;
-  taken.grace = after.grace;
+  taken.shutdownGrace = after.shutdownGrace;
   return taken;
 }
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -103,9 +103,9 @@
 
 // Waits for the next request's first byte, in short steps so that a stop is seen.
 awaitable<bool> HttpServer::waitReadable(Tcp::socket& socket) {
-  const Instant idleTimeout = BootClock::now() + settings_.idleTimeout;
+  const Instant idleDeadline = BootClock::now() + settings_.idleTimeout;
   asio::steady_timer step(co_await asio::this_coro::executor);
-  while (!stopping_ && BootClock::now() < idleTimeout) {
+  while (!stopping_ && BootClock::now() < idleDeadline) {
     step.expires_after(250ms);
     step.async_wait([&socket](const ErrorCode& ended) {
       ErrorCode ignored;
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -41,7 +41,8 @@
 
 void Relay::beginLeaving() {
   if (leaving_.exchange(true)) return;
-  asio::co_spawn(io_, leave(leaveSchedule(BootClock::now(), settings_.grace)), asio::detached);
+  asio::co_spawn(io_, leave(leaveSchedule(BootClock::now(), settings_.shutdownGrace)),
+                 asio::detached);
 }
 
 awaitable<void> Relay::leave(LeaveSchedule schedule) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -190,7 +190,8 @@
   settings.trafficThreads = fields.value("traffic_threads", settings.trafficThreads);
   settings.stalenessLimit =
       std::chrono::milliseconds(fields.value("fresh_limit_ms", settings.stalenessLimit.count()));
-  settings.grace = std::chrono::milliseconds(fields.value("grace_ms", settings.grace.count()));
+  settings.shutdownGrace =
+      std::chrono::milliseconds(fields.value("grace_ms", settings.shutdownGrace.count()));
   for (const auto& seed : fields.value("seeds", Json::array())) {
     const std::string address = seed.get<std::string>();
     if (auto status = checkAddress("seeds", address); !status.ok()) return status;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -39,7 +39,7 @@
   std::size_t blockTokens = 16;
   std::size_t trafficThreads = 2;
   std::chrono::milliseconds stalenessLimit{2000};
-  std::chrono::milliseconds grace{10000};
+  std::chrono::milliseconds shutdownGrace{10000};
   Address ready;         // readiness is told here too, where the platform asks at an own address
   std::string node;      // this machine's name in logs and orders; "" takes the peer address
   bool mayFound = true;  // false: an empty disk joins a fleet and never founds one
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -80,7 +80,7 @@
     settings.ready = ready;
     settings.trafficThreads = 1;
     settings.retryShare = retryShare;
-    settings.grace = grace;
+    settings.shutdownGrace = grace;
     Dialect dialect = ownDialect();
     dialect.relayNames = relayTestNames();
     dialect.readConfiguration = [this](const std::string&) -> absl::StatusOr<Configuration> {
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -135,7 +135,7 @@
              Catch::Contains("zone, fresh_limit_ms") && Catch::Contains("restart this daemon"));
   CHECK(look.told.find('\n') == std::string::npos);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.9:1"}});
-  CHECK(look.changed->grace == 4000ms);
+  CHECK(look.changed->shutdownGrace == 4000ms);
   CHECK(look.changed->zone == readOwn(kOld)->zone);
   CHECK(look.changed->stalenessLimit == readOwn(kOld)->stalenessLimit);
   const std::string moved = R"({"cohort":"10.0.0.1:9","operators":"10.0.0.1:8",)"
