--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -51,7 +51,7 @@
   // For calls of operators, on the control thread. A register that is not heard can't be changed.
   bool hearsRegister() const;
   // Reads, updates and proposes until it is known what became of it, or its time is over.
-  awaitable<UpdateDone> updateConfiguration(Update change);
+  awaitable<UpdateOutcome> updateConfiguration(Update change);
   // A read of the configuration through the register itself, which also settles it.
   awaitable<ChangeDone> readSettled(Duration due);
 
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -23,13 +23,15 @@
          std::min<std::size_t>(3, settings_.replicasWanted);
 }
 
-awaitable<UpdateDone> Agent::updateConfiguration(Update change) {
+awaitable<UpdateOutcome> Agent::updateConfiguration(Update change) {
   if (!hearsRegister())
-    co_return UpdateDone{UpdateResult::NotTaken, "no majority of register replicas is heard here"};
+    co_return UpdateOutcome{UpdateResult::NotTaken,
+                            "no majority of register replicas is heard here"};
   if (!hasReplicasToSpare())
-    co_return UpdateDone{UpdateResult::NotTaken,
-                         "too few register replicas to survive the loss of one"};
-  UpdateOperation updateOperation(std::move(change), kBodyLimit, BootClock::now() + kUpdateDue);
+    co_return UpdateOutcome{UpdateResult::NotTaken,
+                            "too few register replicas to survive the loss of one"};
+  UpdateOperation updateOperation(std::move(change), kRegisterBodyLimit,
+                                  BootClock::now() + kUpdateDue);
   for (;;) {
     const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
     if (!asked) break;
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -20,19 +20,19 @@
   return digest.substr(digest.find(':') + 1, kDigestLength);
 }
 
-ChangeStanding standingOf(const SentChange& sent, const TakenChanges& taken,
-                          std::uint64_t forgotten, std::uint64_t current) {
-  const TakenChange change{sent.number, sent.digest};
-  if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStanding::Taken;
-  if (sent.basis == current) return ChangeStanding::New;
+ChangeStatus classifyChange(const SubmittedChange& sent, const AppliedChanges& taken,
+                            std::uint64_t forgotten, std::uint64_t current) {
+  const AppliedChange change{sent.number, sent.digest};
+  if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStatus::Taken;
+  if (sent.basis == current) return ChangeStatus::New;
   const bool mayBeForgotten = sent.basis < forgotten && sent.number <= forgotten;
-  return mayBeForgotten ? ChangeStanding::Forgotten : ChangeStanding::Stale;
+  return mayBeForgotten ? ChangeStatus::Forgotten : ChangeStatus::Stale;
 }
 
-std::uint64_t addTaken(TakenChanges* taken, TakenChange change) {
+std::uint64_t recordApplied(AppliedChanges* taken, AppliedChange change) {
   taken->push_front(std::move(change));
   std::uint64_t forgotten = 0;
-  while (taken->size() > kTakenKept) {
+  while (taken->size() > kMaxAppliedChanges) {
     forgotten = std::max(forgotten, taken->back().number);
     taken->pop_back();
   }
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -5,7 +5,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kBodyLimit = 1 << 20;
+constexpr std::size_t kRegisterBodyLimit = 1 << 20;
 // Within the share of the product's Amending that is left for the settling read alone.
 constexpr Duration kLateBefore = 100ms;
 
@@ -34,7 +34,7 @@
   writes_.clear();
   isLate_ = false;
   const bool asNew = configuration_->plant == Plant::ResendAsNew;
-  amending_.emplace(updateOf(configuration_->orders[order()], asNew), kBodyLimit, kNever);
+  amending_.emplace(updateOf(configuration_->orders[order()], asNew), kRegisterBodyLimit, kNever);
   pump(acked, effects);
 }
 
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -11,17 +11,17 @@
 
 std::string digestOf(const Order& order) { return changeDigest("order", order.basis, order.name); }
 
-TakenChanges readBody(const std::string& body) {
+AppliedChanges readBody(const std::string& body) {
   std::istringstream in(body);
-  TakenChanges taken;
-  TakenChange change;
+  AppliedChanges taken;
+  AppliedChange change;
   while (in >> change.number >> change.digest) taken.push_back(change);
   return taken;
 }
 
-std::string writeBody(const TakenChanges& taken) {
+std::string writeBody(const AppliedChanges& taken) {
   std::ostringstream out;
-  for (const TakenChange& change : taken) out << change.number << ' ' << change.digest << ' ';
+  for (const AppliedChange& change : taken) out << change.number << ' ' << change.digest << ' ';
   return out.str();
 }
 }  // namespace
@@ -29,25 +29,25 @@
 Update updateOf(const Order& order, bool judgesResendsAsNew) {
   return [order, judgesResendsAsNew](
              const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    TakenChanges taken = readBody(standing);
+    AppliedChanges taken = readBody(standing);
     const std::string digest = digestOf(order);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
-    const SentChange sent{order.basis + 1, order.basis, digest};
-    const ChangeStanding standingOfOrder = standingOf(sent, taken, kNoneForgotten, number);
-    if (!judgesResendsAsNew && standingOfOrder == ChangeStanding::Taken)
+    const SubmittedChange sent{order.basis + 1, order.basis, digest};
+    const ChangeStatus standingOfOrder = classifyChange(sent, taken, kNoneForgotten, number);
+    if (!judgesResendsAsNew && standingOfOrder == ChangeStatus::Taken)
       return std::optional<std::string>{};
     if (number != order.basis)
       return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
-    addTaken(&taken, {number + 1, digest});
+    recordApplied(&taken, {number + 1, digest});
     return std::optional<std::string>{writeBody(taken)};
   };
 }
 
 OrderSet ordersIn(const std::string& body, const std::vector<Order>& orders) {
-  const TakenChanges taken = readBody(body);
+  const AppliedChanges taken = readBody(body);
   OrderSet found = 0;
   for (std::size_t i = 0; i < orders.size(); ++i) {
-    const TakenChange made{orders[i].basis + 1, digestOf(orders[i])};
+    const AppliedChange made{orders[i].basis + 1, digestOf(orders[i])};
     if (std::find(taken.begin(), taken.end(), made) != taken.end()) found |= bitOf(i);
   }
   return found;
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -14,7 +14,7 @@
     : change_(std::move(change)), bodyLimit_(bodyLimit), due_(due) {}
 
 void UpdateOperation::finish(UpdateResult result, std::string message) {
-  done_ = UpdateDone{result, std::move(message)};
+  done_ = UpdateOutcome{result, std::move(message)};
 }
 
 std::optional<ChangeAsked> UpdateOperation::next(Instant now) {
--- a/src/register/update_operation.h
+++ b/src/register/update_operation.h
@@ -15,7 +15,7 @@
   // What to ask of the register next; nothing once `done` is there.
   std::optional<ChangeAsked> next(Instant now);
   void onAnswer(const ChangeDone& answer);
-  const std::optional<UpdateDone>& done() const { return done_; }
+  const std::optional<UpdateOutcome>& done() const { return done_; }
   // The state but for the deadline and the update, which never change, as bytes: two of equal
   // bytes and the same update take the same steps from here on. For the model check.
   std::string stateBytes() const;
@@ -31,7 +31,7 @@
   Instant due_;
   Step step_ = Step::Reading;
   RegisterValue proposed_;  // version: of the body it builds on
-  std::optional<UpdateDone> done_;
+  std::optional<UpdateOutcome> done_;
 };
 
 }  // namespace quayrill
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -24,7 +24,8 @@
 std::string writeChain(const ChainBody& body) {
   std::ostringstream text;
   text << body.number << ' ' << body.forgotten << ' ' << body.taken.size();
-  for (const TakenChange& change : body.taken) text << ' ' << change.number << ' ' << change.digest;
+  for (const AppliedChange& change : body.taken)
+    text << ' ' << change.number << ' ' << change.digest;
   text << '\n' << std::string(body.padding, static_cast<char>('a' + body.number % 26));
   return text.str();
 }
@@ -35,29 +36,30 @@
   std::size_t count = 0;
   read >> body.number >> body.forgotten >> count;
   for (std::size_t i = 0; i < count; ++i) {
-    TakenChange change;
+    AppliedChange change;
     read >> change.number >> change.digest;
     body.taken.push_back(std::move(change));
   }
   return body;
 }
 
-Update orderOnTop(const SentChange& order, std::size_t padding, bool forgetting) {
+Update orderOnTop(const SubmittedChange& order, std::size_t padding, bool forgetting) {
   return [order, padding,
           forgetting](const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
     ChainBody body = readChain(standing);
     if (forgetting) body.taken.clear();
-    switch (standingOf(order, body.taken, body.forgotten, body.number)) {
-      case ChangeStanding::Taken:
+    switch (classifyChange(order, body.taken, body.forgotten, body.number)) {
+      case ChangeStatus::Taken:
         return std::nullopt;
-      case ChangeStanding::Stale:
+      case ChangeStatus::Stale:
         return absl::FailedPreconditionError("another version stands");
-      case ChangeStanding::Forgotten:
+      case ChangeStatus::Forgotten:
         return absl::UnknownError("it may have been taken long ago");
-      case ChangeStanding::New:
+      case ChangeStatus::New:
         break;
     }
-    body.forgotten = std::max(body.forgotten, addTaken(&body.taken, {order.number, order.digest}));
+    body.forgotten =
+        std::max(body.forgotten, recordApplied(&body.taken, {order.number, order.digest}));
     body.number = order.number;
     body.padding = padding;
     return writeChain(body);
@@ -74,7 +76,7 @@
 void Operators::send(std::size_t order, std::size_t machine, bool answerLost) {
   if (!world_.isUp(machine)) return;
   UpdateOperation updateOperation(orderOnTop(orders_.at(order).change, padding_, forgetting_),
-                                  kBodyLimit, world_.localNow(machine) + kOrderDue);
+                                  kRegisterBodyLimit, world_.localNow(machine) + kOrderDue);
   calls_.push_back(
       std::make_unique<Call>(Call{order, machine, answerLost, std::move(updateOperation)}));
 }
@@ -134,7 +136,7 @@
   }
   const ChainBody body = readChain(standing);
   if (body.number < newest_) broken.push_back("what stands is older than what was confirmed");
-  for (const TakenChange& taken : body.taken) {
+  for (const AppliedChange& taken : body.taken) {
     for (const Order& order : orders_) {
       if (order.change.digest == taken.digest && order.refused)
         broken.push_back("number " + std::to_string(taken.number) + " was refused and stands");
--- a/src/sim/operators.h
+++ b/src/sim/operators.h
@@ -15,15 +15,15 @@
 struct ChainBody {
   std::uint64_t number = 0;
   std::uint64_t forgotten = 0;
-  TakenChanges taken;
+  AppliedChanges taken;
   std::size_t padding = 0;  // bytes that make it as long as a configuration
 };
 std::string writeChain(const ChainBody& body);
 ChainBody readChain(const std::string& text);
-Update orderOnTop(const SentChange& order, std::size_t padding, bool forgetting);
+Update orderOnTop(const SubmittedChange& order, std::size_t padding, bool forgetting);
 
 struct Order {
-  SentChange change;
+  SubmittedChange change;
   bool confirmed = false;  // some daemon said yes, heard or not
   bool refused = false;    // some daemon gave a final no
   bool heard = false;      // its operator has a clear answer
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -189,16 +189,16 @@
     CHECK_THAT(
         std::string(platform::readDocument(text.substr(0, text.size() / 2)).status().message()),
         Contains("can't be read whole"));
-    CHECK_FALSE(platform::wholeConfig("[]", 0).ok());
-    CHECK_FALSE(platform::wholeConfig("", 0).ok());
+    CHECK_FALSE(platform::configReplacement("[]", 0).ok());
+    CHECK_FALSE(platform::configReplacement("", 0).ok());
   }
   // Nothing of the kind ever becomes a change.
-  if (bad != sample()) CHECK_FALSE(platform::wholeConfig(bad.dump(), 0).ok());
+  if (bad != sample()) CHECK_FALSE(platform::configReplacement(bad.dump(), 0).ok());
 }
 
 TEST_CASE("platform config: the register keeps a document as it was sent") {
   const std::string text = whole(7);
-  const std::string body = made(platform::wholeConfig(text, 0), "");
+  const std::string body = made(platform::configReplacement(text, 0), "");
   CHECK(platform::readBody(body)->config.dump() == text);
   const auto configuration = platform::readConfiguration(body);
   REQUIRE(configuration.ok());
@@ -208,30 +208,31 @@
 }
 
 TEST_CASE("platform config: what a change builds on, its number, and the same one again") {
-  const std::string first = made(platform::wholeConfig(whole(7), 0), "");
-  CHECK(holds(platform::wholeConfig(whole(7), 0), first));
+  const std::string first = made(platform::configReplacement(whole(7), 0), "");
+  CHECK(holds(platform::configReplacement(whole(7), 0), first));
   const auto codeOf = [](const absl::StatusOr<Update>& change, const std::string& standing) {
     return tried(change, standing).status().code();
   };
   using absl::StatusCode;
-  CHECK(codeOf(platform::wholeConfig(whole(8), 0), first) == StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::wholeConfig(whole(8), 3), "") == StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::wholeConfig(whole(7), 7), first) == StatusCode::kInvalidArgument);
-  CHECK(codeOf(platform::wholeConfig(whole(6), 7), first) == StatusCode::kInvalidArgument);
-  CHECK(codeOf(platform::wholeConfig(whole(0), 0), "") == StatusCode::kInvalidArgument);
-  const std::string second = made(platform::wholeConfig(whole(9), 7), first);
-  CHECK(holds(platform::wholeConfig(whole(7), 0), second));
-  CHECK(holds(platform::wholeConfig(whole(9), 7), second));
+  CHECK(codeOf(platform::configReplacement(whole(8), 0), first) == StatusCode::kFailedPrecondition);
+  CHECK(codeOf(platform::configReplacement(whole(8), 3), "") == StatusCode::kFailedPrecondition);
+  CHECK(codeOf(platform::configReplacement(whole(7), 7), first) == StatusCode::kInvalidArgument);
+  CHECK(codeOf(platform::configReplacement(whole(6), 7), first) == StatusCode::kInvalidArgument);
+  CHECK(codeOf(platform::configReplacement(whole(0), 0), "") == StatusCode::kInvalidArgument);
+  const std::string second = made(platform::configReplacement(whole(9), 7), first);
+  CHECK(holds(platform::configReplacement(whole(7), 0), second));
+  CHECK(holds(platform::configReplacement(whole(9), 7), second));
   // Of two on one basis, the one that lost is told so also when the winner has its number.
   Document rival = sample();
   rival["gen"] = 9;
   rival["later"] = "rival";
-  CHECK(codeOf(platform::wholeConfig(rival.dump(), 7), second) == StatusCode::kFailedPrecondition);
+  CHECK(codeOf(platform::configReplacement(rival.dump(), 7), second) ==
+        StatusCode::kFailedPrecondition);
   std::string body = second;
-  for (std::uint64_t basis = 9; basis < 9 + kTakenKept + 20; ++basis)
-    body = made(platform::wholeConfig(whole(basis + 1), basis), body);
-  CHECK(platform::readBody(body)->taken.size() == kTakenKept);
-  CHECK(holds(platform::wholeConfig(whole(9 + 25), 9 + 24), body));
+  for (std::uint64_t basis = 9; basis < 9 + kMaxAppliedChanges + 20; ++basis)
+    body = made(platform::configReplacement(whole(basis + 1), basis), body);
+  CHECK(platform::readBody(body)->taken.size() == kMaxAppliedChanges);
+  CHECK(holds(platform::configReplacement(whole(9 + 25), 9 + 24), body));
 }
 
 TEST_CASE("platform config: a resend behind hundreds of changes is never refused") {
@@ -242,7 +243,7 @@
   constexpr std::uint64_t kChanges = 600;
   std::string body;
   std::vector<std::string> patches;  // the one on top of version n is patches[n - 1]
-  body = made(platform::wholeConfig(whole(1), 0), body);
+  body = made(platform::configReplacement(whole(1), 0), body);
   for (std::uint64_t basis = 1; basis < kChanges; ++basis) {
     patches.push_back(R"({"gen":)" + std::to_string(basis + 1) + R"(,"limits":{"idleTimeoutMs":)" +
                       std::to_string(basis) + "}}");
@@ -254,31 +255,31 @@
     if (again.ok() && !*again) ++acknowledged;
     CHECK((again.ok() ? !*again : again.status().code() == StatusCode::kUnknown));
   }
-  CHECK(acknowledged == kTakenKept);
-  CHECK(codeOf(platform::wholeConfig(whole(1), 0), body) == StatusCode::kUnknown);
+  CHECK(acknowledged == kMaxAppliedChanges);
+  CHECK(codeOf(platform::configReplacement(whole(1), 0), body) == StatusCode::kUnknown);
   // What can't have been taken is refused all the same: its number was not reached by what is
   // forgotten, or what followed on its version is remembered.
-  CHECK(codeOf(platform::wholeConfig(whole(kChanges + 1), 1), body) ==
+  CHECK(codeOf(platform::configReplacement(whole(kChanges + 1), 1), body) ==
         StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::wholeConfig(whole(kChanges), kChanges - 1), body) ==
+  CHECK(codeOf(platform::configReplacement(whole(kChanges), kChanges - 1), body) ==
         StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::wholeConfig(whole(kChanges - 9), kChanges - 10), body) ==
+  CHECK(codeOf(platform::configReplacement(whole(kChanges - 9), kChanges - 10), body) ==
         StatusCode::kFailedPrecondition);
 }
 
 TEST_CASE("platform config: the configuration in force holds, whatever it says it builds on") {
-  const std::string first = made(platform::wholeConfig(whole(7), 0), "");
-  CHECK(holds(platform::wholeConfig(whole(7), 3), first));
+  const std::string first = made(platform::configReplacement(whole(7), 0), "");
+  CHECK(holds(platform::configReplacement(whole(7), 3), first));
   std::string spaced = sample().dump(2);
-  CHECK(holds(platform::wholeConfig(spaced, 0), first));
+  CHECK(holds(platform::configReplacement(spaced, 0), first));
   const std::string patched =
       made(platform::configPatch(R"({"gen":9,"limits":{"idleTimeoutMs":9000}})", 7), first);
-  CHECK(holds(platform::wholeConfig(platform::readBody(patched)->config.dump(), 5), patched));
+  CHECK(holds(platform::configReplacement(platform::readBody(patched)->config.dump(), 5), patched));
   // On top of itself or of a later one it is no resend.
   using absl::StatusCode;
-  CHECK(tried(platform::wholeConfig(whole(7), 7), first).status().code() ==
+  CHECK(tried(platform::configReplacement(whole(7), 7), first).status().code() ==
         StatusCode::kInvalidArgument);
-  CHECK(tried(platform::wholeConfig(whole(7), 8), first).status().code() ==
+  CHECK(tried(platform::configReplacement(whole(7), 8), first).status().code() ==
         StatusCode::kFailedPrecondition);
 }
 
@@ -286,25 +287,25 @@
   Document large = sample();
   large["gen"] = 1;
   large["later"] = std::string((1 << 20) - large.dump().size() - 200, 'x');
-  std::string body = made(platform::wholeConfig(large.dump(), 0), "");
+  std::string body = made(platform::configReplacement(large.dump(), 0), "");
   platform::RegisterBody full = *platform::readBody(body);
-  for (std::uint64_t number = 2; number <= kTakenKept + 1; ++number)
-    addTaken(&full.taken, {number, changeDigest("patch", number - 1, "any")});
-  full.config["gen"] = kTakenKept + 1;
+  for (std::uint64_t number = 2; number <= kMaxAppliedChanges + 1; ++number)
+    recordApplied(&full.taken, {number, changeDigest("patch", number - 1, "any")});
+  full.config["gen"] = kMaxAppliedChanges + 1;
   body = platform::writeBody(full);
-  CHECK(platform::readBody(body)->taken.size() == kTakenKept);
-  UpdateOperation updateOperation(*platform::configPatch(R"({"gen":9000})", kTakenKept + 1),
-                                  kBodyLimit, Instant(10s));
+  CHECK(platform::readBody(body)->taken.size() == kMaxAppliedChanges);
+  UpdateOperation updateOperation(*platform::configPatch(R"({"gen":9000})", kMaxAppliedChanges + 1),
+                                  kRegisterBodyLimit, Instant(10s));
   REQUIRE(updateOperation.next(Instant(1s)));
   updateOperation.onAnswer({{}, {}, ChangeResult::Chosen, {9, {}, {}, body}, {}, {}});
   CHECK(updateOperation.next(Instant(1s)).has_value());  // proposed, not refused for its size
   large["later"] = std::string(1 << 20, 'x');
-  CHECK(tried(platform::wholeConfig(large.dump(), 0), "").status().code() ==
+  CHECK(tried(platform::configReplacement(large.dump(), 0), "").status().code() ==
         absl::StatusCode::kResourceExhausted);
 }
 
 TEST_CASE("platform config: a patch changes named items") {
-  const std::string first = made(platform::wholeConfig(whole(7), 0), "");
+  const std::string first = made(platform::configReplacement(whole(7), 0), "");
   const std::string text = R"({"gen":9,"upsert":{"routes":[
       {"name":"pay","host":"ficu95.example","prefix":"/","type":"unsafe","deadlineMs":700,
        "backend":"east"},
@@ -343,27 +344,27 @@
 }
 
 TEST_CASE("platform config: weights are named by rising numbers and outlive configurations") {
-  const std::string first = made(platform::wholeConfig(whole(7), 0), "");
+  const std::string first = made(platform::configReplacement(whole(7), 0), "");
   const auto named = [](int generation) {
-    return platform::namedWeights(R"({"model":"daka510000","gen":)" + std::to_string(generation) +
-                                  "}");
+    return platform::weightsUpdate(R"({"model":"daka510000","gen":)" + std::to_string(generation) +
+                                   "}");
   };
   CHECK(holds(named(1), first));
   std::string body = made(named(3), first);
   CHECK(holds(named(3), body));
   CHECK(holds(named(2), body));
-  body = made(platform::wholeConfig(whole(9), 7), body);
+  body = made(platform::configReplacement(whole(9), 7), body);
   CHECK(platform::readConfiguration(body)->weights.at(ModelName{"daka510000"}).value == "3");
   // The first weights were acknowledged; the model went away since.
   const std::string gone = made(
       platform::configPatch(R"({"gen":11,"upsert":{"backends":[{"name":"east"}]}})", 7), first);
   CHECK(holds(named(1), gone));
-  const auto unknown = tried(platform::namedWeights(R"({"model":"x","gen":2})"), first);
+  const auto unknown = tried(platform::weightsUpdate(R"({"model":"x","gen":2})"), first);
   CHECK_THAT(std::string(unknown.status().message()),
              Contains("/model: ") && Contains("add it to the models"));
-  CHECK_FALSE(platform::namedWeights(R"({"model":"x"})").ok());
-  CHECK_FALSE(platform::namedWeights(R"({"model":"x","gen":0})").ok());
-  CHECK_FALSE(platform::namedWeights("{").ok());
+  CHECK_FALSE(platform::weightsUpdate(R"({"model":"x"})").ok());
+  CHECK_FALSE(platform::weightsUpdate(R"({"model":"x","gen":0})").ok());
+  CHECK_FALSE(platform::weightsUpdate("{").ok());
 }
 
 // Not a check: run it by name, `quayrill_tests "[cost]"`.
@@ -384,10 +385,10 @@
     const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - begun;
     WARN(what << ": " << took.count() / kRounds << " ms");
   };
-  const std::string body = made(platform::wholeConfig(text, 0), "");
+  const std::string body = made(platform::configReplacement(text, 0), "");
   const std::string patch = R"({"gen":9})";
   WARN("document " << text.size() << " bytes, body " << body.size());
   each("read the configuration of the register", [&] { (void)platform::readConfiguration(body); });
-  each("read a whole configuration", [&] { (void)platform::wholeConfig(text, 0); });
+  each("read a whole configuration", [&] { (void)platform::configReplacement(text, 0); });
   each("make a patch of one field", [&] { made(platform::configPatch(patch, 7), body); });
 }
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -23,7 +23,7 @@
 Update onTop(std::uint64_t basis, std::uint64_t generation, const std::string& by = "") {
   platform::Document document = platform::Document::parse(config(generation));
   document["by"] = by;
-  return *platform::wholeConfig(document.dump(), basis);
+  return *platform::configReplacement(document.dump(), basis);
 }
 
 // A register of one replica. `fates` says what becomes of the changes that come next.
@@ -175,14 +175,14 @@
 
 TEST_CASE("amend: a resend whose change is forgotten has no clear answer, and is not proposed") {
   Script script;
-  for (std::uint64_t basis = 0; basis < kTakenKept + 5; ++basis)
+  for (std::uint64_t basis = 0; basis < kMaxAppliedChanges + 5; ++basis)
     REQUIRE(script.carry(onTop(basis, basis + 1)) == UpdateResult::Taken);
   const std::size_t changes = script.changes;
   CHECK(script.carry(onTop(2, 3)) == UpdateResult::Unknown);
   CHECK(script.carry(onTop(2, 3, "rival")) == UpdateResult::Unknown);
   CHECK(script.carry(onTop(5, 6)) == UpdateResult::AlreadyTaken);
   CHECK(script.carry(onTop(5, 6, "rival")) == UpdateResult::Stale);
-  CHECK(script.carry(onTop(2, kTakenKept + 9)) == UpdateResult::Stale);
+  CHECK(script.carry(onTop(2, kMaxAppliedChanges + 9)) == UpdateResult::Stale);
   CHECK(script.changes == changes);
 }
 
@@ -192,7 +192,7 @@
   REQUIRE(script.step(mine));
   script.fates = {Fate::TakenUnheard};
   REQUIRE(script.step(mine));
-  for (std::uint64_t basis = 1; basis < kTakenKept + 5; ++basis)
+  for (std::uint64_t basis = 1; basis < kMaxAppliedChanges + 5; ++basis)
     REQUIRE(script.carry(onTop(basis, basis + 1, "b")) == UpdateResult::Taken);
   while (script.step(mine)) {
   }
@@ -218,7 +218,7 @@
 TEST_CASE("amend: versions of weights only rise, whoever comes first") {
   Script script;
   const auto named = [](int generation) {
-    return *platform::namedWeights(R"({"model":"m","gen":)" + std::to_string(generation) + "}");
+    return *platform::weightsUpdate(R"({"model":"m","gen":)" + std::to_string(generation) + "}");
   };
   CHECK(script.carry(named(2)) == UpdateResult::Refused);  // no service names it yet
   CHECK(script.carry(onTop(0, 3)) == UpdateResult::Taken);
@@ -251,7 +251,7 @@
   const auto basis = [](const std::string& text) {
     HttpRequest request;
     if (!text.empty()) request.set(http::field::if_match, text);
-    return platform::basisOf(request);
+    return platform::baseVersionOf(request);
   };
   CHECK(*basis("0") == 0);
   CHECK(*basis("\"17\"") == 17);
