--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -14,8 +14,8 @@
 constexpr Duration kBodyEvery = 1s;  // ours: a body may take as long on a slow link
 
 bool isWithoutBody(const ConfirmResponse& answer, const RegisterKey& key) {
-  return std::find(answer.withoutBody.begin(), answer.withoutBody.end(), key) !=
-         answer.withoutBody.end();
+  return std::find(answer.omittedBodies.begin(), answer.omittedBodies.end(), key) !=
+         answer.omittedBodies.end();
 }
 
 bool isSameWrite(const RegisterValue& left, const RegisterValue& right) {
@@ -217,7 +217,7 @@
     std::vector<RegisterKey> keys;
     std::size_t inEpoch = 0;
     for (const auto& [store, answer] : round.answers) {
-      if (answer.replicas.epoch != replicas_.epoch || !answer.listsKeys) continue;
+      if (answer.replicas.epoch != replicas_.epoch || !answer.hasAllKeys) continue;
       ++inEpoch;
       keys.insert(keys.end(), answer.allKeys.begin(), answer.allKeys.end());
     }
--- a/src/agent/core/leader_roles.cpp
+++ b/src/agent/core/leader_roles.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 std::uint64_t weightOf(const std::string& role, const Address& candidate) {
-  return mixHash(stableHash(role), stableHash(candidate.value));
+  return combineHashes(stableHash(role), stableHash(candidate.value));
 }
 }  // namespace
 
--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -35,11 +35,12 @@
   const auto row = rows_.find(server.name);
   if (row == rows_.end() || row->second.identity != server.identity || !row->second.reached)
     return server.weights;
-  return isBehind(server.weights, *row->second.reached) ? *row->second.reached : server.weights;
+  return isOlderVersion(server.weights, *row->second.reached) ? *row->second.reached
+                                                              : server.weights;
 }
 
 bool Rollout::isBehindHere(const RolloutServer& server, const WeightsVersion& wanted) const {
-  if (!server.usable || !isBehind(weightsOf(server), wanted)) return false;
+  if (!server.usable || !isOlderVersion(weightsOf(server), wanted)) return false;
   const auto row = rows_.find(server.name);
   return row == rows_.end() || row->second.identity != server.identity ||
          row->second.refused != wanted;
@@ -273,7 +274,7 @@
   if (!report || !row.switching || row.open || report->busy) return;
   // Where newer weights were named meanwhile it serves on these until its turn comes again: one
   // that went on at once might never serve, and keep the place of those with less time left.
-  if (!isBehind(report->weights, row.ordered))
+  if (!isOlderVersion(report->weights, row.ordered))
     return finish(asked.server, row, report->weights, now, effects);
   if (askedAt >= row.answeredAt + kReportLag) {
     row.again = true;  // the order was not taken, or has come to nothing
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -142,11 +142,11 @@
 std::optional<Instant> ServerList::onAnswer(const ServerListResponse& answer, Instant now,
                                             std::vector<Envelope>* sends) {
   const auto asked = asked_.find(answer.sequence);
-  if (asked == asked_.end() || answer.ageMicros < 0 || answer.heldMicros < 0) return std::nullopt;
+  if (asked == asked_.end() || answer.ageMicros < 0 || answer.waitedMicros < 0) return std::nullopt;
   // The question came there after it was asked, so an age that is counted from then is only ever
   // too high. The other's clock may run a little faster, so `told` may not pass the present.
   const Instant told =
-      std::min(now, asked->second.at + std::chrono::microseconds(answer.heldMicros));
+      std::min(now, asked->second.at + std::chrono::microseconds(answer.waitedMicros));
   asked_.erase(asked);
   const Instant readAt = told - std::chrono::microseconds(answer.ageMicros);
   // 'Unchanged' since rows that are no longer the ones here says nothing.
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -14,7 +14,7 @@
   for (const SupersededWeights& told : superseded) {
     const auto row = rows_.find(told.model);
     if (row == rows_.end() || told.ageMicros < 0) continue;
-    row->second.noteNewestAt(told.weights, toldAt - std::chrono::microseconds(told.ageMicros));
+    row->second.recordNewestAt(told.weights, toldAt - std::chrono::microseconds(told.ageMicros));
   }
 }
 
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -10,6 +10,6 @@
 
 // Stable across processes and builds: leader roles and granule blocks are derived from it.
 std::uint64_t stableHash(std::string_view text);
-std::uint64_t mixHash(std::uint64_t left, std::uint64_t right);
+std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right);
 
 }  // namespace quayrill
--- a/src/base/mechanisms.cpp
+++ b/src/base/mechanisms.cpp
@@ -29,7 +29,7 @@
 }
 }  // namespace
 
-std::string Mechanisms::namesOff() const {
+std::string Mechanisms::disabledNames() const {
   std::vector<std::string_view> names;
   for (const Description& row : kDescriptions) {
     if (!has(row.mechanism)) names.push_back(row.name);
@@ -37,7 +37,7 @@
   return joined(names);
 }
 
-absl::StatusOr<Mechanisms> mechanismsWithout(const std::string& list) {
+absl::StatusOr<Mechanisms> parseDisabledMechanisms(const std::string& list) {
   Mechanisms mechanisms;
   for (const absl::string_view part : absl::StrSplit(list, ',', absl::SkipEmpty())) {
     const std::string name(part);
@@ -49,7 +49,7 @@
       return absl::InvalidArgumentError("no mechanism '" + name + "': name some of " +
                                         joined(names));
     }
-    mechanisms.switchOff(row->mechanism);
+    mechanisms.disable(row->mechanism);
   }
   return mechanisms;
 }
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -39,9 +39,9 @@
 class Mechanisms {
  public:
   bool has(Mechanism mechanism) const { return !off_[static_cast<std::size_t>(mechanism)]; }
-  void switchOff(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
+  void disable(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
   // The names of those that are off, split by commas; "" where all are on.
-  std::string namesOff() const;
+  std::string disabledNames() const;
   bool operator==(const Mechanisms&) const = default;
 
  private:
@@ -49,7 +49,7 @@
 };
 
 // All but those that `list` names, split by commas. The error of an unknown name says which exist.
-absl::StatusOr<Mechanisms> mechanismsWithout(const std::string& list);
+absl::StatusOr<Mechanisms> parseDisabledMechanisms(const std::string& list);
 
 // One line for each mechanism, for --help: its name, and what is done without it.
 std::string mechanismsHelp();
--- a/src/base/weights_version.cpp
+++ b/src/base/weights_version.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 // Ours: namings within one bound that are told apart. Beyond that the oldest are forgotten.
-constexpr std::size_t kMostSuperseded = 64;
+constexpr std::size_t kMaxSupersededVersions = 64;
 }  // namespace
 
 std::optional<std::uint64_t> numberOf(const WeightsVersion& version) {
@@ -18,7 +18,7 @@
   return number;
 }
 
-bool isBehind(const WeightsVersion& version, const WeightsVersion& wanted) {
+bool isOlderVersion(const WeightsVersion& version, const WeightsVersion& wanted) {
   const auto number = numberOf(version);
   const auto wantedNumber = numberOf(wanted);
   if (number && wantedNumber) return *number < *wantedNumber;
@@ -28,14 +28,14 @@
 void WeightsHistory::name(const WeightsVersion& weights, std::optional<Instant> confirmedAt) {
   if (weights == newest_) return;
   const WeightsVersion before = std::exchange(newest_, weights);
-  if (confirmedAt) noteNewestAt(before, *confirmedAt);
+  if (confirmedAt) recordNewestAt(before, *confirmedAt);
 }
 
-void WeightsHistory::noteNewestAt(const WeightsVersion& weights, Instant at) {
+void WeightsHistory::recordNewestAt(const WeightsVersion& weights, Instant at) {
   if (weights == newest_) return;
   const auto [row, isNew] = newestAt_.try_emplace(weights, at);
   if (!isNew) row->second = std::max(row->second, at);
-  if (newestAt_.size() <= kMostSuperseded) return;
+  if (newestAt_.size() <= kMaxSupersededVersions) return;
   newestAt_.erase(
       std::min_element(newestAt_.begin(), newestAt_.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; }));
@@ -47,11 +47,11 @@
 
 Instant WeightsHistory::usableUntil(const WeightsVersion& weights, Duration bound) const {
   // Asked for each server at each placement; nearly always these are the newest.
-  if (weights == newest_ || !isBehind(weights, newest_)) return Instant::max();
+  if (weights == newest_ || !isOlderVersion(weights, newest_)) return Instant::max();
   // While an older version was the newest, this one was not superseded either.
   std::optional<Instant> newestAt;
   for (const auto& [version, at] : newestAt_) {
-    if (version != WeightsVersion{} && isBehind(weights, version)) continue;
+    if (version != WeightsVersion{} && isOlderVersion(weights, version)) continue;
     newestAt = newestAt ? std::max(*newestAt, at) : at;
   }
   return newestAt ? *newestAt + bound : Instant::min();
--- a/src/base/weights_version.h
+++ b/src/base/weights_version.h
@@ -13,7 +13,7 @@
 std::optional<std::uint64_t> numberOf(const WeightsVersion& version);
 
 // Versions that are numbers rise and never fall; any other is behind as soon as it differs.
-bool isBehind(const WeightsVersion& version, const WeightsVersion& wanted);
+bool isOlderVersion(const WeightsVersion& version, const WeightsVersion& wanted);
 
 // One model's versions: the newest, and for each older one an instant at which it was certainly
 // still the newest. The time that a version has left counts from there: it is superseded by the
@@ -27,7 +27,7 @@
   // `confirmedAt` for certain; nullopt: not known when.
   void name(const WeightsVersion& weights, std::optional<Instant> confirmedAt);
   // At `at`, `weights` were the newest for certain. Word of the newest version itself is not kept.
-  void noteNewestAt(const WeightsVersion& weights, Instant at);
+  void recordNewestAt(const WeightsVersion& weights, Instant at);
   // Drops what was superseded before `before`.
   void forgetBefore(Instant before);
 
@@ -40,7 +40,8 @@
 
  private:
   WeightsVersion newest_;
-  std::map<WeightsVersion, Instant> newestAt_;  // never falls for a version; kMostSuperseded rows
+  std::map<WeightsVersion, Instant>
+      newestAt_;  // never falls for a version; kMaxSupersededVersions rows
 };
 
 }  // namespace quayrill
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -29,7 +29,7 @@
 
 std::optional<TenantName> addKeyDigest(Configuration* configuration, const TenantName& tenant,
                                        const std::string& digest) {
-  const auto [owner, fresh] = configuration->tenantOfDigest.try_emplace(digest, tenant);
+  const auto [owner, fresh] = configuration->tenantByKeyDigest.try_emplace(digest, tenant);
   if (!fresh && owner->second != tenant) return owner->second;
   configuration->tenants[tenant].keyDigests.insert(digest);
   return std::nullopt;
@@ -65,8 +65,8 @@
   return nullptr;
 }
 
-bool saltFor(const Configuration& configuration, const TenantName& tenant, const std::string& asked,
-             CacheSalt* salt) {
+bool resolveCacheSalt(const Configuration& configuration, const TenantName& tenant,
+                      const std::string& asked, CacheSalt* salt) {
   const auto row = configuration.tenants.find(tenant);
   if (row == configuration.tenants.end()) return false;
   if (row->second.isolated) {
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -90,7 +90,7 @@
   std::map<PolicyName, RoutePolicy> policies;
   std::map<std::string, PolicyName> ways;  // path below /v1/ to policy
   std::map<ModelName, WeightsVersion> weights;
-  std::map<std::string, TenantName> tenantOfDigest;  // derived from tenants
+  std::map<std::string, TenantName> tenantByKeyDigest;  // derived from tenants
   std::vector<Route> routes;  // by host, then by falling length of the prefix
   std::map<ServiceName, Service> services;
   std::map<ServiceName, PartStore> stores;
@@ -126,7 +126,7 @@
 
 // The salt that a tenant's cache is kept under: its own if isolated, else what it asks for among
 // the shared ones. False: it asked for one it may not use.
-bool saltFor(const Configuration& configuration, const TenantName& tenant, const std::string& asked,
-             CacheSalt* salt);
+bool resolveCacheSalt(const Configuration& configuration, const TenantName& tenant,
+                      const std::string& asked, CacheSalt* salt);
 
 }  // namespace quayrill
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -101,7 +101,7 @@
     }
   }
   LOG(INFO) << program << " " QUAYRILL_VERSION " serves as " << settings.role;
-  if (const std::string off = settings.mechanisms.namesOff(); !off.empty())
+  if (const std::string off = settings.mechanisms.disabledNames(); !off.empty())
     LOG(WARNING) << "switched off: " << off;
   SettingsWatch watch(std::move(source), settings, [&agent](const Settings& changed) {
     if (agent) agent->takeSettings(changed);
--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -98,7 +98,7 @@
 }
 
 void Disk::countRow(const DiskWrite& write) {
-  const std::uint64_t hash = mixHash(stableHash(write.key), stableHash(write.bytes));
+  const std::uint64_t hash = combineHashes(stableHash(write.key), stableHash(write.bytes));
   std::uint64_t& row = rowHashes_[write.key];
   rowSum_ += hash - row;
   row = hash;
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -183,10 +183,10 @@
   StoreId store;  // the one that answers
   ReplicaSet replicas;
   std::vector<ConfirmedKey> keys;
-  std::vector<RegisterKey> withoutBody;  // of `keys`: the value's body was left out
-  bool listsKeys = false;                // allKeys was wanted and is whole
+  std::vector<RegisterKey> omittedBodies;  // of `keys`: the value's body was left out
+  bool hasAllKeys = false;                 // allKeys was wanted and is whole
   std::vector<RegisterKey> allKeys;
-  QUAYRILL_FIELDS(sequence, asked, store, replicas, keys, withoutBody, listsKeys, allKeys)
+  QUAYRILL_FIELDS(sequence, asked, store, replicas, keys, omittedBodies, hasAllKeys, allKeys)
 };
 // fleet: the fleet that the asker would found; 0 where it only asks for one that exists.
 struct FoundingRequest {
@@ -239,12 +239,12 @@
 // with.
 struct ServerListResponse {
   std::uint64_t sequence = 0;
-  std::int64_t heldMicros = 0;  // that the question was kept
-  std::int64_t ageMicros = 0;   // since the reading began
-  std::uint64_t digest = 0;     // of the reading's rows
+  std::int64_t waitedMicros = 0;  // that the question was kept
+  std::int64_t ageMicros = 0;     // since the reading began
+  std::uint64_t digest = 0;       // of the reading's rows
   std::vector<ListedServer> rows;
   std::vector<SupersededWeights> superseded;
-  QUAYRILL_FIELDS(sequence, heldMicros, ageMicros, digest, rows, superseded)
+  QUAYRILL_FIELDS(sequence, waitedMicros, ageMicros, digest, rows, superseded)
 };
 // Who orders weights tells all daemons at once what it knows of a server. Notes of one server are
 // ordered by (fence, sequence).
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -39,12 +39,13 @@
   std::uint64_t name = 1;
   const std::size_t shared =
       prefix.parts.size() > 1 ? prefix.parts.size() - 1 : prefix.parts.size();
-  for (std::size_t i = 0; i < shared; ++i) name = mixHash(name, stableHash(prefix.parts[i].id));
+  for (std::size_t i = 0; i < shared; ++i)
+    name = combineHashes(name, stableHash(prefix.parts[i].id));
   return name;
 }
 
 std::uint64_t tieOf(const ServerName& server, std::uint64_t tieName) {
-  return mixHash(stableHash(server.value), tieName);
+  return combineHashes(stableHash(server.value), tieName);
 }
 
 // The last part is a prompt's own, or its session's.
@@ -90,14 +91,14 @@
   for (const Option& option : options) {
     const ServerState& state = option.row->state;
     const auto [entry, isFirst] = newest.try_emplace(state.model, state.weights);
-    if (!isFirst && entry->second != state.weights && isBehind(entry->second, state.weights))
+    if (!isFirst && entry->second != state.weights && isOlderVersion(entry->second, state.weights))
       entry->second = state.weights;
   }
   for (Option& option : options) {
     const ServerState& state = option.row->state;
     const WeightsVersion& best = newest.at(state.model);
     option.candidate.isNewest =
-        state.weights == best || !numberOf(state.weights) || !isBehind(state.weights, best);
+        state.weights == best || !numberOf(state.weights) || !isOlderVersion(state.weights, best);
   }
 }
 
--- a/src/placement/prefix.cpp
+++ b/src/placement/prefix.cpp
@@ -62,7 +62,7 @@
     const std::uint64_t partName = stableHash(part.id);
     for (std::size_t offset = 0; offset < part.tokens;) {
       const std::size_t take = std::min<std::size_t>(blockTokens - filled, part.tokens - offset);
-      name = mixHash(mixHash(mixHash(name, partName), offset), take);
+      name = combineHashes(combineHashes(combineHashes(name, partName), offset), take);
       filled += take;
       offset += take;
       if (filled == blockTokens) {
--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -24,8 +24,8 @@
   const std::string authorization = headerOf(request, "Authorization");
   if (authorization.rfind("Bearer ", 0) != 0) return Error{ErrorKind::UnknownKey, "no bearer key"};
   job->digest = keyDigest(authorization.substr(7));
-  const auto owner = seen.configuration->tenantOfDigest.find(job->digest);
-  if (owner == seen.configuration->tenantOfDigest.end())
+  const auto owner = seen.configuration->tenantByKeyDigest.find(job->digest);
+  if (owner == seen.configuration->tenantByKeyDigest.end())
     return Error{ErrorKind::UnknownKey, "the key is of no tenant"};
   job->tenant = owner->second;
   const auto way =
@@ -42,7 +42,7 @@
   if (salt.size() > 64 || !std::all_of(salt.begin(), salt.end(), isSaltLetter))
     return Error{ErrorKind::MalformedRequest,
                  "Quayrill-Cache-Salt: at most 64 of A-Z a-z 0-9 . _ - :"};
-  if (!saltFor(*seen.configuration, job->tenant, salt, &job->salt))
+  if (!resolveCacheSalt(*seen.configuration, job->tenant, salt, &job->salt))
     return Error{ErrorKind::ForbiddenSalt, "the salt belongs to isolated tenants"};
   auto prefix = parsePrefix(headerOf(request, wire::kPrefix));
   if (!prefix.ok())
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -74,7 +74,7 @@
 bool Proxy::mayRun(const Job& job, const ServerState& server) const {
   const auto seen = view();
   if (!isFresh(*seen, BootClock::now())) return false;
-  if (!seen->configuration->tenantOfDigest.contains(job.digest)) return false;
+  if (!seen->configuration->tenantByKeyDigest.contains(job.digest)) return false;
   for (const ServerState& row : seen->servers) {
     if (row.name == server.name)
       return !row.leaving &&
--- a/src/radix/radix_tree.cpp
+++ b/src/radix/radix_tree.cpp
@@ -47,7 +47,7 @@
 
 std::uint64_t RadixTree::firstHash(std::span<const Token> key) const {
   std::uint64_t hash = 0;
-  for (std::size_t i = 0; i < granule_; ++i) hash = mixHash(hash, key[i]);
+  for (std::size_t i = 0; i < granule_; ++i) hash = combineHashes(hash, key[i]);
   return hash;
 }
 
--- a/src/register/replica.cpp
+++ b/src/register/replica.cpp
@@ -169,11 +169,11 @@
     }
     if (!message.wantsBodies && key == kConfigurationKey && held.value.body.size() > kSmallBody) {
       held.value.body.clear();
-      answer.withoutBody.push_back(key);
+      answer.omittedBodies.push_back(key);
     }
     answer.keys.push_back(std::move(held));
   }
-  answer.listsKeys = message.wantsKeys;
+  answer.hasAllKeys = message.wantsKeys;
   if (message.wantsKeys) {
     for (const auto& [key, slot] : slots_) answer.allKeys.push_back(key);
   }
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -88,8 +88,8 @@
   std::optional<unsigned> tenantPriority;
   if (job->needsKey) {
     job->keyDigest = keyDigest(headerOf(request, names_.key));
-    const auto owner = configuration.tenantOfDigest.find(job->keyDigest);
-    if (owner == configuration.tenantOfDigest.end())
+    const auto owner = configuration.tenantByKeyDigest.find(job->keyDigest);
+    if (owner == configuration.tenantByKeyDigest.end())
       return deny(ErrorKind::UnknownKey, "the key is of no tenant");
     job->tenant = owner->second;
     const Tenant& tenant = configuration.tenants.at(job->tenant);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -87,8 +87,8 @@
   if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.stalenessLimit)
     return false;
   if (job.needsKey) {
-    const auto owner = seen.configuration->tenantOfDigest.find(job.keyDigest);
-    if (owner == seen.configuration->tenantOfDigest.end() || owner->second != job.tenant)
+    const auto owner = seen.configuration->tenantByKeyDigest.find(job.keyDigest);
+    if (owner == seen.configuration->tenantByKeyDigest.end() || owner->second != job.tenant)
       return false;
   }
   const auto row = viewRows_.find(server.name);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -180,7 +180,7 @@
   settings.peerRelay = Address{text("cohort_via")};
   settings.placement = fields.value("placement", settings.placement);
   settings.fetch = fields.value("fetch", "on") == "on";
-  const auto mechanisms = mechanismsWithout(text("without"));
+  const auto mechanisms = parseDisabledMechanisms(text("without"));
   if (!mechanisms.ok()) return bad("without", std::string(mechanisms.status().message()));
   settings.mechanisms = *mechanisms;
   if (auto status = readLosses(fields, &settings); !status.ok()) return status;
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -317,9 +317,9 @@
     schedule(std::move(later));
     return;
   }
-  traceHash_ =
-      mixHash(traceHash_, mixHash(static_cast<std::uint64_t>(event.at.time_since_epoch().count()),
-                                  event.machine * 8 + static_cast<std::uint64_t>(event.kind)));
+  traceHash_ = combineHashes(
+      traceHash_, combineHashes(static_cast<std::uint64_t>(event.at.time_since_epoch().count()),
+                                event.machine * 8 + static_cast<std::uint64_t>(event.kind)));
   ++tally_.events;
   AgentEffects effects;
   switch (event.kind) {
--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -89,7 +89,7 @@
   CHECK(away.chosenServer.name != home);
   CHECK(away.fetchFrom.value == home.value);
   PlacementSettings without = relaySettings();
-  without.mechanisms.switchOff(Mechanism::HomeFetch);
+  without.mechanisms.disable(Mechanism::HomeFetch);
   Fleet fourth(5, without);
   fourth.tell(home, 900000);
   CHECK(fourth.served("rules:13312,d:4096").fetchFrom.value.empty());
--- a/tests/configuration_tests.cpp
+++ b/tests/configuration_tests.cpp
@@ -28,7 +28,7 @@
                         R"({"c":{"model":"till","repeatable":false}})", R"({"w":"c"})");
   const auto configuration = parseConfiguration(good);
   REQUIRE(configuration.ok());
-  CHECK(configuration->tenantOfDigest.at(kDigest).value == "a");
+  CHECK(configuration->tenantByKeyDigest.at(kDigest).value == "a");
   CHECK_FALSE(configuration->policies.at(PolicyName{"c"}).repeatable);
   CHECK(pathOfError("{") == "/");
   CHECK(pathOfError(configurationWith("{}", R"({"c":{"model":"no","repeatable":true}})", "{}")) ==
@@ -54,11 +54,11 @@
       parseConfiguration(configurationWith(R"({"iso":{"isolated":true},"open":{}})", "{}", "{}"));
   REQUIRE(configuration.ok());
   CacheSalt isolated, shared;
-  REQUIRE(saltFor(*configuration, TenantName{"iso"}, "", &isolated));
+  REQUIRE(resolveCacheSalt(*configuration, TenantName{"iso"}, "", &isolated));
   CHECK(isolated.value == "tenant:iso");
-  CHECK_FALSE(saltFor(*configuration, TenantName{"open"}, isolated.value, &shared));
-  CHECK_FALSE(saltFor(*configuration, TenantName{"iso"}, "tenant:other", &isolated));
-  REQUIRE(saltFor(*configuration, TenantName{"open"}, "", &shared));
+  CHECK_FALSE(resolveCacheSalt(*configuration, TenantName{"open"}, isolated.value, &shared));
+  CHECK_FALSE(resolveCacheSalt(*configuration, TenantName{"iso"}, "tenant:other", &isolated));
+  REQUIRE(resolveCacheSalt(*configuration, TenantName{"open"}, "", &shared));
   CHECK(shared.value.empty());
 }
 
--- a/tests/mechanisms_tests.cpp
+++ b/tests/mechanisms_tests.cpp
@@ -9,19 +9,19 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("mechanisms: named ones are off, all others on") {
-  const auto none = mechanismsWithout("");
+  const auto none = parseDisabledMechanisms("");
   REQUIRE(none.ok());
-  CHECK(none->namesOff().empty());
-  const auto two = mechanismsWithout("locks,peer-fetch");
+  CHECK(none->disabledNames().empty());
+  const auto two = parseDisabledMechanisms("locks,peer-fetch");
   REQUIRE(two.ok());
   CHECK_FALSE(two->has(Mechanism::Locks));
   CHECK_FALSE(two->has(Mechanism::PeerFetch));
   CHECK(two->has(Mechanism::Events));
-  CHECK(two->namesOff() == "locks,peer-fetch");
+  CHECK(two->disabledNames() == "locks,peer-fetch");
 }
 
 TEST_CASE("mechanisms: an unknown name is refused with those that exist") {
-  const auto unknown = mechanismsWithout("locks,lock");
+  const auto unknown = parseDisabledMechanisms("locks,lock");
   REQUIRE_FALSE(unknown.ok());
   const std::string why(unknown.status().message());
   CHECK(why.find("'lock'") != std::string::npos);
@@ -42,7 +42,7 @@
 
 TEST_CASE("mechanisms: without the longest match a kept prefix pulls nothing") {
   PlacementSettings settings{16};
-  settings.mechanisms.switchOff(Mechanism::LongestMatch);
+  settings.mechanisms.disable(Mechanism::LongestMatch);
   Placement placement(settings);
   std::vector<ServerState> servers(3);
   for (std::size_t i = 0; i < servers.size(); ++i) {
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -104,7 +104,7 @@
   CHECK(shelf.zone == "cais");
   CHECK(shelf.cacheTokens == 6934830);
   CHECK(shelf.eventReaders == 9);
-  CHECK(configuration.tenantOfDigest.at(keyDigest("two")).value == "kaje80");
+  CHECK(configuration.tenantByKeyDigest.at(keyDigest("two")).value == "kaje80");
   CHECK(configuration.tenants.at(TenantName{"kaje80"}).priority == 1U);
   CHECK(configuration.tenants.at(TenantName{"kaje80"}).isolated);
   CHECK_FALSE(configuration.tenants.at(TenantName{"open"}).priority);
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -49,8 +49,8 @@
     configuration.weights[ModelName{"m"}] = WeightsVersion{"1"};
     configuration.tenants[TenantName{"north"}] = {};
     configuration.tenants[TenantName{"hill"}].isolated = true;
-    configuration.tenantOfDigest[keyDigest("key")] = TenantName{"north"};
-    configuration.tenantOfDigest[keyDigest("hill-key")] = TenantName{"hill"};
+    configuration.tenantByKeyDigest[keyDigest("key")] = TenantName{"north"};
+    configuration.tenantByKeyDigest[keyDigest("hill-key")] = TenantName{"hill"};
     addRoute("/once/", false, 1);
     addRoute("/twice/", false, 2);
     addRoute("/again/", true, 2);
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -34,9 +34,9 @@
 }
 
 TEST_CASE("notes: versions without an order are believed only until the list must show them") {
-  CHECK(isBehind(WeightsVersion{"9"}, WeightsVersion{"10"}));
-  CHECK_FALSE(isBehind(WeightsVersion{"10"}, WeightsVersion{"9"}));
-  CHECK(isBehind(WeightsVersion{"w2"}, WeightsVersion{"w1"}));
+  CHECK(isOlderVersion(WeightsVersion{"9"}, WeightsVersion{"10"}));
+  CHECK_FALSE(isOlderVersion(WeightsVersion{"10"}, WeightsVersion{"9"}));
+  CHECK(isOlderVersion(WeightsVersion{"w2"}, WeightsVersion{"w1"}));
   ServerNotes notes;
   const Instant now{10s};
   notes.take(
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -35,11 +35,11 @@
   CHECK(restarted.usableUntil(kTwo, kBound) == Instant::min());
   CHECK(restarted.usableUntil(kThree, kBound) == Instant::max());
   // While an older version was the newest, no later one was superseded.
-  restarted.noteNewestAt(kOne, kNow);
+  restarted.recordNewestAt(kOne, kNow);
   CHECK(restarted.usableUntil(kTwo, kBound) == kNow + 15s);
   CHECK(restarted.usableUntil(WeightsVersion{"0"}, kBound) == Instant::min());
-  restarted.noteNewestAt(kTwo, kNow + 4s);
-  restarted.noteNewestAt(kTwo, kNow + 2s);  // tells less
+  restarted.recordNewestAt(kTwo, kNow + 4s);
+  restarted.recordNewestAt(kTwo, kNow + 2s);  // tells less
   CHECK(restarted.usableUntil(kTwo, kBound) == kNow + 19s);
   CHECK(restarted.usableUntil(kOne, kBound) == kNow + 15s);
   restarted.forgetBefore(kNow + 1s);
@@ -54,7 +54,7 @@
   for (const WeightsVersion& version : {kOne, kTwo, kThree})
     CHECK(history.usableUntil(version, kBound) == kNow + 15s);
   // Another daemon saw more.
-  history.noteNewestAt(kThree, kNow + 300ms);
+  history.recordNewestAt(kThree, kNow + 300ms);
   CHECK(history.usableUntil(kThree, kBound) == kNow + 15300ms);
   CHECK(history.usableUntil(kTwo, kBound) == kNow + 15s);
 }
