--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -169,7 +169,7 @@
     while (script.step(mine)) {
     }
     CHECK(mine.done()->result == UpdateResult::Unknown);
-    CHECK(platform::answerOf(*mine.done()).result_int() == 504);
+    CHECK(platform::responseFor(*mine.done()).result_int() == 504);
   }
 }
 
@@ -197,7 +197,7 @@
   while (script.step(mine)) {
   }
   CHECK(mine.done()->result == UpdateResult::Unknown);
-  CHECK(platform::answerOf(*mine.done()).result_int() == 504);
+  CHECK(platform::responseFor(*mine.done()).result_int() == 504);
 }
 
 TEST_CASE("amend: a register that does not answer took nothing, and it is said in time") {
@@ -239,7 +239,7 @@
 
 TEST_CASE("platform calls: each outcome has its status, and the version header is read strictly") {
   const auto statusOf = [](UpdateResult result) {
-    return platform::answerOf({result, "why"}).result_int();
+    return platform::responseFor({result, "why"}).result_int();
   };
   CHECK(statusOf(UpdateResult::Taken) == 200);
   CHECK(statusOf(UpdateResult::AlreadyTaken) == 200);
@@ -247,7 +247,8 @@
   CHECK(statusOf(UpdateResult::Stale) == 412);
   CHECK(statusOf(UpdateResult::TooLarge) == 413);
   CHECK(statusOf(UpdateResult::NotTaken) == 503);
-  CHECK_FALSE(platform::answerOf({UpdateResult::NotTaken, ""})[http::field::retry_after].empty());
+  CHECK_FALSE(
+      platform::responseFor({UpdateResult::NotTaken, ""})[http::field::retry_after].empty());
   const auto basis = [](const std::string& text) {
     HttpRequest request;
     if (!text.empty()) request.set(http::field::if_match, text);
