--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -34,7 +34,7 @@
   if (entry == rows_.end() || entry->second.note.identity != identity) return {shown, false};
   const Row& row = entry->second;
   const bool told = row.reached != WeightsVersion{} && isOlderVersion(shown, row.reached);
-  const bool numbered = numberOf(row.reached) && numberOf(shown);
+  const bool numbered = versionNumber(row.reached) && versionNumber(shown);
   const bool newer = told && (numbered || now - row.reachedAt < kUnorderedSpan);
   return {newer ? row.reached : shown, row.note.switching && now - row.at < kSwitchingSpan};
 }
--- a/src/base/weights_version.cpp
+++ b/src/base/weights_version.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxSupersededVersions = 64;
 }  // namespace
 
-std::optional<std::uint64_t> numberOf(const WeightsVersion& version) {
+std::optional<std::uint64_t> versionNumber(const WeightsVersion& version) {
   std::uint64_t number = 0;
   const std::string& text = version.value;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -19,8 +19,8 @@
 }
 
 bool isOlderVersion(const WeightsVersion& version, const WeightsVersion& wanted) {
-  const auto number = numberOf(version);
-  const auto wantedNumber = numberOf(wanted);
+  const auto number = versionNumber(version);
+  const auto wantedNumber = versionNumber(wanted);
   if (number && wantedNumber) return *number < *wantedNumber;
   return version != wanted;
 }
--- a/src/base/weights_version.h
+++ b/src/base/weights_version.h
@@ -10,7 +10,7 @@
 namespace quayrill {
 
 // The version as a number; nullopt where it is no plain decimal number.
-std::optional<std::uint64_t> numberOf(const WeightsVersion& version);
+std::optional<std::uint64_t> versionNumber(const WeightsVersion& version);
 
 // Versions that are numbers rise and never fall; any other is behind as soon as it differs.
 bool isOlderVersion(const WeightsVersion& version, const WeightsVersion& wanted);
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -97,8 +97,8 @@
   for (Option& option : options) {
     const ServerState& state = option.row->state;
     const WeightsVersion& best = newest.at(state.model);
-    option.candidate.isNewest =
-        state.weights == best || !numberOf(state.weights) || !isOlderVersion(state.weights, best);
+    option.candidate.isNewest = state.weights == best || !versionNumber(state.weights) ||
+                                !isOlderVersion(state.weights, best);
   }
 }
 
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -76,7 +76,7 @@
     const bool known = !row.state.identity.value.empty();
     const bool sameLife = known && row.state.identity == server.identity;
     const bool older = sameLife && isOlderVersion(server.weights, row.state.weights) &&
-                       row.state.model == server.model && numberOf(server.weights);
+                       row.state.model == server.model && versionNumber(server.weights);
     if (known && server.healthy && (!sameLife || (row.state.weights != server.weights && !older))) {
       dropTree(row);
       if (row.state.identity != server.identity) {
