--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -25,10 +25,10 @@
 
 awaitable<UpdateOutcome> Agent::updateConfiguration(Update change) {
   if (!hearsRegister())
-    co_return UpdateOutcome{UpdateResult::NotTaken,
+    co_return UpdateOutcome{UpdateResult::NotApplied,
                             "no majority of register replicas is heard here"};
   if (!hasReplicasToSpare())
-    co_return UpdateOutcome{UpdateResult::NotTaken,
+    co_return UpdateOutcome{UpdateResult::NotApplied,
                             "too few register replicas to survive the loss of one"};
   UpdateOperation updateOperation(std::move(change), kRegisterBodyLimit,
                                   BootClock::now() + kUpdateDue);
@@ -38,7 +38,7 @@
     const ChangeDone answer = co_await ask(*asked);
     updateOperation.onAnswer(answer);
   }
-  if (updateOperation.done()->result == UpdateResult::Taken)
+  if (updateOperation.done()->result == UpdateResult::Applied)
     LOG(INFO) << "change of the configuration acknowledged";
   co_return *updateOperation.done();
 }
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -23,7 +23,7 @@
 ChangeStatus classifyChange(const SubmittedChange& sent, const AppliedChanges& taken,
                             std::uint64_t forgotten, std::uint64_t current) {
   const AppliedChange change{sent.number, sent.digest};
-  if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStatus::Taken;
+  if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStatus::Applied;
   if (sent.basis == current) return ChangeStatus::New;
   const bool mayBeForgotten = sent.basis < forgotten && sent.number <= forgotten;
   return mayBeForgotten ? ChangeStatus::Forgotten : ChangeStatus::Stale;
--- a/src/configuration/update.h
+++ b/src/configuration/update.h
@@ -55,7 +55,7 @@
 };
 enum class ChangeStatus {
   New,        // it builds on what stands
-  Taken,      // before
+  Applied,    // before
   Stale,      // another version stands; it was never taken
   Forgotten,  // another version stands; whether it was taken before is not remembered
 };
@@ -73,13 +73,13 @@
     std::function<absl::StatusOr<std::optional<std::string>>(const std::string& standing)>;
 
 enum class UpdateResult {
-  Taken,         // in the register
-  AlreadyTaken,  // was in the register before
-  Refused,       // not allowed; never takes effect
-  Stale,         // a settled read showed that another version stands; never takes effect
-  TooLarge,      // never takes effect
-  NotTaken,      // the register did not answer; never takes effect
-  Unknown,       // it may be taken or not
+  Applied,         // in the register
+  AlreadyApplied,  // was in the register before
+  Rejected,        // not allowed; never takes effect
+  Stale,           // a settled read showed that another version stands; never takes effect
+  TooLarge,        // never takes effect
+  NotApplied,      // the register did not answer; never takes effect
+  Unknown,         // it may be taken or not
 };
 
 struct UpdateOutcome {
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -61,7 +61,7 @@
   ended.order = order();
   ended.result = result;
   effects->observed.push_back(ended);
-  const bool mayHold = result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken ||
+  const bool mayHold = result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied ||
                        result == UpdateResult::Unknown;
   if (mayHold || writes_.empty()) return;
   Observed dead;
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 bool isYes(UpdateResult result) {
-  return result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken;
+  return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
 }
 bool isNo(UpdateResult result) {
-  return result == UpdateResult::Refused || result == UpdateResult::Stale ||
+  return result == UpdateResult::Rejected || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
 std::string versionName(const Observed& seen) {
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -34,7 +34,7 @@
     const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
     const SubmittedChange sent{order.basis + 1, order.basis, digest};
     const ChangeStatus standingOfOrder = classifyChange(sent, taken, kNoneForgotten, number);
-    if (!judgesResendsAsNew && standingOfOrder == ChangeStatus::Taken)
+    if (!judgesResendsAsNew && standingOfOrder == ChangeStatus::Applied)
       return std::optional<std::string>{};
     if (number != order.basis)
       return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -23,7 +23,7 @@
   const Instant due = due_ - (step_ == Step::Reading ? kChangeShare : kSettleShare);
   // Whatever was proposed before is ruled out here: by its own result, or by a settled read.
   if (now >= due) {
-    finish(UpdateResult::NotTaken, "no time is left to change the register");
+    finish(UpdateResult::NotApplied, "no time is left to change the register");
     return std::nullopt;
   }
   if (step_ == Step::Reading) return ChangeAsked{{}, kConfigurationKey, true, 0, {}, {}, due};
@@ -38,17 +38,17 @@
     else if (step_ == Step::Settling)
       finish(UpdateResult::Unknown, "no majority of register replicas answered after the change");
     else
-      finish(UpdateResult::NotTaken, "no majority of register replicas answered");
+      finish(UpdateResult::NotApplied, "no majority of register replicas answered");
     return;
   }
   switch (answer.result) {
     case ChangeResult::Chosen:
-      return finish(UpdateResult::Taken);
+      return finish(UpdateResult::Applied);
     case ChangeResult::Conflict:
       step_ = Step::Reading;
       return;
     case ChangeResult::NotTried:
-      return finish(UpdateResult::NotTaken, "no majority of register replicas answered");
+      return finish(UpdateResult::NotApplied, "no majority of register replicas answered");
     case ChangeResult::Unknown:
       step_ = Step::Settling;
       return;
@@ -61,7 +61,7 @@
     const std::string why(body.status().message());
     switch (body.status().code()) {
       case absl::StatusCode::kInvalidArgument:
-        return finish(UpdateResult::Refused, why);
+        return finish(UpdateResult::Rejected, why);
       case absl::StatusCode::kFailedPrecondition:
         return finish(UpdateResult::Stale, why);
       case absl::StatusCode::kResourceExhausted:
@@ -69,10 +69,10 @@
       case absl::StatusCode::kUnknown:
         return finish(UpdateResult::Unknown, why);
       default:  // what stands can't be read here
-        return finish(UpdateResult::NotTaken, why);
+        return finish(UpdateResult::NotApplied, why);
     }
   }
-  if (!*body) return finish(UpdateResult::AlreadyTaken);
+  if (!*body) return finish(UpdateResult::AlreadyApplied);
   if ((*body)->size() > bodyLimit_)
     return finish(UpdateResult::TooLarge,
                   "the configuration would have " + std::to_string((*body)->size()) +
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -13,10 +13,10 @@
 constexpr Duration kStep = 5ms;
 
 bool isYes(UpdateResult result) {
-  return result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken;
+  return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
 }
 bool isNo(UpdateResult result) {
-  return result == UpdateResult::Refused || result == UpdateResult::Stale ||
+  return result == UpdateResult::Rejected || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
 }  // namespace
@@ -49,7 +49,7 @@
     ChainBody body = readChain(standing);
     if (forgetting) body.taken.clear();
     switch (classifyChange(order, body.taken, body.forgotten, body.number)) {
-      case ChangeStatus::Taken:
+      case ChangeStatus::Applied:
         return std::nullopt;
       case ChangeStatus::Stale:
         return absl::FailedPreconditionError("another version stands");
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -82,31 +82,31 @@
 
 TEST_CASE("amend: the same change comes twice, also behind later ones") {
   Script script;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Taken);
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyTaken);
-  CHECK(script.carry(onTop(3, 5)) == UpdateResult::Taken);
-  CHECK(script.carry(onTop(5, 6)) == UpdateResult::Taken);
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyTaken);
-  CHECK(script.carry(onTop(3, 5)) == UpdateResult::AlreadyTaken);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
+  CHECK(script.carry(onTop(3, 5)) == UpdateResult::Applied);
+  CHECK(script.carry(onTop(5, 6)) == UpdateResult::Applied);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
+  CHECK(script.carry(onTop(3, 5)) == UpdateResult::AlreadyApplied);
   CHECK(script.value.version == 3);
   CHECK(script.changes == 3);
 }
 
 TEST_CASE("amend: what may not be is never proposed") {
   Script script;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Taken);
-  CHECK(script.carry(onTop(3, 3, "other")) == UpdateResult::Refused);
-  CHECK(script.carry(onTop(3, 2)) == UpdateResult::Refused);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
+  CHECK(script.carry(onTop(3, 3, "other")) == UpdateResult::Rejected);
+  CHECK(script.carry(onTop(3, 2)) == UpdateResult::Rejected);
   CHECK(script.carry(onTop(0, 9)) == UpdateResult::Stale);
   CHECK(script.carry(onTop(2, 9)) == UpdateResult::Stale);
   CHECK(script.carry(*platform::configPatch(
             R"({"gen":9,"upsert":{"backends":[{"name":"x"}]},"remove":{"backends":["b"]}})", 3)) ==
-        UpdateResult::Refused);
+        UpdateResult::Rejected);
   const std::string large(kLimit, 'x');
   CHECK(script.carry(onTop(3, 9, large)) == UpdateResult::TooLarge);
   CHECK(script.changes == 1);
   script.value.body = "{\"of\":\"another build\"}";
-  CHECK(script.carry(onTop(3, 9)) == UpdateResult::NotTaken);
+  CHECK(script.carry(onTop(3, 9)) == UpdateResult::NotApplied);
   CHECK(script.changes == 1);
 }
 
@@ -121,9 +121,9 @@
     while (script.step(*each)) {
     }
   }
-  CHECK(first.done()->result == UpdateResult::Taken);
+  CHECK(first.done()->result == UpdateResult::Applied);
   CHECK(second.done()->result == UpdateResult::Stale);
-  CHECK(firstAgain.done()->result == UpdateResult::AlreadyTaken);
+  CHECK(firstAgain.done()->result == UpdateResult::AlreadyApplied);
   CHECK(script.reads == 5);  // the two that lost read again before they say so
   CHECK(script.value.version == 1);
 }
@@ -132,12 +132,12 @@
   Script script;
   SECTION("it was taken") {
     script.fates = {Fate::TakenUnheard};
-    CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyTaken);
+    CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
     CHECK(script.value.version == 1);
   }
   SECTION("it was not, and no time is left") {
     script.fates = {Fate::LostUnheard};
-    CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotTaken);
+    CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
     CHECK(script.value.version == 0);
   }
   SECTION("another one was taken meanwhile") {
@@ -155,10 +155,10 @@
     REQUIRE(script.step(mine));
     script.fates = {Fate::TakenUnheard};
     REQUIRE(script.step(mine));
-    CHECK(script.carry(onTop(3, 4, "b")) == UpdateResult::Taken);
+    CHECK(script.carry(onTop(3, 4, "b")) == UpdateResult::Applied);
     while (script.step(mine)) {
     }
-    CHECK(mine.done()->result == UpdateResult::AlreadyTaken);
+    CHECK(mine.done()->result == UpdateResult::AlreadyApplied);
   }
   SECTION("the read fails too") {
     UpdateOperation mine(onTop(0, 3), kLimit, script.now + kDue);
@@ -176,11 +176,11 @@
 TEST_CASE("amend: a resend whose change is forgotten has no clear answer, and is not proposed") {
   Script script;
   for (std::uint64_t basis = 0; basis < kMaxAppliedChanges + 5; ++basis)
-    REQUIRE(script.carry(onTop(basis, basis + 1)) == UpdateResult::Taken);
+    REQUIRE(script.carry(onTop(basis, basis + 1)) == UpdateResult::Applied);
   const std::size_t changes = script.changes;
   CHECK(script.carry(onTop(2, 3)) == UpdateResult::Unknown);
   CHECK(script.carry(onTop(2, 3, "rival")) == UpdateResult::Unknown);
-  CHECK(script.carry(onTop(5, 6)) == UpdateResult::AlreadyTaken);
+  CHECK(script.carry(onTop(5, 6)) == UpdateResult::AlreadyApplied);
   CHECK(script.carry(onTop(5, 6, "rival")) == UpdateResult::Stale);
   CHECK(script.carry(onTop(2, kMaxAppliedChanges + 9)) == UpdateResult::Stale);
   CHECK(script.changes == changes);
@@ -193,7 +193,7 @@
   script.fates = {Fate::TakenUnheard};
   REQUIRE(script.step(mine));
   for (std::uint64_t basis = 1; basis < kMaxAppliedChanges + 5; ++basis)
-    REQUIRE(script.carry(onTop(basis, basis + 1, "b")) == UpdateResult::Taken);
+    REQUIRE(script.carry(onTop(basis, basis + 1, "b")) == UpdateResult::Applied);
   while (script.step(mine)) {
   }
   CHECK(mine.done()->result == UpdateResult::Unknown);
@@ -204,13 +204,13 @@
   Script script;
   const Instant begun = script.now;
   script.readable = false;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotTaken);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
   CHECK(script.changes == 0);
   CHECK(script.now - begun <= kDue);
   script.readable = true;
   script.fates = {Fate::NotTried};
   const Instant later = script.now;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotTaken);
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
   CHECK(script.value.version == 0);
   CHECK(script.now - later <= kDue);
 }
@@ -220,8 +220,8 @@
   const auto named = [](int generation) {
     return *platform::weightsUpdate(R"({"model":"m","gen":)" + std::to_string(generation) + "}");
   };
-  CHECK(script.carry(named(2)) == UpdateResult::Refused);  // no service names it yet
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Taken);
+  CHECK(script.carry(named(2)) == UpdateResult::Rejected);  // no service names it yet
+  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
   UpdateOperation low(named(2), kLimit, script.now + kDue),
       high(named(3), kLimit, script.now + kDue);
   REQUIRE(script.step(low));
@@ -230,10 +230,10 @@
     while (script.step(*each)) {
     }
   }
-  CHECK(high.done()->result == UpdateResult::Taken);
-  CHECK(low.done()->result == UpdateResult::AlreadyTaken);
+  CHECK(high.done()->result == UpdateResult::Applied);
+  CHECK(low.done()->result == UpdateResult::AlreadyApplied);
   CHECK(platform::readConfiguration(script.value.body)->weights.at(ModelName{"m"}).value == "3");
-  CHECK(script.carry(onTop(3, 4)) == UpdateResult::Taken);
+  CHECK(script.carry(onTop(3, 4)) == UpdateResult::Applied);
   CHECK(platform::readConfiguration(script.value.body)->weights.at(ModelName{"m"}).value == "3");
 }
 
@@ -241,14 +241,14 @@
   const auto statusOf = [](UpdateResult result) {
     return platform::responseFor({result, "why"}).result_int();
   };
-  CHECK(statusOf(UpdateResult::Taken) == 200);
-  CHECK(statusOf(UpdateResult::AlreadyTaken) == 200);
-  CHECK(statusOf(UpdateResult::Refused) == 400);
+  CHECK(statusOf(UpdateResult::Applied) == 200);
+  CHECK(statusOf(UpdateResult::AlreadyApplied) == 200);
+  CHECK(statusOf(UpdateResult::Rejected) == 400);
   CHECK(statusOf(UpdateResult::Stale) == 412);
   CHECK(statusOf(UpdateResult::TooLarge) == 413);
-  CHECK(statusOf(UpdateResult::NotTaken) == 503);
+  CHECK(statusOf(UpdateResult::NotApplied) == 503);
   CHECK_FALSE(
-      platform::responseFor({UpdateResult::NotTaken, ""})[http::field::retry_after].empty());
+      platform::responseFor({UpdateResult::NotApplied, ""})[http::field::retry_after].empty());
   const auto basis = [](const std::string& text) {
     HttpRequest request;
     if (!text.empty()) request.set(http::field::if_match, text);
@@ -328,7 +328,7 @@
       REQUIRE(b3.updateOperation.done());
       const auto isYes = [](const Call& call) {
         const UpdateResult result = call.updateOperation.done()->result;
-        return result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken;
+        return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
       };
       const auto isNo = [](const Call& call) {
         return call.updateOperation.done()->result == UpdateResult::Stale;
