--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -178,7 +178,7 @@
     const PartStore& store = configuration_->stores.begin()->second;
     sources.push_back({ServerName{store.address.value}, store.zone});
   }
-  const bool isShared = settings_.mechanisms.has(Mechanism::SharedEvents);
+  const bool isShared = settings_.mechanisms.isEnabled(Mechanism::SharedEvents);
   eventSources_ = isShared ? core_->eventSources(sources, now) : allOf(sources);
 }
 
--- a/src/base/mechanisms.cpp
+++ b/src/base/mechanisms.cpp
@@ -32,7 +32,7 @@
 std::string Mechanisms::disabledNames() const {
   std::vector<std::string_view> names;
   for (const Description& row : kDescriptions) {
-    if (!has(row.mechanism)) names.push_back(row.name);
+    if (!isEnabled(row.mechanism)) names.push_back(row.name);
   }
   return joined(names);
 }
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -38,7 +38,7 @@
 // The mechanisms that are on. All of them at first.
 class Mechanisms {
  public:
-  bool has(Mechanism mechanism) const { return !off_[static_cast<std::size_t>(mechanism)]; }
+  bool isEnabled(Mechanism mechanism) const { return !off_[static_cast<std::size_t>(mechanism)]; }
   void disable(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
   // The names of those that are off, split by commas; "" where all are on.
   std::string disabledNames() const;
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -112,7 +112,7 @@
                              ? mean * settings_.spreadFactor + settings_.spreadRequests / slots
                              : mean + kSpreadMargin;
     option.candidate.capped =
-        has(Mechanism::SpreadBound) && option.candidate.load >= std::min(kCapped, bound);
+        isEnabled(Mechanism::SpreadBound) && option.candidate.load >= std::min(kCapped, bound);
   }
 }
 
@@ -122,7 +122,7 @@
 Placement::Sources Placement::sourcesOf(const std::vector<Option>& options,
                                         const PromptPrefix& prefix) const {
   const std::uint64_t tieName = tieNameOf(prefix);
-  const bool hasHome = has(Mechanism::PrefixHome) && !prefix.parts.empty();
+  const bool hasHome = isEnabled(Mechanism::PrefixHome) && !prefix.parts.empty();
   Sources sources;
   std::uint64_t highest = 0;
   for (const Option& option : options) {
@@ -144,7 +144,7 @@
   const auto matched = static_cast<double>(option.candidate.matchedTokens);
   const auto held = static_cast<double>(sources.mostHeld.at(option.row->state.weights));
   double own = prompt - matched;
-  if (has(Mechanism::PeerFetch))
+  if (isEnabled(Mechanism::PeerFetch))
     own = std::min(own, prompt - held + kCopyTokens + kFetchTokenShare * (held - matched));
   const bool isUnknown = held < shared && matched < shared;
   if (isUnknown && sources.home == option.row) own = std::min(own, prompt - shared);
@@ -160,10 +160,10 @@
   for (Option& option : options) {
     Candidate& candidate = option.candidate;
     double own = expectedOwn(option, sources, static_cast<double>(promptTokens), shared);
-    if (!candidate.isNewest && has(Mechanism::NewestFirst)) own *= 1 + kOldWeightsShare;
+    if (!candidate.isNewest && isEnabled(Mechanism::NewestFirst)) own *= 1 + kOldWeightsShare;
     candidate.unreadTokens = option.row->load.unreadTokens(now);
     // The less there is to read, the more urgent the request: it passes most of what waits.
-    const double waited = has(Mechanism::Urgency)
+    const double waited = isEnabled(Mechanism::Urgency)
                               ? candidate.unreadTokens * own / (own + kPassedTokens)
                               : candidate.unreadTokens;
     candidate.expectedTokens = waited + own + kWaitingTokens * std::max(0.0, candidate.load - 1);
@@ -204,7 +204,7 @@
     return usable[nextTurn_++ % usable.size()];
   }
   const bool byMatch = comparesMatches();
-  const bool hasHome = byMatch && has(Mechanism::PrefixHome) && !prefix.parts.empty();
+  const bool hasHome = byMatch && isEnabled(Mechanism::PrefixHome) && !prefix.parts.empty();
   const std::uint64_t tieName = hasHome ? tieNameOf(prefix) : ++nextTurn_;
   if (comparesExpected()) {
     const Option& chosen = chooseByExpected(usable, tieName);
@@ -220,7 +220,7 @@
     const bool isUnder = isBounded && !candidate.capped;
     const double shown = !isBounded ? load : isUnder ? 0 : candidate.load;
     // What must be read anew is best read for the weights that stay.
-    const bool isNewest = isBounded && candidate.isNewest && has(Mechanism::NewestFirst);
+    const bool isNewest = isBounded && candidate.isNewest && isEnabled(Mechanism::NewestFirst);
     return std::make_tuple(isUnder, match, isNewest, -shown, tieOf(candidate.server, tieName));
   };
   const Option& chosen =
@@ -236,7 +236,7 @@
 void Placement::nameSource(Placed& placed, const Option& chosen, const std::vector<Option>& options,
                            const Row* home, const PromptPrefix& prefix, Instant now) const {
   for (const Option& option : options) {
-    if (!has(Mechanism::PeerFetch) || option.row == chosen.row) continue;
+    if (!isEnabled(Mechanism::PeerFetch) || option.row == chosen.row) continue;
     if (option.row->state.weights != chosen.row->state.weights) continue;
     const std::size_t held = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
     const std::size_t holds = option.candidate.matchedTokens;
@@ -256,15 +256,15 @@
   const std::size_t shared = wholeBlocks(sharedTokensOf(prefix));
   const bool isRead = placed.matchedTokens < shared;
   // Where the other daemons placed this prefix, as far as nothing is known of it.
-  const bool isSource = home && isRead && has(Mechanism::HomeFetch) && home != chosen.row &&
+  const bool isSource = home && isRead && isEnabled(Mechanism::HomeFetch) && home != chosen.row &&
                         home->state.weights == chosen.row->state.weights && now >= home->avoidUntil;
   if (isSource) placed.fetchFrom = Address{home->state.name.value};
   if (store_.value.empty() || !storeUp_) return;
   // What the estimate takes for held may have been evicted: a source that has no more costs next
   // to nothing, reading the part again costs much. Shared parts that are to be read are kept.
-  if (!isSource && has(Mechanism::StoreFetch)) placed.fetchFrom = store_;
+  if (!isSource && isEnabled(Mechanism::StoreFetch)) placed.fetchFrom = store_;
   const std::size_t kept = storeRow_.tree.peekPrefix(*chosen.path);
-  if (isRead && kept < shared / settings_.blockTokens + 1 && has(Mechanism::StoreKeep))
+  if (isRead && kept < shared / settings_.blockTokens + 1 && isEnabled(Mechanism::StoreKeep))
     placed.keepAt = store_;
 }
 
@@ -274,7 +274,7 @@
   const std::size_t before = row.tree.peekPrefix(path);
   const PrefixInsert inserted =
       row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
-  if (has(Mechanism::Locks)) row.tree.lock(inserted.node);
+  if (isEnabled(Mechanism::Locks)) row.tree.lock(inserted.node);
   row.load.onPlaced(unreadTokens, now);
   tickets_[++lastTicket_] = {row.state.name, row.treeLife,         inserted.node,
                              path,           before < path.size(), unreadTokens};
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -24,7 +24,7 @@
   PlacementSettings made{settings.blockTokens};
   made.spreadRequests = kSpreadRequests;
   made.spreadFactor = kSpreadFactor;
-  made.byExpectedRead = settings.mechanisms.has(Mechanism::ExpectedRead);
+  made.byExpectedRead = settings.mechanisms.isEnabled(Mechanism::ExpectedRead);
   made.mechanisms = settings.mechanisms;
   return made;
 }
@@ -38,7 +38,8 @@
       placement_(placementSettings(settings_)),
       budgets_(settings_.retryShare, settings_.retryWindow),
       slackShare_(settings_.retryWindow),
-      pool_(io_, settings_.mechanisms.has(Mechanism::KeptConnections) ? kMostIdle : 0, kIdleSpan) {}
+      pool_(io_, settings_.mechanisms.isEnabled(Mechanism::KeptConnections) ? kMostIdle : 0,
+            kIdleSpan) {}
 
 Relay::~Relay() {
   stop();
@@ -57,7 +58,7 @@
     if (auto status = ready_->start(); !status.ok()) return status;
   }
   asio::co_spawn(io_, accept(callers_), asio::detached);
-  if (dialect_.partEvents && settings_.mechanisms.has(Mechanism::Events))
+  if (dialect_.partEvents && settings_.mechanisms.isEnabled(Mechanism::Events))
     asio::co_spawn(io_, eventLoop(), asio::detached);
   asio::co_spawn(io_, reportLoop(), asio::detached);
   thread_ = std::thread([this] { io_.run(); });
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -18,7 +18,7 @@
 void Relay::takeDigest(PlaneDigest digest, Instant toldAt) {
   asio::post(io_, [this, digest = std::move(digest), toldAt] {
     ++counters_.fleetDigests;
-    if (settings_.mechanisms.has(Mechanism::SharedLoad)) {
+    if (settings_.mechanisms.isEnabled(Mechanism::SharedLoad)) {
       std::vector<ServerOutstanding> fleet;
       for (const OutstandingRow& row : digest.outstanding)
         fleet.push_back({row.server, {row.requests, row.unreadTokens}});
@@ -94,7 +94,7 @@
   }
   if (isStore(source)) placement_.noteStore(batch.isReachable);
   const bool isTold = isStore(source) || (batch.isReachable && !batch.groups.empty());
-  const bool isShared = settings_.mechanisms.has(Mechanism::SharedEvents);
+  const bool isShared = settings_.mechanisms.isEnabled(Mechanism::SharedEvents);
   if (isTold && isShared && reporter_) readBatches_.push_back(std::move(batch));
 }
 
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -41,7 +41,7 @@
   // No two versions and no two walls share a salt, so no match and no fetch leads across: servers
   // and stores check neither.
   addHeader(&head, names_.salt, saltText(server.weights, job.wall).value);
-  if (settings_.mechanisms.has(Mechanism::Urgency))
+  if (settings_.mechanisms.isEnabled(Mechanism::Urgency))
     addHeader(&head, names_.urgency, std::to_string(urgencyOf(job, placed)));
   if (!placed.fetchFrom.value.empty()) addHeader(&head, names_.fetchSource, placed.fetchFrom.value);
   if (!placed.keepAt.value.empty()) addHeader(&head, names_.keepAt, placed.keepAt.value);
--- a/tests/mechanisms_tests.cpp
+++ b/tests/mechanisms_tests.cpp
@@ -14,9 +14,9 @@
   CHECK(none->disabledNames().empty());
   const auto two = parseDisabledMechanisms("locks,peer-fetch");
   REQUIRE(two.ok());
-  CHECK_FALSE(two->has(Mechanism::Locks));
-  CHECK_FALSE(two->has(Mechanism::PeerFetch));
-  CHECK(two->has(Mechanism::Events));
+  CHECK_FALSE(two->isEnabled(Mechanism::Locks));
+  CHECK_FALSE(two->isEnabled(Mechanism::PeerFetch));
+  CHECK(two->isEnabled(Mechanism::Events));
   CHECK(two->disabledNames() == "locks,peer-fetch");
 }
 
@@ -34,7 +34,7 @@
       R"({"role":"proxy","operators":"127.0.0.1:1","callers":"127.0.0.1:2","without":"urgency"})";
   const auto settings = readSettings(text, {});
   REQUIRE(settings.ok());
-  CHECK_FALSE(settings->mechanisms.has(Mechanism::Urgency));
+  CHECK_FALSE(settings->mechanisms.isEnabled(Mechanism::Urgency));
   const auto bad = readSettings(text, {{"without", "haste"}});
   REQUIRE_FALSE(bad.ok());
   CHECK(std::string(bad.status().message()).find("setting 'without'") != std::string::npos);
