--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -7,7 +7,7 @@
 void WeightsHistories::onConfiguration(const std::map<ModelName, WeightsVersion>& weights,
                                        std::optional<Instant> confirmedAt) {
   std::erase_if(rows_, [&](const auto& row) { return !weights.contains(row.first); });
-  for (const auto& [model, version] : weights) rows_[model].name(version, confirmedAt);
+  for (const auto& [model, version] : weights) rows_[model].setNewest(version, confirmedAt);
 }
 
 void WeightsHistories::take(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
--- a/src/base/weights_version.cpp
+++ b/src/base/weights_version.cpp
@@ -25,7 +25,7 @@
   return version != wanted;
 }
 
-void WeightsHistory::name(const WeightsVersion& weights, std::optional<Instant> confirmedAt) {
+void WeightsHistory::setNewest(const WeightsVersion& weights, std::optional<Instant> confirmedAt) {
   if (weights == newest_) return;
   const WeightsVersion before = std::exchange(newest_, weights);
   if (confirmedAt) recordNewestAt(before, *confirmedAt);
--- a/src/base/weights_version.h
+++ b/src/base/weights_version.h
@@ -25,7 +25,7 @@
  public:
   // The configuration in force names `weights`. Those it named before were the newest at
   // `confirmedAt` for certain; nullopt: not known when.
-  void name(const WeightsVersion& weights, std::optional<Instant> confirmedAt);
+  void setNewest(const WeightsVersion& weights, std::optional<Instant> confirmedAt);
   // At `at`, `weights` were the newest for certain. Word of the newest version itself is not kept.
   void recordNewestAt(const WeightsVersion& weights, Instant at);
   // Drops what was superseded before `before`.
--- a/tests/rollout_order_tests.cpp
+++ b/tests/rollout_order_tests.cpp
@@ -9,8 +9,8 @@
 // Version 2 was named at `at`, after version 1.
 WeightsHistory secondNamedAt(Instant at) {
   WeightsHistory history;
-  history.name(WeightsVersion{"1"}, std::nullopt);
-  history.name(WeightsVersion{"2"}, at);
+  history.setNewest(WeightsVersion{"1"}, std::nullopt);
+  history.setNewest(WeightsVersion{"2"}, at);
   return history;
 }
 }  // namespace
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -56,7 +56,7 @@
       server.past.push_back({now, {1, false}});
       servers.push_back(server);
     }
-    history.name(WeightsVersion{"1"}, std::nullopt);
+    history.setNewest(WeightsVersion{"1"}, std::nullopt);
     for (int i = 0; i < 2; ++i) holders.emplace_back(RolloutSettings{due, takeoverWait});
   }
   Played& at(const ServerName& name) {
@@ -178,7 +178,7 @@
     }
   }
   void name(std::uint64_t weights) {
-    history.name(WeightsVersion{std::to_string(weights)}, now);
+    history.setNewest(WeightsVersion{std::to_string(weights)}, now);
     namedAt = now;
     namings[weights] = now;
   }
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -15,11 +15,11 @@
 
 TEST_CASE("weights history: the time of a version counts from the first naming after it") {
   WeightsHistory history;
-  history.name(kOne, std::nullopt);
+  history.setNewest(kOne, std::nullopt);
   CHECK(history.usableUntil(kOne, kBound) == Instant::max());
-  history.name(kTwo, kNow);
-  history.name(kThree, kNow + 7s);
-  history.name(kFour, kNow + 14s);
+  history.setNewest(kTwo, kNow);
+  history.setNewest(kThree, kNow + 7s);
+  history.setNewest(kFour, kNow + 14s);
   CHECK(history.newest() == kFour);
   CHECK(history.usableUntil(kOne, kBound) == kNow + 15s);
   CHECK(history.usableUntil(kTwo, kBound) == kNow + 22s);
@@ -49,8 +49,8 @@
 
 TEST_CASE("weights history: a naming that was slept through is taken for the earliest it can be") {
   WeightsHistory history;
-  history.name(kOne, std::nullopt);
-  history.name(kFour, kNow);  // 2 and 3 were named between two confirmations
+  history.setNewest(kOne, std::nullopt);
+  history.setNewest(kFour, kNow);  // 2 and 3 were named between two confirmations
   for (const WeightsVersion& version : {kOne, kTwo, kThree})
     CHECK(history.usableUntil(version, kBound) == kNow + 15s);
   // Another daemon saw more.
@@ -61,7 +61,7 @@
 
 TEST_CASE("weights history: before the first naming every version may be used") {
   WeightsHistory history;
-  history.name(kTwo, kNow);
+  history.setNewest(kTwo, kNow);
   CHECK(history.usableUntil(kOne, kBound) == kNow + 15s);
   CHECK(history.usableUntil(WeightsVersion{"0"}, kBound) == kNow + 15s);
 }
@@ -69,13 +69,13 @@
 TEST_CASE("weights history: names without an order, one of them named again") {
   const WeightsVersion first{"w1"}, second{"w2"}, third{"w3"};
   WeightsHistory history;
-  history.name(first, std::nullopt);
-  history.name(second, kNow);
+  history.setNewest(first, std::nullopt);
+  history.setNewest(second, kNow);
   CHECK(history.usableUntil(first, kBound) == kNow + 15s);
-  history.name(first, kNow + 3s);
+  history.setNewest(first, kNow + 3s);
   CHECK(history.usableUntil(first, kBound) == Instant::max());
   CHECK(history.usableUntil(second, kBound) == kNow + 18s);
-  history.name(third, kNow + 5s);
+  history.setNewest(third, kNow + 5s);
   CHECK(history.usableUntil(first, kBound) == kNow + 20s);
   CHECK(history.usableUntil(second, kBound) == kNow + 18s);
   CHECK(history.usableUntil(WeightsVersion{"w0"}, kBound) == Instant::min());
@@ -84,7 +84,7 @@
 TEST_CASE("weights history: many namings keep their number of rows, and forget the oldest") {
   WeightsHistory history;
   for (int i = 1; i <= 200; ++i)
-    history.name(WeightsVersion{std::to_string(i)}, kNow + std::chrono::milliseconds(i));
+    history.setNewest(WeightsVersion{std::to_string(i)}, kNow + std::chrono::milliseconds(i));
   CHECK(history.superseded().size() == 64);
   CHECK(history.usableUntil(WeightsVersion{"199"}, kBound) == kNow + 15200ms);
   CHECK(history.usableUntil(WeightsVersion{"135"}, kBound) == Instant::min());
