--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -27,7 +27,7 @@
 struct RoutePolicy {
   ModelName model;
   bool repeatable = false;
-  std::chrono::milliseconds due{10000};
+  std::chrono::milliseconds timeout{10000};
   std::size_t tries = 1;  // sends in all; more than one only helps where nothing ran
   std::string promptClass = "medium";
   std::size_t concurrency = 256;
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -108,7 +108,7 @@
     RoutePolicy policy;
     policy.model = ModelName{row.value("model", "")};
     policy.repeatable = row["repeatable"].get<bool>();
-    policy.due = millisOf(row, "due_ms", policy.due);
+    policy.timeout = millisOf(row, "due_ms", policy.timeout);
     policy.tries = row.value("tries", policy.tries);
     policy.promptClass = row.value("class", policy.promptClass);
     policy.concurrency = row.value("concurrency", policy.concurrency);
--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -51,7 +51,7 @@
   if (!nlohmann::json::accept(request.body()))
     return Error{ErrorKind::MalformedRequest, "the body is not JSON"};
   job->body = request.body();
-  job->due = job->begun + job->policy.due;
+  job->due = job->begun + job->policy.timeout;
   if (const std::string due = headerOf(request, "Quayrill-Due-Ms"); !due.empty()) {
     if (due.size() > 6 || due.find_first_not_of("0123456789") != std::string::npos)
       return Error{ErrorKind::MalformedRequest, "Quayrill-Due-Ms: whole milliseconds"};
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -171,7 +171,7 @@
   const auto seen = view();
   if (!seen->configuration) return longest;
   for (const auto& [name, policy] : seen->configuration->policies)
-    longest = std::max<Duration>(longest, policy.due);
+    longest = std::max<Duration>(longest, policy.timeout);
   return longest;
 }
 
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -35,7 +35,7 @@
 
 // The route's time, or the caller's own where that is shorter.
 Duration Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
-  const Duration due = policy.due;
+  const Duration due = policy.timeout;
   const auto named = numberOf(headerOf(head, names_.dueMs));
   if (!named) return due;
   return std::min<Duration>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -102,7 +102,7 @@
 
 TEST_CASE("limits: no failure of the relay's own bears a seal, a server's own keeps its") {
   RelayStage stage(1);
-  stage.configuration.policies.at(PolicyName{"/once/"}).due = 200ms;
+  stage.configuration.policies.at(PolicyName{"/once/"}).timeout = 200ms;
   tellAnew(stage);
   stage.all([](int arrival, const std::string& request) {
     const std::string seal = "X-Seal: s" + std::to_string(arrival) + "\r\n";
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -29,7 +29,7 @@
 };
 
 void setDue(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
-  stage.configuration.policies.at(PolicyName{route}).due = due;
+  stage.configuration.policies.at(PolicyName{route}).timeout = due;
   ++stage.told.configurationVersion;
   stage.tell();
 }
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -80,7 +80,7 @@
   CHECK(stream.isStream);
   CHECK(stream.isResumable);
   CHECK(stream.repeatable);
-  CHECK(stream.due == 8s);
+  CHECK(stream.timeout == 8s);
   CHECK(stream.target == 400ms);
   CHECK(stream.gapTarget == 250ms);
   CHECK(stream.tries == 2);
@@ -317,7 +317,7 @@
   const auto configuration = platform::readConfiguration(body);
   REQUIRE(configuration.ok());
   CHECK(configuration->routes.size() == 3);
-  CHECK(configuration->policies.at(PolicyName{"pay"}).due == 700ms);
+  CHECK(configuration->policies.at(PolicyName{"pay"}).timeout == 700ms);
   CHECK(configuration->services.contains(ServiceName{"south"}));
   CHECK_FALSE(configuration->policies.contains(PolicyName{"look"}));
   CHECK(configuration->tenants.size() == 1);
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -85,7 +85,7 @@
     for (const Way& way : {kUnsafeStream, kResumable, kUnsafe, kSafe}) {
       addRoute(way.prefix, way.isRepeatable, 2);
       RoutePolicy& policy = configuration.policies[PolicyName{way.prefix}];
-      policy.due = 3000ms;
+      policy.timeout = 3000ms;
       policy.isStream = way.isStream;
       policy.isResumable = way.isRepeatable && way.isStream;
     }
