--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -36,9 +36,10 @@
   // behind the last event that was passed on; it is repeatable too.
   bool isStream = false;
   bool isResumable = false;
-  unsigned priority = 1;                   // 0 is the most urgent
-  std::chrono::milliseconds target{0};     // first event within this is in time; 0: none named
-  std::chrono::milliseconds gapTarget{0};  // longest pause between events; 0: none named
+  unsigned priority = 1;  // 0 is the most urgent
+  std::chrono::milliseconds firstEventTarget{
+      0};                                       // first event within this is in time; 0: none named
+  std::chrono::milliseconds eventGapTarget{0};  // longest pause between events; 0: none named
 };
 
 // A kind of back end. Numbers that are 0 are not known.
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -116,8 +116,8 @@
     policy.isStream = row.value("stream", false);
     policy.isResumable = row.value("resumable", false);
     policy.priority = row.value("priority", policy.priority);
-    policy.target = millisOf(row, "target_ms", policy.target);
-    policy.gapTarget = millisOf(row, "gap_target_ms", policy.gapTarget);
+    policy.firstEventTarget = millisOf(row, "target_ms", policy.firstEventTarget);
+    policy.eventGapTarget = millisOf(row, "gap_target_ms", policy.eventGapTarget);
     const std::string at = "/contracts/" + name;
     if (!policy.model.value.empty() && !configuration->weights.contains(policy.model))
       return bad(at + "/model",
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -181,7 +181,8 @@
     if (arrivals > 0 && !budgets_.couldTakeExtra(server.service, now)) break;
     if (job.policy.repeatable && sentTo.size() + 1 < most &&
         budgets_.couldTakeExtra(server.service, now))
-      firstDeadline = std::min(firstDeadline, now + Duration(job.policy.target) + kSilentSlack);
+      firstDeadline =
+          std::min(firstDeadline, now + Duration(job.policy.firstEventTarget) + kSilentSlack);
     ran = true;
     TryResult result = co_await attempt(caller, job, *placed, &soFar,
                                         TryAsked{firstDeadline, keepAlive, arrivals > 0});
--- a/tests/configuration_tests.cpp
+++ b/tests/configuration_tests.cpp
@@ -129,8 +129,8 @@
   const RoutePolicy& policy = configuration->policies.at(PolicyName{"talk"});
   CHECK((policy.isStream && policy.isResumable && policy.model.value.empty()));
   CHECK(policy.priority == 3);
-  CHECK(policy.target == 400ms);
-  CHECK(policy.gapTarget == 250ms);
+  CHECK(policy.firstEventTarget == 400ms);
+  CHECK(policy.eventGapTarget == 250ms);
   CHECK(configuration->tenants.at(TenantName{"north"}).priority == 0U);
   const Service& east = configuration->services.at(ServiceName{"east"});
   CHECK(east.maxConnections == 630);
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -124,7 +124,7 @@
 
 TEST_CASE("deadline: servers are handed what is left of the caller's own, less on a further try") {
   RelayStage stage(2);
-  stage.configuration.policies.at(PolicyName{"/again/"}).target = 50ms;
+  stage.configuration.policies.at(PolicyName{"/again/"}).firstEventTarget = 50ms;
   setDue(stage, "/again/", 20s);
   stage.all(hang);
   const std::string answer = stage.post("/again/", "r1", "X-Key: key\r\nX-Due: 2000\r\n");
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -81,8 +81,8 @@
   CHECK(stream.isResumable);
   CHECK(stream.repeatable);
   CHECK(stream.timeout == 8s);
-  CHECK(stream.target == 400ms);
-  CHECK(stream.gapTarget == 250ms);
+  CHECK(stream.firstEventTarget == 400ms);
+  CHECK(stream.eventGapTarget == 250ms);
   CHECK(stream.tries == 2);
   CHECK(stream.priority == 2);
   CHECK(stream.model.value.empty());
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -101,7 +101,7 @@
     policy.isStream = true;
     policy.isResumable = policy.repeatable = resumable;
     policy.tries = tries;
-    policy.target = 5000ms;
+    policy.firstEventTarget = 5000ms;
     configuration.policies[PolicyName{prefix}] = policy;
     Route route{prefix, "h.example", prefix, PolicyName{prefix}, {{ServiceName{"svc"}, 1}}};
     configuration.routes.push_back(route);
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -233,7 +233,7 @@
   RelayStage stage(1);
   RoutePolicy& policy = stage.configuration.policies[PolicyName{"/again/"}];
   policy.isResumable = false;
-  policy.target = 0ms;
+  policy.firstEventTarget = 0ms;
   ++stage.told.configurationVersion;
   stage.tell();
   std::atomic<bool> isStill{false}, hasFirst{false};
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -63,7 +63,7 @@
 TEST_CASE("relay: a request that waits at a server does not begin there past the bound") {
   RelayStage stage(2);
   // Nothing but the bound of the weights ends a try.
-  stage.configuration.policies[PolicyName{"/again/"}].target = 600s;
+  stage.configuration.policies[PolicyName{"/again/"}].firstEventTarget = 600s;
   ++stage.told.configurationVersion;
   stage.told.servers[1].leaving = true;
   stage.tell();
