--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -89,7 +89,7 @@
 struct Configuration {
   std::map<TenantName, Tenant> tenants;
   std::map<PolicyName, RoutePolicy> policies;
-  std::map<std::string, PolicyName> ways;  // path below /v1/ to policy
+  std::map<std::string, PolicyName> policyByPath;  // path below /v1/ to policy
   std::map<ModelName, WeightsVersion> weights;
   std::map<std::string, TenantName> tenantByKeyDigest;  // derived from tenants
   std::vector<Route> routes;  // by host, then by falling length of the prefix
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -210,7 +210,7 @@
     if (found->second.model.value.empty())
       return bad("/contracts/" + name.value + "/model",
                  "missing, and the way '" + path + "' needs it: name a model of /models");
-    configuration->ways[path] = name;
+    configuration->policyByPath[path] = name;
   }
   return absl::OkStatus();
 }
--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -29,8 +29,8 @@
     return Error{ErrorKind::UnknownKey, "the key is of no tenant"};
   job->tenant = owner->second;
   const auto way =
-      seen.configuration->ways.find(path.substr(std::min<std::size_t>(4, path.size())));
-  if (path.rfind("/v1/", 0) != 0 || way == seen.configuration->ways.end())
+      seen.configuration->policyByPath.find(path.substr(std::min<std::size_t>(4, path.size())));
+  if (path.rfind("/v1/", 0) != 0 || way == seen.configuration->policyByPath.end())
     return Error{ErrorKind::UnknownRoute, "no way '" + path + "'"};
   if (request.method() != http::verb::post)
     return Error{ErrorKind::MalformedRequest, "ways take POST"};
