--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -229,7 +229,7 @@
     if (!fresh && !row->second.listed.leaving && server.leaving)
       LOG(INFO) << "server " << server.name.value << " is leaving";
     row->second.listed = server;
-    if (server.told) takeTold(row->second, *takenList_);
+    if (server.hasState) takeTold(row->second, *takenList_);
     if (!fresh) continue;
     row->second.life = ++pollLife_;
     LOG(INFO) << "server " << server.name.value << " listed";
@@ -276,11 +276,11 @@
   state.zone = row.listed.zone;
   state.leaving = row.listed.leaving;
   // How old a told row may be is for the reader of listedAgoMicros to say.
-  state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kHealthySpan);
+  state.healthy = state.healthy && (row.listed.hasState || now - row.healthyAt < kHealthySpan);
   const ServerKnown known = core_->notes().over(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
   state.switching = known.switching;
-  if (row.listed.told && configuration_) {
+  if (row.listed.hasState && configuration_) {
     const auto service = configuration_->services.find(state.service);
     if (service != configuration_->services.end()) state.cacheTokens = service->second.cacheTokens;
   }
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -211,14 +211,14 @@
   std::string zone;
   bool leaving = false;
   // Where the list itself tells a server's state, nobody need ask the server: `told` says so.
-  bool told = false;
+  bool hasState = false;
   ServerIdentity identity{};
   ServiceName service{};
   ModelName model{};
   WeightsVersion weights{};
   std::uint32_t slots = 1;
   bool operator==(const ListedServer&) const = default;
-  QUAYRILL_FIELDS(name, zone, leaving, told, identity, service, model, weights, slots)
+  QUAYRILL_FIELDS(name, zone, leaving, hasState, identity, service, model, weights, slots)
 };
 // Asks for a newer reading of the list than the asker's own. It is kept until there is one.
 struct ServerListRequest {
--- a/tests/platform_servers_tests.cpp
+++ b/tests/platform_servers_tests.cpp
@@ -31,7 +31,7 @@
   const ListedServer& row = read->rows[0];
   CHECK(row.name == ServerName{"10.128.0.9:8080"});
   CHECK(row.zone == "oriente");
-  CHECK(row.told);
+  CHECK(row.hasState);
   CHECK_FALSE(row.leaving);
   CHECK(row.identity == ServerIdentity{"i-7f3a91c2"});
   CHECK(row.service == ServiceName{"huvo11a"});
