--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -289,12 +289,12 @@
 struct PartEventBatch {
   ServerName source;
   bool isReachable = true;  // false: the call failed, and nothing below is told
-  std::string life;
+  std::string sourceIncarnation;
   std::uint64_t first = 0, next = 0;
   bool hasGap = false;
   std::vector<PartEventGroup> groups;
   bool operator==(const PartEventBatch&) const = default;
-  QUAYRILL_FIELDS(source, isReachable, life, first, next, hasGap, groups)
+  QUAYRILL_FIELDS(source, isReachable, sourceIncarnation, first, next, hasGap, groups)
 };
 // What one data plane observed: a daemon tells it to the aggregator of its zone.
 struct PlaneReport {
--- a/src/relay/part_event_batch.cpp
+++ b/src/relay/part_event_batch.cpp
@@ -28,7 +28,7 @@
 }
 
 PartEvents fromBatch(const PartEventBatch& batch) {
-  PartEvents told{batch.life, batch.first, batch.next, batch.hasGap, {}};
+  PartEvents told{batch.sourceIncarnation, batch.first, batch.next, batch.hasGap, {}};
   for (const PartEventGroup& group : batch.groups) {
     for (const PartEventRow& row : group.rows)
       told.events.push_back(
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -31,7 +31,8 @@
 void Relay::takeBatch(const PartEventBatch& batch) {
   if (isStore(batch.source)) placement_.noteStore(batch.isReachable);
   // Without a life nothing was told but that the source is there.
-  if (batch.isReachable && !batch.life.empty()) takeEvents(batch.source, fromBatch(batch));
+  if (batch.isReachable && !batch.sourceIncarnation.empty())
+    takeEvents(batch.source, fromBatch(batch));
 }
 
 void Relay::takeEvents(const ServerName& source, const PartEvents& told) {
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -21,7 +21,7 @@
 PartEventBatch batchOf(const std::string& source, std::uint64_t first, std::uint64_t next) {
   PartEventBatch batch;
   batch.source = ServerName{source};
-  batch.life = "1";
+  batch.sourceIncarnation = "1";
   batch.first = first;
   batch.next = next;
   return batch;
