--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -173,7 +173,7 @@
   const bool isMember =
       std::any_of(replicas_.members.begin(), replicas_.members.end(),
                   [&](const ReplicaMember& member) { return member.store == answer.store; });
-  if (!isMember || answer.asked != answer.store) return;
+  if (!isMember || answer.requestedStore != answer.store) return;
   // What a replica of another fleet holds says nothing about this one, nor what a replica says that
   // is no member by its own set.
   if (answer.replicas.fleet != replicas_.fleet || answer.keys.empty()) return;
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -41,7 +41,7 @@
   contact.at = now;
   contact.fleet = answer.replicas.fleet;
   replaced_.erase(answer.store);
-  if (answer.asked != answer.store) replaced_.insert(answer.asked);
+  if (answer.requestedStore != answer.store) replaced_.insert(answer.requestedStore);
 }
 
 bool AgentCore::isInTouch(StoreId store, Instant now) const {
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -179,14 +179,15 @@
 // answers without keys: that tells who is there now, and vouches for nothing.
 struct ConfirmResponse {
   std::uint64_t sequence = 0;
-  StoreId asked;  // the store that the question named
-  StoreId store;  // the one that answers
+  StoreId requestedStore;  // the store that the question named
+  StoreId store;           // the one that answers
   ReplicaSet replicas;
   std::vector<ConfirmedKey> keys;
   std::vector<RegisterKey> omittedBodies;  // of `keys`: the value's body was left out
   bool hasAllKeys = false;                 // allKeys was wanted and is whole
   std::vector<RegisterKey> allKeys;
-  QUAYRILL_FIELDS(sequence, asked, store, replicas, keys, omittedBodies, hasAllKeys, allKeys)
+  QUAYRILL_FIELDS(sequence, requestedStore, store, replicas, keys, omittedBodies, hasAllKeys,
+                  allKeys)
 };
 // fleet: the fleet that the asker would found; 0 where it only asks for one that exists.
 struct FoundingRequest {
