--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -228,7 +228,7 @@
   bool takePart(Row& row, const PartEvent& event);
   // Lays what was told of the prompt's parts before over the trees.
   void placeParts(const PromptPrefix& prefix);
-  bool isEnabled(Mechanism mechanism) const { return settings_.mechanisms.has(mechanism); }
+  bool isEnabled(Mechanism mechanism) const { return settings_.mechanisms.isEnabled(mechanism); }
   bool comparesMatches() const {
     return settings_.rule == PlacementRule::LongestPrefix && isEnabled(Mechanism::LongestMatch);
   }
