--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -226,7 +226,7 @@
 }
 
 void AgentCore::pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
-  const Fence floor{freshness_.replicas().epoch.value << 20};
+  const FencingToken floor{freshness_.replicas().epoch.value << 20};
   if (auto change = leases_.pursue(role, now, floor)) begin(*change, Purpose::Lease, now, effects);
 }
 
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -97,7 +97,7 @@
   bool mayStepIn(const std::string& role, Duration overdue, Instant now) const;
   void pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
-  std::optional<Fence> held(const RegisterKey& role, Duration needed, Instant now) const {
+  std::optional<FencingToken> held(const RegisterKey& role, Duration needed, Instant now) const {
     return leases_.held(role, needed, now);
   }
 
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -26,7 +26,7 @@
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object()) return {{}, 0, {}, true};
   return {Address{json.value("holder", "")}, json.value("nonce", std::uint64_t{0}),
-          Fence{json.value("fence", std::uint64_t{0})}, json.value("released", true)};
+          FencingToken{json.value("fence", std::uint64_t{0})}, json.value("released", true)};
 }
 
 ChangeAsked Leases::change(const RegisterKey& role, Row& row, Instant now, bool isRead,
@@ -38,7 +38,8 @@
   return {{}, role, isRead, row.version, encodeLease(body), {}, now + 1500ms};
 }
 
-std::optional<ChangeAsked> Leases::pursue(const RegisterKey& role, Instant now, Fence floor) {
+std::optional<ChangeAsked> Leases::pursue(const RegisterKey& role, Instant now,
+                                          FencingToken floor) {
   Row& row = rows_[role];
   if (row.busy || now < row.retryAt) return std::nullopt;
   const bool mine = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
@@ -59,7 +60,7 @@
     const Instant lastAct = row.body.released ? row.seenAt : row.seenAt + kTerm;
     row.validFrom = std::max(row.validFrom, lastAct + leaseSpan_);
   }
-  const Fence next = std::max(floor, Fence{row.body.fence.value + 1});
+  const FencingToken next = std::max(floor, FencingToken{row.body.fence.value + 1});
   return change(role, row, now, false, {self_, nonce_, next, false});
 }
 
@@ -89,7 +90,8 @@
     row.validUntil = row.askedAt + kTerm - kMargin;
 }
 
-std::optional<Fence> Leases::held(const RegisterKey& role, Duration needed, Instant now) const {
+std::optional<FencingToken> Leases::held(const RegisterKey& role, Duration needed,
+                                         Instant now) const {
   const auto row = rows_.find(role);
   if (row == rows_.end()) return std::nullopt;
   const LeaseBody& body = row->second.body;
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -12,7 +12,7 @@
 struct LeaseBody {
   Address holder;
   std::uint64_t nonce = 0;  // the holder's life
-  Fence fence;
+  FencingToken fence;
   bool released = false;
 };
 std::string encodeLease(const LeaseBody& lease);
@@ -28,11 +28,11 @@
   // The register change that brings this daemon nearer to holding the leader role, if one is due
   // now. A fence newly taken is at least `floor`, so that it rises even where the register was
   // founded again and the holds in it are lost.
-  std::optional<ChangeAsked> pursue(const RegisterKey& role, Instant now, Fence floor = {});
+  std::optional<ChangeAsked> pursue(const RegisterKey& role, Instant now, FencingToken floor = {});
   std::optional<ChangeAsked> release(const RegisterKey& role, Instant now);
   void onDone(const ChangeDone& done, Instant now);
   // The fence, while the lease is sure to last for `needed` more.
-  std::optional<Fence> held(const RegisterKey& role, Duration needed, Instant now) const;
+  std::optional<FencingToken> held(const RegisterKey& role, Duration needed, Instant now) const;
 
  private:
   // validUntil counts from before the change was sent, and a rival counts the whole term from
@@ -47,7 +47,7 @@
     bool busy = false;
     bool releasing = false;
     Instant askedAt;
-    Fence askedFence;
+    FencingToken askedFence;
     Instant retryAt;
   };
   ChangeAsked change(const RegisterKey& role, Row& row, Instant now, bool isRead,
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -49,14 +49,14 @@
 struct RolloutView {
   WeightsHistory weights;              // of the model
   std::vector<RolloutServer> servers;  // all of the model that are listed
-  std::optional<Fence> fence;          // while the lease is sure to outlast an order
+  std::optional<FencingToken> fence;   // while the lease is sure to outlast an order
 };
 
 struct WeightsOrder {
   ServerName server;
   ServerIdentity identity;
   WeightsVersion weights;
-  Fence fence;
+  FencingToken fence;
 };
 
 struct ReportAsk {
@@ -87,7 +87,7 @@
   // No order of this daemon is open or being done, so the lease may go.
   bool isIdle() const;
   // This fence is of no more use: a server has seen a higher one.
-  bool isFencedOff(Fence fence) const { return fence <= fencedOff_; }
+  bool isFencedOff(FencingToken fence) const { return fence <= fencedOff_; }
   std::size_t switchingCount() const;
   // An order of this daemon may still be sent, or be on its way.
   bool hasOpenOrder() const;
@@ -99,7 +99,7 @@
     ServerIdentity identity;
     WeightsVersion ordered;                 // by the last order
     std::optional<WeightsVersion> reached;  // seen there after an order
-    Fence fence;
+    FencingToken fence;
     bool switching = false, open = false, asking = false;
     bool isUnclear = false;  // neither the last order was answered nor a question since
     bool again = false;      // the last order was not taken
@@ -138,8 +138,8 @@
   ModelName model_;
   RolloutSettings settings_;
   std::map<ServerName, Row> rows_;  // of listed servers only
-  std::optional<Fence> lastFence_;
-  Fence fencedOff_;
+  std::optional<FencingToken> lastFence_;
+  FencingToken fencedOff_;
   Instant mayOrderAt_{};
   Duration switchSpan_ =
       std::chrono::milliseconds(2500);  // from order to new weights, by experience
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -34,7 +34,7 @@
   X(ProposerId, std::uint64_t)   /* random at each start */     \
   X(Epoch, std::uint64_t)                                       \
   X(ConfigurationVersion, std::uint64_t)                        \
-  X(Fence, std::uint64_t)                                       \
+  X(FencingToken, std::uint64_t)                                \
   X(Incarnation, std::uint64_t)                                 \
   X(WriteId, std::uint64_t)                                     \
   X(OperationId, std::uint64_t)
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -58,7 +58,7 @@
   // `owner` names the holder of the fence, and no other life of a daemon has the same.
   std::function<awaitable<OrderAnswer>(Address server, Address from, ServerIdentity identity,
                                        ModelName model, WeightsVersion weights, std::string owner,
-                                       Fence fence, Duration due)>
+                                       FencingToken fence, Duration due)>
       orderWeights;
   // Calls of operators beyond the product's own; nullopt: not one of these.
   std::function<awaitable<std::optional<HttpResponse>>(Agent& agent, HttpRequest& request)>
--- a/src/dialect/own.cpp
+++ b/src/dialect/own.cpp
@@ -19,7 +19,7 @@
 }
 
 awaitable<OrderAnswer> orderOwnWeights(Address server, Address from, ServerIdentity, ModelName,
-                                       WeightsVersion weights, std::string, Fence fence,
+                                       WeightsVersion weights, std::string, FencingToken fence,
                                        Duration due) {
   const auto status = co_await orderWeights(server, from, weights, fence, due);
   co_return status.ok() ? OrderAnswer::Taken : OrderAnswer::Unclear;
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -53,7 +53,7 @@
 }
 
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
-                                     Fence fence, Duration due) {
+                                     FencingToken fence, Duration due) {
   HttpCall call = callTo(server, http::verb::post, "/weights", due);
   call.from = from;
   call.sendBefore = BootClock::now() + due;
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -24,7 +24,7 @@
 
 // POST /weights: switch to `weights`. Servers turn away orders with a fence below the highest seen.
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
-                                     Fence fence, Duration due);
+                                     FencingToken fence, Duration due);
 
 // GET /kv-events?since=N
 struct CacheEvents {
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -255,7 +255,7 @@
   ModelName model;
   WeightsVersion weights;  // seen there after an order; empty: not known now
   bool switching = false;  // said again each second while it lasts
-  Fence fence;
+  FencingToken fence;
   std::uint64_t sequence = 0;
   QUAYRILL_FIELDS(server, identity, model, weights, switching, fence, sequence)
 };
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -173,7 +173,7 @@
   const auto step = [&](Leases& holds) { script.step(holds, now); };
   step(first);
   step(first);
-  REQUIRE(first.held(script.role, 0s, now) == Fence{1});
+  REQUIRE(first.held(script.role, 0s, now) == FencingToken{1});
   const Instant taken = now;
   Instant overlapUntil{};
   for (; now < taken + 10s; now += 50ms) {
@@ -183,7 +183,7 @@
     if (second.held(script.role, 0s, now)) break;
   }
   CHECK(overlapUntil == Instant{});
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.held(script.role, 0s, now) == FencingToken{2});
   CHECK(now - taken >= 4s);
   CHECK_FALSE(first.held(script.role, 0s, now));
   step(first);  // its renewal meets the new holder
@@ -207,7 +207,7 @@
   first.onDone(script.answer(*released), now);
   step(second);
   step(second);
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.held(script.role, 0s, now) == FencingToken{2});
   now += 2s;
   const auto renewal = second.pursue(script.role, now);
   REQUIRE(renewal);
@@ -224,7 +224,7 @@
   Instant now{100s};
   script.step(first, now);
   script.step(first, now);
-  CHECK(first.held(script.role, 0s, now) == Fence{1});  // nobody held it before
+  CHECK(first.held(script.role, 0s, now) == FencingToken{1});  // nobody held it before
   // Let go: the rival has the fence at once, and the right a lease after it saw the release.
   const auto released = first.release(script.role, now);
   REQUIRE(released);
@@ -236,14 +236,14 @@
     script.step(second, now);
     CHECK_FALSE(second.held(script.role, 0s, now));
   }
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.held(script.role, 0s, now) == FencingToken{2});
   // Renewed, or let go and taken again by the same life: no second wait.
   const auto again = second.release(script.role, now);
   REQUIRE(again);
   second.onDone(script.answer(*again), now);
   CHECK_FALSE(second.held(script.role, 0s, now));
   script.step(second, now);
-  CHECK(second.held(script.role, 0s, now) == Fence{3});
+  CHECK(second.held(script.role, 0s, now) == FencingToken{3});
   // Run out unrenewed, as behind a cut or in a freeze: it stops acting by its own clock, and the
   // rival acts a lease later at the earliest.
   Instant lastAct{};
@@ -252,7 +252,7 @@
     if (second.held(script.role, 0s, now)) lastAct = now;
     script.step(first, now);
   }
-  CHECK(first.held(script.role, 0s, now) == Fence{4});
+  CHECK(first.held(script.role, 0s, now) == FencingToken{4});
   CHECK(now - lastAct >= lease);
   CHECK_FALSE(second.held(script.role, 0s, now));  // woken
   // A later life of the same machine is another holder.
--- a/tests/platform_servers_tests.cpp
+++ b/tests/platform_servers_tests.cpp
@@ -94,7 +94,7 @@
 
 TEST_CASE("platform servers: an order names model, number, owner and fence") {
   const auto body = platform::orderBody({ServerIdentity{"i-1"}, ModelName{"daka510000"},
-                                         WeightsVersion{"2"}, "node-7/ab", Fence{41}});
+                                         WeightsVersion{"2"}, "node-7/ab", FencingToken{41}});
   REQUIRE(body.ok());
   CHECK(Json::parse(*body) == Json{{"op", "gen"},
                                    {"model", "daka510000"},
@@ -104,7 +104,8 @@
                                    {"fence", 41}});
   for (const char* weights : {"", "w2", "2x", "-1"})
     CHECK_FALSE(
-        platform::orderBody({{}, ModelName{"m"}, WeightsVersion{weights}, "o", Fence{1}}).ok());
+        platform::orderBody({{}, ModelName{"m"}, WeightsVersion{weights}, "o", FencingToken{1}})
+            .ok());
 }
 
 TEST_CASE("platform servers: each answer to an order says what became of it") {
--- a/tests/rollout_order_tests.cpp
+++ b/tests/rollout_order_tests.cpp
@@ -17,18 +17,18 @@
 
 TEST_CASE("rollout: a holder whose fence is passed stops and orders under it no more") {
   Bench bench(6, 1800ms, 15s);
-  bench.servers[0].highest = bench.servers[1].highest = Fence{9};
-  for (Played& server : bench.servers) server.highest = Fence{9};
-  bench.holders[0].fence = Fence{8};
+  bench.servers[0].highest = bench.servers[1].highest = FencingToken{9};
+  for (Played& server : bench.servers) server.highest = FencingToken{9};
+  bench.holders[0].fence = FencingToken{8};
   bench.name(2);
   bench.run(2s);
-  CHECK(bench.holders[0].rollout.isFencedOff(Fence{8}));
+  CHECK(bench.holders[0].rollout.isFencedOff(FencingToken{8}));
   CHECK(bench.holders[0].rollout.isIdle());
   const std::size_t before = bench.orders;
   CHECK(before <= 2);
   bench.run(5s);
   CHECK(bench.orders == before);
-  bench.holders[0].fence = Fence{10};
+  bench.holders[0].fence = FencingToken{10};
   bench.untilAllOn(2);
   CHECK(bench.allOn(2));
 }
@@ -36,13 +36,13 @@
 TEST_CASE("rollout: an order that was lost is given again, one whose answer was lost is not") {
   Bench lost(6, 1800ms, 15s);
   lost.losesOrder = 2;
-  lost.holders[0].fence = Fence{7};
+  lost.holders[0].fence = FencingToken{7};
   lost.name(2);
   CHECK(lost.untilAllOn(2) < 15s);
   CHECK(lost.orders == 6);  // of those that got there
   Bench unclear(6, 1800ms, 15s);
   unclear.losesAnswer = 3;
-  unclear.holders[0].fence = Fence{7};
+  unclear.holders[0].fence = FencingToken{7};
   unclear.name(2);
   CHECK(unclear.untilAllOn(2) < 15s);
   CHECK(unclear.orders == 6);
@@ -51,7 +51,7 @@
 TEST_CASE("rollout: where reports are turned away it takes a little longer, and ends") {
   Bench bench(18, 1800ms, 15s);
   bench.refusesReports = true;
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   CHECK(bench.untilAllOn(2) < 18s);
   CHECK(bench.orders == 18);
@@ -59,7 +59,7 @@
 
 TEST_CASE("rollout: a server that restarts on an old version, and a new one, are ordered too") {
   Bench bench(6, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   REQUIRE(bench.untilAllOn(2) < 15s);
   bench.run(5s);
@@ -75,13 +75,14 @@
 
 TEST_CASE("rollout: a refusal drops that life of a server until it is listed anew") {
   Bench bench(3, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   Played& other = bench.servers[1];
   const ServerIdentity listed = other.identity;
   bench.name(2);
   // Another server is at its address, and the list does not show it yet.
-  RolloutView view{
-      secondNamedAt(bench.now - 1s), {{other.name, listed, WeightsVersion{"1"}, true}}, Fence{7}};
+  RolloutView view{secondNamedAt(bench.now - 1s),
+                   {{other.name, listed, WeightsVersion{"1"}, true}},
+                   FencingToken{7}};
   Rollout rollout(kModel, {15s, {}});
   RolloutEffects made;
   rollout.onTick(view, bench.now, &made);
@@ -102,7 +103,7 @@
   const Instant start{1000s};
   const RolloutView view{secondNamedAt(start - 1s),
                          {{ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"1"}, true}},
-                         Fence{7}};
+                         FencingToken{7}};
   Rollout rollout(kModel, {15s, {}});
   std::vector<Instant> ordered;
   for (Instant now = start; now < start + 20s; now += 50ms) {
@@ -128,7 +129,7 @@
 }
 
 TEST_CASE("rollout: a holder that is fenced off still has the orders open that it gave before") {
-  RolloutView view{secondNamedAt(Instant{1000s} - 14s), {}, Fence{7}};
+  RolloutView view{secondNamedAt(Instant{1000s} - 14s), {}, FencingToken{7}};
   for (const char* name : {"a", "b", "c", "d"})
     view.servers.push_back({ServerName{name}, ServerIdentity{"i"}, WeightsVersion{"1"}, true});
   Rollout rollout(kModel, {15s, {}});
@@ -137,7 +138,7 @@
   rollout.onTick(view, now, &made);
   REQUIRE(made.orders.size() == 2);
   rollout.onOrderAnswer(made.orders[0], OrderAnswer::Fenced, now, &later);
-  CHECK(rollout.isFencedOff(Fence{7}));
+  CHECK(rollout.isFencedOff(FencingToken{7}));
   CHECK(rollout.hasOpenOrder());
   rollout.onTick(view, now + 50ms, &later);
   CHECK(later.orders.empty());
@@ -148,7 +149,7 @@
 TEST_CASE("rollout: servers that answer nothing hold no places of those that do") {
   Bench bench(18, 1800ms, 15s);
   for (std::size_t i = 0; i < 9; ++i) bench.servers[2 * i].mute = true;
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   bench.run(10s);
   for (std::size_t i = 0; i < 9; ++i) CHECK(bench.servers[2 * i + 1].weights == 2);
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -21,7 +21,7 @@
   std::uint64_t weights = 1;
   std::uint64_t target = 0;    // 0: no order under way
   Duration streams{}, load{};  // what is left of each
-  Fence highest;
+  FencingToken highest;
   bool leaving = false;
   bool mute = false;  // it takes nothing and answers nothing, which shows after kOrderDue
   std::deque<std::pair<Instant, std::pair<std::uint64_t, bool>>> past;  // weights, busy
@@ -40,7 +40,7 @@
   explicit Holder(RolloutSettings settings) : rollout(kModel, settings) {}
   Rollout rollout;
   ServerNotes notes;
-  std::optional<Fence> fence;
+  std::optional<FencingToken> fence;
   bool up = true;
   std::vector<std::pair<Instant, WeightsOrder>> calls;                  // open orders
   std::vector<std::pair<Instant, std::pair<ReportAsk, Instant>>> asks;  // open questions
@@ -199,7 +199,7 @@
   Duration longestBehind{};                  // the longest that a server kept a superseded version
   std::vector<Played> servers;
   std::deque<Holder> holders;
-  std::vector<std::pair<Instant, Fence>> arrivals;
+  std::vector<std::pair<Instant, FencingToken>> arrivals;
   std::vector<OrderAnswer> answers;
   std::size_t mostSwitching = 0, orders = 0, questions = 0, noteCount = 0;
   int losesOrder = 0, losesAnswer = 0, refusals = 0;
--- a/tests/rollout_tests.cpp
+++ b/tests/rollout_tests.cpp
@@ -11,7 +11,7 @@
     bench.name(2);
     bench.run(600ms);  // until the lease is there
     CHECK(bench.orders == 0);
-    bench.holders[0].fence = Fence{7};
+    bench.holders[0].fence = FencingToken{7};
     CHECK(bench.untilAllOn(2) < due);
     CHECK(bench.mostSwitching <= 6);
     CHECK(bench.orders == 18);  // each one priced, none in vain
@@ -25,7 +25,7 @@
 TEST_CASE("rollout: few servers go one at a time while there is time") {
   Bench bench(3, 1800ms, 15s);
   bench.name(2);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   CHECK(bench.untilAllOn(2) < 12s);
   CHECK(bench.mostSwitching == 1);
 }
@@ -35,14 +35,14 @@
   Bench bench(18, 1800ms, 15s, 3s);
   bench.name(2);
   bench.run(600ms);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.run(2900ms);
   CHECK(bench.orders == 0);
   // Three loads at a time take 10.8 s in all, so with the wait the whole passes 15 s.
   CHECK(bench.untilAllOn(2) - 3600ms < 13s);
   CHECK(bench.arrivals.front().first - bench.namedAt >= 3600ms);
   // The next fence of the same holder follows nobody else's.
-  bench.holders[0].fence = Fence{8};
+  bench.holders[0].fence = FencingToken{8};
   bench.name(3);
   bench.run(200ms);
   CHECK(bench.orders > 18);
@@ -50,7 +50,7 @@
 
 TEST_CASE("rollout: a holder that crashes midway is followed by another under a higher fence") {
   Bench bench(18, 1800ms, 15s, 3s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.run(4s);  // it has long held
   bench.name(2);
   bench.run(3s);
@@ -59,22 +59,22 @@
   const Instant crashed = bench.now;
   CHECK(before > 0);
   bench.run(4500ms);  // the dead holder's term
-  bench.holders[1].fence = Fence{8};
+  bench.holders[1].fence = FencingToken{8};
   bench.run(2900ms);
   CHECK(bench.orders == before);
   bench.untilAllOn(2);
   CHECK(bench.allOn(2));
-  Fence highest;
+  FencingToken highest;
   for (const auto& [at, fence] : bench.arrivals) {
     CHECK(fence >= highest);
     highest = std::max(highest, fence);
-    if (fence == Fence{8}) CHECK(at - crashed >= 7s);
+    if (fence == FencingToken{8}) CHECK(at - crashed >= 7s);
   }
 }
 
 TEST_CASE("rollout: weights named during a roll-out are gone on with") {
   Bench bench(18, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   bench.run(4s);
   bench.name(3);
@@ -86,7 +86,7 @@
 TEST_CASE("rollout: a leaving server gets no order") {
   Bench bench(6, 1800ms, 15s);
   bench.servers[2].leaving = true;
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   bench.run(20s);
   CHECK(bench.servers[2].orders == 0);
@@ -99,7 +99,7 @@
     Bench late(count, 1800ms, 15s);
     late.name(2);
     late.run(16s);  // nobody held the leader role
-    late.holders[0].fence = Fence{7};
+    late.holders[0].fence = FencingToken{7};
     late.run(100ms);
     const auto half = static_cast<std::size_t>(count) / 2;
     CHECK(late.mostSwitching == half);
@@ -129,7 +129,7 @@
                          Day{1100ms, 12s, 7, 3s}, Day{1800ms, 15s, 12, 2s}}) {
     CAPTURE(day.due.count(), day.namings, day.gap.count());
     Bench bench(18, day.load, day.due);
-    bench.holders[0].fence = Fence{7};
+    bench.holders[0].fence = FencingToken{7};
     for (std::size_t i = 0; i < day.namings; ++i) {
       bench.name(2 + i);
       bench.run(day.gap);
@@ -143,7 +143,7 @@
 
 TEST_CASE("rollout: a server that reached a superseded version serves before it is ordered again") {
   Bench bench(6, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   // Never longer without a naming than a server takes to switch.
   for (std::uint64_t version = 2; version < 12; ++version) {
     bench.name(version);
@@ -156,7 +156,7 @@
 TEST_CASE(
     "rollout: the first servers are ordered at once, the others spread over a switch's time") {
   Bench bench(18, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
+  bench.holders[0].fence = FencingToken{7};
   bench.name(2);
   bench.run(100ms);
   // Their number is what a holder that is lost now has done.
