--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -21,10 +21,15 @@
 AgentSettings coreSettings(const Settings& settings) {
   std::random_device entropy;
   const std::uint64_t nonce = (static_cast<std::uint64_t>(entropy()) << 32) | entropy();
-  AgentSettings core{
-      settings.peer,     settings.zone,           settings.seeds,    settings.callers.value,
-      nonce | 1,         settings.replicasWanted, settings.mayFound, settings.foundingWait,
-      settings.leaseSpan};
+  AgentSettings core{settings.peerAddress,
+                     settings.zone,
+                     settings.seeds,
+                     settings.callerAddress.value,
+                     nonce | 1,
+                     settings.replicasWanted,
+                     settings.mayFound,
+                     settings.foundingWait,
+                     settings.leaseSpan};
   core.listInterval = settings.listInterval;
   core.listCallsPerSecond = settings.listCallsPerSecond;
   core.losses = settings.losses;
@@ -48,16 +53,17 @@
     if (!kept) LOG(ERROR) << kDiskClosed;
   }
   core_.emplace(coreSettings(settings_), kept);
-  link_ = std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerRelay, [this](Envelope e) {
-    AgentEffects effects;
-    const Instant now = BootClock::now();
-    core_->onMessage(e, now, &effects);
-    apply(std::move(effects));
-    feedPlane(now);
-  });
+  link_ = std::make_unique<PeerLink>(io_, settings_.peerAddress, settings_.peerRelay,
+                                     [this](Envelope e) {
+                                       AgentEffects effects;
+                                       const Instant now = BootClock::now();
+                                       core_->onMessage(e, now, &effects);
+                                       apply(std::move(effects));
+                                       feedPlane(now);
+                                     });
   if (auto status = link_->start(); !status.ok()) return status;
   HttpServerSettings serverSettings;
-  serverSettings.listen = settings_.operators;
+  serverSettings.listen = settings_.operatorAddress;
   serverSettings.bodyLimit = 4 << 20;
   operators_ = std::make_unique<HttpServer>(
       io_, serverSettings, [this](Connection&, HttpRequest& request) { return handle(request); });
@@ -77,7 +83,7 @@
 
 void Agent::takeSettings(const Settings& changed) {
   asio::post(io_, [this, changed] {
-    settings_.platform = changed.platform;
+    settings_.platformAddress = changed.platformAddress;
     core_->setListLimits(changed.listInterval, changed.listCallsPerSecond);
     if (core_->settings().seeds != changed.seeds) core_->setSeeds(changed.seeds);
   });
@@ -205,7 +211,8 @@
 awaitable<void> Agent::readList() {
   const Instant askedAt = BootClock::now();
   std::size_t calls = 0;
-  auto listed = co_await dialect_.readList(settings_.platform, settings_.peer, kListDue, &calls);
+  auto listed = co_await dialect_.readList(settings_.platformAddress, settings_.peerAddress,
+                                           kListDue, &calls);
   AgentEffects effects;
   counters_.listCalls += calls;
   if (listed.ok()) {
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -20,7 +20,8 @@
 
 // No other life of a daemon has the same.
 std::string Agent::orderOwner() const {
-  const std::string name = settings_.node.empty() ? settings_.peer.value : settings_.node;
+  const std::string name =
+      settings_.nodeName.empty() ? settings_.peerAddress.value : settings_.nodeName;
   return name + "/" + std::to_string(core_->settings().nonce);
 }
 
@@ -92,14 +93,14 @@
   OrderAnswer answer = OrderAnswer::Unclear;
   if (due > Duration{}) {
     ++counters_.weightOrders;
-    answer = co_await dialect_.orderWeights(address, settings_.peer, order.identity, model,
+    answer = co_await dialect_.orderWeights(address, settings_.peerAddress, order.identity, model,
                                             order.weights, owner, order.fence, due);
   }
   decisions_.add(order.server.value, nlohmann::json{{"decision", "weights"},
                                                     {"server", order.server.value},
                                                     {"weights", order.weights.value},
                                                     {"fence", order.fence.value},
-                                                    {"daemon", settings_.peer.value},
+                                                    {"daemon", settings_.peerAddress.value},
                                                     {"result", orderAnswerName(answer)}}
                                          .dump());
   const auto rollout = rollouts_.find(model);
@@ -113,7 +114,8 @@
 awaitable<void> Agent::askReport(ModelName model, ReportAsk asked) {
   const Instant askedAt = BootClock::now();
   const Address address{asked.server.value};
-  const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportDue);
+  const auto report =
+      co_await dialect_.readWeights(address, settings_.peerAddress, model, kReportDue);
   const auto rollout = rollouts_.find(model);
   if (rollout == rollouts_.end()) co_return;
   const Instant now = BootClock::now();
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -30,15 +30,15 @@
 // which only a start can be.
 constexpr std::array kStartSettings = {
     StartSetting{"role", same<&Settings::role>},
-    StartSetting{"node", same<&Settings::node>},
+    StartSetting{"node", same<&Settings::nodeName>},
     StartSetting{"zone", same<&Settings::zone>},
-    StartSetting{"cohort", same<&Settings::peer>},
-    StartSetting{"operators", same<&Settings::operators>},
-    StartSetting{"callers", same<&Settings::callers>},
-    StartSetting{"ready", same<&Settings::ready>},
+    StartSetting{"cohort", same<&Settings::peerAddress>},
+    StartSetting{"operators", same<&Settings::operatorAddress>},
+    StartSetting{"callers", same<&Settings::callerAddress>},
+    StartSetting{"ready", same<&Settings::readinessAddress>},
     StartSetting{"data_folder", same<&Settings::dataFolder>},
     StartSetting{"disk_drag", same<&Settings::syncDelayFile>},
-    StartSetting{"store", same<&Settings::store>},
+    StartSetting{"store", same<&Settings::storeAddress>},
     StartSetting{"cohort_via", same<&Settings::peerRelay>},
     StartSetting{"placement", same<&Settings::placement>},
     StartSetting{"fetch", same<&Settings::fetch>},
@@ -54,8 +54,9 @@
     StartSetting{"retry slack", same<&Settings::retryHeadroom>}};
 
 bool differsLive(const Settings& a, const Settings& b) {
-  return a.seeds != b.seeds || a.platform != b.platform || a.listInterval != b.listInterval ||
-         a.listCallsPerSecond != b.listCallsPerSecond || a.shutdownGrace != b.shutdownGrace;
+  return a.seeds != b.seeds || a.platformAddress != b.platformAddress ||
+         a.listInterval != b.listInterval || a.listCallsPerSecond != b.listCallsPerSecond ||
+         a.shutdownGrace != b.shutdownGrace;
 }
 
 std::string joined(const std::vector<std::string>& names) {
@@ -107,7 +108,7 @@
 Settings takenLive(const Settings& before, const Settings& after) {
   Settings taken = before;
   taken.seeds = after.seeds;
-  taken.platform = after.platform;
+  taken.platformAddress = after.platformAddress;
   taken.listInterval = after.listInterval;
   taken.listCallsPerSecond = after.listCallsPerSecond;
   taken.shutdownGrace = after.shutdownGrace;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -32,14 +32,14 @@
       placement_(kQueueLimit, placementSettings(settings_)) {
   std::random_device entropy;
   // The address leads `quayrillctl explain` to the daemon that knows the request.
-  idStem_ = settings_.callers.value + "/" + std::to_string(entropy()) + "/";
+  idStem_ = settings_.callerAddress.value + "/" + std::to_string(entropy()) + "/";
 }
 
 Proxy::~Proxy() { stop(); }
 
 absl::Status Proxy::start() {
   HttpServerSettings serverSettings;
-  serverSettings.listen = settings_.callers;
+  serverSettings.listen = settings_.callerAddress;
   serverSettings.bodyLimit = 16 << 20;
   callers_ = std::make_unique<HttpServer>(
       io_, serverSettings,
@@ -87,7 +87,7 @@
   for (;;) {
     const auto before = view();
     HttpCall call;
-    call.to = settings_.operators;
+    call.to = settings_.operatorAddress;
     call.target = "/q/feed?spec=" + std::to_string(before->configurationVersion);
     call.due = 800ms;
     const Instant askedAt = BootClock::now();
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -200,8 +200,8 @@
   if (placed.source) {
     source = Address{placed.source->server.value};
     from = "peer " + source.value;
-  } else if (placed.worthFetching && !settings_.store.value.empty()) {
-    source = settings_.store;
+  } else if (placed.worthFetching && !settings_.storeAddress.value.empty()) {
+    source = settings_.storeAddress;
     from = "store";
   }
   // A model whose weights are on the move is no time for fetching: a source may switch any moment.
@@ -221,7 +221,7 @@
                         state->identity == placed.source->identity;
       co_return same ? placed.source->matchedTokens : 0;
     }
-    const auto kept = co_await readKept(source, settings_.callers, job.policy.model, job.salt,
+    const auto kept = co_await readKept(source, settings_.callerAddress, job.policy.model, job.salt,
                                         server.weights, job.prefix, kFetchDue);
     co_return kept.ok() ? *kept : 0;
   };
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -47,10 +47,10 @@
 }
 
 absl::Status Relay::start() {
-  if (auto status = listenAt(callers_, settings_.callers, 1024); !status.ok()) return status;
-  if (!settings_.ready.value.empty()) {
+  if (auto status = listenAt(callers_, settings_.callerAddress, 1024); !status.ok()) return status;
+  if (!settings_.readinessAddress.value.empty()) {
     HttpServerSettings readySettings;
-    readySettings.listen = settings_.ready;
+    readySettings.listen = settings_.readinessAddress;
     readySettings.connectionLimit = 64;
     ready_ = std::make_unique<HttpServer>(
         io_, readySettings,
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -114,10 +114,12 @@
     bool needed;
     bool own;
   };
-  const Row rows[] = {
-      {"cohort", settings.peer, agent, agent},   {"operators", settings.operators, true, true},
-      {"callers", settings.callers, true, true}, {"platform", settings.platform, agent, false},
-      {"store", settings.store, false, false},   {"cohort_via", settings.peerRelay, false, false}};
+  const Row rows[] = {{"cohort", settings.peerAddress, agent, agent},
+                      {"operators", settings.operatorAddress, true, true},
+                      {"callers", settings.callerAddress, true, true},
+                      {"platform", settings.platformAddress, agent, false},
+                      {"store", settings.storeAddress, false, false},
+                      {"cohort_via", settings.peerRelay, false, false}};
   std::map<Address, std::string> taken;
   for (const Row& row : rows) {
     if (row.address.value.empty()) {
@@ -169,14 +171,14 @@
   Settings settings;
   const auto text = [&](const char* name) { return fields.value(name, std::string{}); };
   settings.role = fields.value("role", settings.role);
-  settings.peer = Address{text("cohort")};
-  settings.operators = Address{text("operators")};
-  settings.callers = Address{text("callers")};
+  settings.peerAddress = Address{text("cohort")};
+  settings.operatorAddress = Address{text("operators")};
+  settings.callerAddress = Address{text("callers")};
   settings.zone = fields.value("zone", "zone");
   settings.dataFolder = text("data_folder");
   settings.syncDelayFile = text("disk_drag");
-  settings.platform = Address{text("platform")};
-  settings.store = Address{text("store")};
+  settings.platformAddress = Address{text("platform")};
+  settings.storeAddress = Address{text("store")};
   settings.peerRelay = Address{text("cohort_via")};
   settings.placement = fields.value("placement", settings.placement);
   settings.fetch = fields.value("fetch", "on") == "on";
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -16,15 +16,15 @@
 
 struct Settings {
   std::string role = "both";  // proxy, agent or both
-  Address peer;               // agent: other daemons connect here
-  Address operators;          // agent: operator API, and the feed of its proxy
-  Address callers;            // proxy: requests of callers
+  Address peerAddress;        // agent: other daemons connect here
+  Address operatorAddress;    // agent: operator API, and the feed of its proxy
+  Address callerAddress;      // proxy: requests of callers
   std::string zone;
   std::vector<Address> seeds;        // three peer addresses
   std::string dataFolder;            // "" on machines that keep no register replica
   std::string syncDelayFile;         // file with the milliseconds that each sync is to last longer
-  Address platform;                  // the platform's list of servers
-  Address store;                     // the store of kept prompt parts; may be absent
+  Address platformAddress;           // the platform's list of servers
+  Address storeAddress;              // the store of kept prompt parts; may be absent
   Address peerRelay;                 // relay for peer connections, used by quayrill-local's cuts
   std::string placement = "prefix";  // prefix; least-burden and round-robin for comparisons
   bool fetch = true;                 // let servers pull missing prefixes from peers and the store
@@ -40,8 +40,9 @@
   std::size_t trafficThreads = 2;
   std::chrono::milliseconds stalenessLimit{2000};
   std::chrono::milliseconds shutdownGrace{10000};
-  Address ready;         // readiness is told here too, where the platform asks at an own address
-  std::string node;      // this machine's name in logs and orders; "" takes the peer address
+  Address
+      readinessAddress;  // readiness is told here too, where the platform asks at an own address
+  std::string nodeName;  // this machine's name in logs and orders; "" takes the peer address
   bool mayFound = true;  // false: an empty disk joins a fleet and never founds one
   // How long a founder waits for word of a fleet that lives; 0 only where the platform vouches that
   // there is none.
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -125,8 +125,8 @@
     thread = std::thread([this] { io.run(); });
     Settings settings;
     settings.role = "proxy";
-    settings.operators = agentSettings.listen;
-    settings.callers = callers;
+    settings.operatorAddress = agentSettings.listen;
+    settings.callerAddress = callers;
     settings.zone = "z";
     proxy = std::make_unique<Proxy>(settings, ownDialect());
     REQUIRE(proxy->start().ok());
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -76,8 +76,8 @@
     }
     thread = std::thread([this] { io.run(); });
     Settings settings;
-    settings.callers = callers;
-    settings.ready = ready;
+    settings.callerAddress = callers;
+    settings.readinessAddress = ready;
     settings.trafficThreads = 1;
     settings.retryShare = retryShare;
     settings.shutdownGrace = grace;
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -144,8 +144,8 @@
   const SettingsLook other = lookTwice(judge, moved);
   CHECK_THAT(other.told, Catch::Contains("role, cohort, operators, callers"));
   CHECK(other.changed->role == "both");
-  CHECK(other.changed->peer == Address{"10.0.0.1:1"});
-  CHECK(other.changed->platform == Address{"10.0.9.2:1"});
+  CHECK(other.changed->peerAddress == Address{"10.0.0.1:1"});
+  CHECK(other.changed->platformAddress == Address{"10.0.9.2:1"});
 }
 
 TEST_CASE("settings: the platform's file goes through the same watch") {
