--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -114,7 +114,7 @@
           ++counters_.diskErrors;
           if (core_->isWritable())
             LOG(ERROR) << "register replica stops voting: "
-                       << message({ErrorKind::DiskError, status.ToString()});
+                       << errorMessage({ErrorKind::DiskError, status.ToString()});
           core_->onDiskError();
         } else if (*answer) {
           link_->send(**answer);
--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -20,9 +20,11 @@
 
 int httpStatus(ErrorKind kind) { return row(kind).status; }
 const char* errorName(ErrorKind kind) { return row(kind).name; }
-std::string message(const Error& error) { return error.detail + ": " + row(error.kind).remedy; }
+std::string errorMessage(const Error& error) {
+  return error.detail + ": " + row(error.kind).remedy;
+}
 absl::Status toStatus(const Error& error) {
-  return absl::Status(row(error.kind).code, message(error));
+  return absl::Status(row(error.kind).code, errorMessage(error));
 }
 
 }  // namespace quayrill
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -55,7 +55,7 @@
 
 int httpStatus(ErrorKind kind);
 const char* errorName(ErrorKind kind);
-std::string message(const Error& error);  // "detail: remedy"
+std::string errorMessage(const Error& error);  // "detail: remedy"
 absl::Status toStatus(const Error& error);
 
 }  // namespace quayrill
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -187,7 +187,7 @@
 
 HttpResponse errorResponse(const Error& error) {
   return jsonResponse(static_cast<unsigned>(httpStatus(error.kind)),
-                      {{"defect", errorName(error.kind)}, {"message", message(error)}});
+                      {{"defect", errorName(error.kind)}, {"message", errorMessage(error)}});
 }
 
 std::string pathOf(const HttpRequest& request) {
