--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -22,10 +22,10 @@
 
 ChangeStatus classifyChange(const SubmittedChange& sent, const AppliedChanges& taken,
                             std::uint64_t forgotten, std::uint64_t current) {
-  const AppliedChange change{sent.number, sent.digest};
+  const AppliedChange change{sent.version, sent.digest};
   if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStatus::Applied;
-  if (sent.basis == current) return ChangeStatus::New;
-  const bool mayBeForgotten = sent.basis < forgotten && sent.number <= forgotten;
+  if (sent.baseVersion == current) return ChangeStatus::New;
+  const bool mayBeForgotten = sent.baseVersion < forgotten && sent.version <= forgotten;
   return mayBeForgotten ? ChangeStatus::Forgotten : ChangeStatus::Stale;
 }
 
@@ -33,7 +33,7 @@
   taken->push_front(std::move(change));
   std::uint64_t forgotten = 0;
   while (taken->size() > kMaxAppliedChanges) {
-    forgotten = std::max(forgotten, taken->back().number);
+    forgotten = std::max(forgotten, taken->back().version);
     taken->pop_back();
   }
   return forgotten;
--- a/src/configuration/update.h
+++ b/src/configuration/update.h
@@ -16,7 +16,7 @@
 // A change that the register took: the number it gave the configuration, and a digest of all that
 // was asked.
 struct AppliedChange {
-  std::uint64_t number = 0;
+  std::uint64_t version = 0;
   std::string digest;
   bool operator==(const AppliedChange&) const = default;
 };
@@ -49,8 +49,8 @@
 // A change as it was sent: the number it gives the configuration, the one it builds on, and its
 // digest.
 struct SubmittedChange {
-  std::uint64_t number = 0;
-  std::uint64_t basis = 0;
+  std::uint64_t version = 0;
+  std::uint64_t baseVersion = 0;
   std::string digest;
 };
 enum class ChangeStatus {
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -15,13 +15,13 @@
   std::istringstream in(body);
   AppliedChanges taken;
   AppliedChange change;
-  while (in >> change.number >> change.digest) taken.push_back(change);
+  while (in >> change.version >> change.digest) taken.push_back(change);
   return taken;
 }
 
 std::string writeBody(const AppliedChanges& taken) {
   std::ostringstream out;
-  for (const AppliedChange& change : taken) out << change.number << ' ' << change.digest << ' ';
+  for (const AppliedChange& change : taken) out << change.version << ' ' << change.digest << ' ';
   return out.str();
 }
 }  // namespace
@@ -31,7 +31,7 @@
              const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
     AppliedChanges taken = readBody(standing);
     const std::string digest = digestOf(order);
-    const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
+    const std::uint64_t number = taken.empty() ? 0 : taken.front().version;
     const SubmittedChange sent{order.basis + 1, order.basis, digest};
     const ChangeStatus standingOfOrder = classifyChange(sent, taken, kNoneForgotten, number);
     if (!judgesResendsAsNew && standingOfOrder == ChangeStatus::Applied)
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -25,7 +25,7 @@
   std::ostringstream text;
   text << body.number << ' ' << body.forgotten << ' ' << body.taken.size();
   for (const AppliedChange& change : body.taken)
-    text << ' ' << change.number << ' ' << change.digest;
+    text << ' ' << change.version << ' ' << change.digest;
   text << '\n' << std::string(body.padding, static_cast<char>('a' + body.number % 26));
   return text.str();
 }
@@ -37,7 +37,7 @@
   read >> body.number >> body.forgotten >> count;
   for (std::size_t i = 0; i < count; ++i) {
     AppliedChange change;
-    read >> change.number >> change.digest;
+    read >> change.version >> change.digest;
     body.taken.push_back(std::move(change));
   }
   return body;
@@ -59,8 +59,8 @@
         break;
     }
     body.forgotten =
-        std::max(body.forgotten, recordApplied(&body.taken, {order.number, order.digest}));
-    body.number = order.number;
+        std::max(body.forgotten, recordApplied(&body.taken, {order.version, order.digest}));
+    body.number = order.version;
     body.padding = padding;
     return writeChain(body);
   };
@@ -103,7 +103,7 @@
   order.refused = order.refused || isNo(result);
   order.heard = order.heard || (!call.answerLost && (isYes(result) || isNo(result)));
   answers_[call.order] = result;
-  if (isYes(result)) newest_ = std::max(newest_, order.change.number);
+  if (isYes(result)) newest_ = std::max(newest_, order.change.version);
 }
 
 bool Operators::isIdle() const { return calls_.empty(); }
@@ -131,7 +131,7 @@
     const std::string name = "order " + std::to_string(i);
     if (order.confirmed && order.refused) broken.push_back(name + " was confirmed and refused");
     if (!order.confirmed) continue;
-    if (!confirmedOn.try_emplace(order.change.basis, i).second)
+    if (!confirmedOn.try_emplace(order.change.baseVersion, i).second)
       broken.push_back(name + " was confirmed on the basis of another one that was");
   }
   const ChainBody body = readChain(standing);
@@ -139,7 +139,7 @@
   for (const AppliedChange& taken : body.taken) {
     for (const Order& order : orders_) {
       if (order.change.digest == taken.digest && order.refused)
-        broken.push_back("number " + std::to_string(taken.number) + " was refused and stands");
+        broken.push_back("number " + std::to_string(taken.version) + " was refused and stands");
     }
   }
   return broken;
