--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -229,8 +229,8 @@
   CHECK(codeOf(platform::configReplacement(rival.dump(), 7), second) ==
         StatusCode::kFailedPrecondition);
   std::string body = second;
-  for (std::uint64_t basis = 9; basis < 9 + kMaxAppliedChanges + 20; ++basis)
-    body = made(platform::configReplacement(whole(basis + 1), basis), body);
+  for (std::uint64_t baseVersion = 9; baseVersion < 9 + kMaxAppliedChanges + 20; ++baseVersion)
+    body = made(platform::configReplacement(whole(baseVersion + 1), baseVersion), body);
   CHECK(platform::readBody(body)->taken.size() == kMaxAppliedChanges);
   CHECK(holds(platform::configReplacement(whole(9 + 25), 9 + 24), body));
 }
@@ -244,14 +244,14 @@
   std::string body;
   std::vector<std::string> patches;  // the one on top of version n is patches[n - 1]
   body = made(platform::configReplacement(whole(1), 0), body);
-  for (std::uint64_t basis = 1; basis < kChanges; ++basis) {
-    patches.push_back(R"({"gen":)" + std::to_string(basis + 1) + R"(,"limits":{"idleTimeoutMs":)" +
-                      std::to_string(basis) + "}}");
-    body = made(platform::configPatch(patches.back(), basis), body);
+  for (std::uint64_t baseVersion = 1; baseVersion < kChanges; ++baseVersion) {
+    patches.push_back(R"({"gen":)" + std::to_string(baseVersion + 1) +
+                      R"(,"limits":{"idleTimeoutMs":)" + std::to_string(baseVersion) + "}}");
+    body = made(platform::configPatch(patches.back(), baseVersion), body);
   }
   std::size_t acknowledged = 0;
-  for (std::uint64_t basis = 1; basis < kChanges; ++basis) {
-    const auto again = tried(platform::configPatch(patches[basis - 1], basis), body);
+  for (std::uint64_t baseVersion = 1; baseVersion < kChanges; ++baseVersion) {
+    const auto again = tried(platform::configPatch(patches[baseVersion - 1], baseVersion), body);
     if (again.ok() && !*again) ++acknowledged;
     CHECK((again.ok() ? !*again : again.status().code() == StatusCode::kUnknown));
   }
@@ -329,8 +329,8 @@
   CHECK(document["routes"][1]["name"] == "pay");  // in its old place
   CHECK(document["routes"][2]["name"] == "new");
   CHECK(holds(platform::configPatch(text, 7), body));
-  const auto codeOf = [&](const std::string& patch, std::uint64_t basis) {
-    return tried(platform::configPatch(patch, basis), first).status().code();
+  const auto codeOf = [&](const std::string& patch, std::uint64_t baseVersion) {
+    return tried(platform::configPatch(patch, baseVersion), first).status().code();
   };
   using absl::StatusCode;
   CHECK(codeOf(text, 6) == StatusCode::kFailedPrecondition);
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -20,10 +20,10 @@
          R"(,"routes":[{"name":"r","host":"h","prefix":"/","backend":"b"}],"backends":[{"name":")" +
          service + R"(","runtime":{"models":[{"name":"m"}]}}],"by":")" + service + "\"}";
 }
-Update onTop(std::uint64_t basis, std::uint64_t generation, const std::string& by = "") {
+Update onTop(std::uint64_t baseVersion, std::uint64_t generation, const std::string& by = "") {
   platform::Document document = platform::Document::parse(config(generation));
   document["by"] = by;
-  return *platform::configReplacement(document.dump(), basis);
+  return *platform::configReplacement(document.dump(), baseVersion);
 }
 
 // A register of one replica. `fates` says what becomes of the changes that come next.
@@ -175,8 +175,8 @@
 
 TEST_CASE("amend: a resend whose change is forgotten has no clear answer, and is not proposed") {
   Script script;
-  for (std::uint64_t basis = 0; basis < kMaxAppliedChanges + 5; ++basis)
-    REQUIRE(script.carry(onTop(basis, basis + 1)) == UpdateResult::Applied);
+  for (std::uint64_t baseVersion = 0; baseVersion < kMaxAppliedChanges + 5; ++baseVersion)
+    REQUIRE(script.carry(onTop(baseVersion, baseVersion + 1)) == UpdateResult::Applied);
   const std::size_t changes = script.changes;
   CHECK(script.carry(onTop(2, 3)) == UpdateResult::Unknown);
   CHECK(script.carry(onTop(2, 3, "rival")) == UpdateResult::Unknown);
@@ -192,8 +192,8 @@
   REQUIRE(script.step(mine));
   script.fates = {Fate::TakenUnheard};
   REQUIRE(script.step(mine));
-  for (std::uint64_t basis = 1; basis < kMaxAppliedChanges + 5; ++basis)
-    REQUIRE(script.carry(onTop(basis, basis + 1, "b")) == UpdateResult::Applied);
+  for (std::uint64_t baseVersion = 1; baseVersion < kMaxAppliedChanges + 5; ++baseVersion)
+    REQUIRE(script.carry(onTop(baseVersion, baseVersion + 1, "b")) == UpdateResult::Applied);
   while (script.step(mine)) {
   }
   CHECK(mine.done()->result == UpdateResult::Unknown);
@@ -249,15 +249,15 @@
   CHECK(statusOf(UpdateResult::NotApplied) == 503);
   CHECK_FALSE(
       platform::responseFor({UpdateResult::NotApplied, ""})[http::field::retry_after].empty());
-  const auto basis = [](const std::string& text) {
+  const auto baseVersion = [](const std::string& text) {
     HttpRequest request;
     if (!text.empty()) request.set(http::field::if_match, text);
     return platform::baseVersionOf(request);
   };
-  CHECK(*basis("0") == 0);
-  CHECK(*basis("\"17\"") == 17);
+  CHECK(*baseVersion("0") == 0);
+  CHECK(*baseVersion("\"17\"") == 17);
   for (const char* text : {"", "\"", "x", "5x", "-1", "5 6", "99999999999999999999999"})
-    CHECK_FALSE(basis(text).ok());
+    CHECK_FALSE(baseVersion(text).ok());
 }
 
 namespace {
@@ -309,20 +309,20 @@
     settings.edgeMachines = 3;
     settings.lossRate = 0.05;
     Fleet fleet(settings);
-    std::uint64_t basis = 0;
+    std::uint64_t baseVersion = 0;
     for (std::uint64_t round = 1; round <= 5; ++round) {
-      const std::uint64_t generation = basis + 1 + seed % 3;
-      Call& a1 = fleet.begin(0, onTop(basis, generation, "a"));
-      Call& b1 = fleet.begin(1, onTop(basis, generation, "b"));
+      const std::uint64_t generation = baseVersion + 1 + seed % 3;
+      Call& a1 = fleet.begin(0, onTop(baseVersion, generation, "a"));
+      Call& b1 = fleet.begin(1, onTop(baseVersion, generation, "b"));
       fleet.run(std::chrono::milliseconds(5 * (seed % 4)));
-      Call& a2 = fleet.begin(2, onTop(basis, generation, "a"));
-      Call& b2 = fleet.begin(3, onTop(basis, generation, "b"));
+      Call& a2 = fleet.begin(2, onTop(baseVersion, generation, "a"));
+      Call& b2 = fleet.begin(3, onTop(baseVersion, generation, "b"));
       fleet.run(9s);
       for (Call* call : {&a1, &b1, &a2, &b2}) REQUIRE(call->updateOperation.done());
       // Whatever was lost on the way: a try after that gets the answer that holds for ever.
-      Call& a3 = fleet.begin(0, onTop(basis, generation, "a"));
+      Call& a3 = fleet.begin(0, onTop(baseVersion, generation, "a"));
       fleet.run(4s);
-      Call& b3 = fleet.begin(1, onTop(basis, generation, "b"));
+      Call& b3 = fleet.begin(1, onTop(baseVersion, generation, "b"));
       fleet.run(4s);
       REQUIRE(a3.updateOperation.done());
       REQUIRE(b3.updateOperation.done());
@@ -339,7 +339,7 @@
                                          std::pair{std::vector<Call*>{&b1, &b2}, isYes(b3)}}) {
         for (const Call* call : tries) CHECK_FALSE((holds ? isNo(*call) : isYes(*call)));
       }
-      basis = generation;
+      baseVersion = generation;
       fleet.calls.clear();
     }
     fleet.world.checkHistory();
