--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -34,7 +34,7 @@
    "later":{"kept":[1,2.5,"x"]}})");
 }
 std::string errorOf(const Document& document) {
-  const auto config = platform::readConfig(document);
+  const auto config = platform::parseConfig(document);
   return config.ok() ? "" : std::string(config.status().message());
 }
 std::string whole(std::uint64_t generation) {
@@ -63,7 +63,7 @@
 }  // namespace
 
 TEST_CASE("platform config: a document becomes a configuration") {
-  const auto config = platform::readConfig(sample());
+  const auto config = platform::parseConfig(sample());
   INFO(config.status().ToString());
   REQUIRE(config.ok());
   const Configuration& configuration = config->configuration;
@@ -115,16 +115,16 @@
 TEST_CASE("platform config: a stream that isn't resumable is not repeatable") {
   Document document = sample();
   document["routes"][0]["resumable"] = false;
-  const auto config = platform::readConfig(document);
+  const auto config = platform::parseConfig(document);
   REQUIRE(config.ok());
   CHECK_FALSE(config->configuration.policies.at(PolicyName{"chat"}).repeatable);
   document["routes"][2]["resumable"] = true;  // of no meaning without a stream
   CHECK_FALSE(
-      platform::readConfig(document)->configuration.policies.at(PolicyName{"pay"}).repeatable);
+      platform::parseConfig(document)->configuration.policies.at(PolicyName{"pay"}).repeatable);
 }
 
 TEST_CASE("platform config: what may be left out") {
-  const auto config = platform::readConfig(Document::parse(
+  const auto config = platform::parseConfig(Document::parse(
       R"({"gen":1,"routes":[{"name":"r","host":"h","prefix":"/","backend":"b","tries":0}],
           "backends":[{"name":"b"}]})"));
   INFO(config.status().ToString());
@@ -187,7 +187,7 @@
     CHECK_THAT(errorOf(bad), Contains("/routes/0/deadlineMs: "));
     const std::string text = whole(8);
     CHECK_THAT(
-        std::string(platform::readDocument(text.substr(0, text.size() / 2)).status().message()),
+        std::string(platform::parseDocument(text.substr(0, text.size() / 2)).status().message()),
         Contains("can't be read whole"));
     CHECK_FALSE(platform::configReplacement("[]", 0).ok());
     CHECK_FALSE(platform::configReplacement("", 0).ok());
@@ -199,7 +199,7 @@
 TEST_CASE("platform config: the register keeps a document as it was sent") {
   const std::string text = whole(7);
   const std::string body = made(platform::configReplacement(text, 0), "");
-  CHECK(platform::readBody(body)->config.dump() == text);
+  CHECK(platform::parseBody(body)->config.dump() == text);
   const auto configuration = platform::readConfiguration(body);
   REQUIRE(configuration.ok());
   CHECK(configuration->weights.at(ModelName{"daka510000"}).value == "1");
@@ -231,7 +231,7 @@
   std::string body = second;
   for (std::uint64_t baseVersion = 9; baseVersion < 9 + kMaxAppliedChanges + 20; ++baseVersion)
     body = made(platform::configReplacement(whole(baseVersion + 1), baseVersion), body);
-  CHECK(platform::readBody(body)->taken.size() == kMaxAppliedChanges);
+  CHECK(platform::parseBody(body)->taken.size() == kMaxAppliedChanges);
   CHECK(holds(platform::configReplacement(whole(9 + 25), 9 + 24), body));
 }
 
@@ -274,7 +274,8 @@
   CHECK(holds(platform::configReplacement(spaced, 0), first));
   const std::string patched =
       made(platform::configPatch(R"({"gen":9,"limits":{"idleTimeoutMs":9000}})", 7), first);
-  CHECK(holds(platform::configReplacement(platform::readBody(patched)->config.dump(), 5), patched));
+  CHECK(
+      holds(platform::configReplacement(platform::parseBody(patched)->config.dump(), 5), patched));
   // On top of itself or of a later one it is no resend.
   using absl::StatusCode;
   CHECK(tried(platform::configReplacement(whole(7), 7), first).status().code() ==
@@ -288,12 +289,12 @@
   large["gen"] = 1;
   large["later"] = std::string((1 << 20) - large.dump().size() - 200, 'x');
   std::string body = made(platform::configReplacement(large.dump(), 0), "");
-  platform::RegisterBody full = *platform::readBody(body);
+  platform::RegisterBody full = *platform::parseBody(body);
   for (std::uint64_t number = 2; number <= kMaxAppliedChanges + 1; ++number)
     recordApplied(&full.taken, {number, changeDigest("patch", number - 1, "any")});
   full.config["gen"] = kMaxAppliedChanges + 1;
-  body = platform::writeBody(full);
-  CHECK(platform::readBody(body)->taken.size() == kMaxAppliedChanges);
+  body = platform::serializeBody(full);
+  CHECK(platform::parseBody(body)->taken.size() == kMaxAppliedChanges);
   UpdateOperation updateOperation(*platform::configPatch(R"({"gen":9000})", kMaxAppliedChanges + 1),
                                   kRegisterBodyLimit, Instant(10s));
   REQUIRE(updateOperation.next(Instant(1s)));
@@ -323,7 +324,7 @@
   CHECK(configuration->tenants.size() == 1);
   CHECK(configuration->callerLimits.idleTimeout == 9s);
   CHECK(configuration->callerLimits.headerTimeout == 3s);
-  const Document document = platform::readBody(body)->config;
+  const Document document = platform::parseBody(body)->config;
   CHECK(document["gen"] == 9);
   CHECK(document["later"] == sample()["later"]);
   CHECK(document["routes"][1]["name"] == "pay");  // in its old place
