--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,12 +1,14 @@
 #pragma once
-// The one clock that decides anything. It counts through suspend, never jumps, and is only ever
-// compared with itself on the same machine.
+// The only clock that decisions are based on. It keeps counting while the machine is suspended and
+// never jumps. Readings are comparable only with other readings on the same machine, so messages
+// carry durations instead of instants.
 #include <ctime>
 
 #include <chrono>
 
 namespace quayrill {
 
+// CLOCK_BOOTTIME as a clock for std::chrono.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -21,6 +23,7 @@
   }
 };
 
+// A point in time on the boot clock of this machine.
 using Instant = BootClock::time_point;
 using Duration = BootClock::duration;
 
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,12 +1,13 @@
 #pragma once
-// Counters come first; lines are logged only for changes of state.
+// Metrics of one process, exported as Prometheus counters. Events that recur per request are
+// counted here; the log has lines only for changes of state.
 #include <atomic>
 #include <cstdint>
 #include <string>
 
 namespace quayrill {
 
-// field, name in the metrics, help text
+// field, name in the metrics (with the prefix quayrill_), help text
 #define QUAYRILL_COUNTERS(X)                                                                      \
   X(requests, "requests", "requests read")                                                        \
   X(completed, "done", "answers finished with the server's end mark")                             \
@@ -30,12 +31,14 @@
   X(weightOrders, "weightOrders", "weight orders sent to servers")                                \
   X(diskErrors, "diskErrors", "write errors of the data folder")
 
+// Fields may be incremented from any thread.
 struct Counters {
 #define QUAYRILL_COUNTER(field, name, help) std::atomic<std::uint64_t> field{0};
   QUAYRILL_COUNTERS(QUAYRILL_COUNTER)
 #undef QUAYRILL_COUNTER
 };
 
+// All counters in the Prometheus text format.
 std::string renderCounters(const Counters& counters);
 
 }  // namespace quayrill
--- a/src/base/decision_log.cpp
+++ b/src/base/decision_log.cpp
@@ -13,15 +13,15 @@
   }
 }
 
-DecisionPage DecisionLog::read(std::uint64_t from, std::size_t most) const {
+DecisionPage DecisionLog::read(std::uint64_t from, std::size_t maxLines) const {
   std::lock_guard lock(mutex_);
   DecisionPage page;
   page.first = std::max(from, first_);
   const std::uint64_t end = first_ + rows_.size();
   page.first = std::min(page.first, end);
-  page.next = std::min<std::uint64_t>(end, page.first + most);
-  for (std::uint64_t at = page.first; at < page.next; ++at)
-    page.lines.push_back(rows_[at - first_].second);
+  page.next = std::min<std::uint64_t>(end, page.first + maxLines);
+  for (std::uint64_t position = page.first; position < page.next; ++position)
+    page.lines.push_back(rows_[position - first_].second);
   return page;
 }
 
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -1,5 +1,6 @@
 #pragma once
-// The stream of decisions, read by position. Bounded: a reader that is too slow is shown the gap.
+// A bounded in-memory log of routing decisions that operators read by position. A reader that falls
+// behind finds out how many lines it missed.
 #include <cstdint>
 #include <deque>
 #include <mutex>
@@ -9,24 +10,30 @@
 
 namespace quayrill {
 
+// The answer to one read of the log.
 struct DecisionPage {
-  std::uint64_t first = 0;  // position of lines.front(); above the asked one, there is a gap
-  std::uint64_t next = 0;   // ask from here
+  // Position of lines.front(). Above the requested position, the lines between were dropped.
+  std::uint64_t first = 0;
+  std::uint64_t next = 0;  // position to continue from
   std::vector<std::string> lines;
 };
 
+// Keeps the newest `limit` lines. Thread-safe.
 class DecisionLog {
  public:
   explicit DecisionLog(std::size_t limit) : limit_(limit) {}
+  // Appends a line about the request `id`.
   void add(std::string id, std::string line);
-  DecisionPage read(std::uint64_t from, std::size_t most) const;
-  std::optional<std::string> find(const std::string& id) const;  // the newest line with this id
+  // Up to `maxLines` lines from position `from` on.
+  DecisionPage read(std::uint64_t from, std::size_t maxLines) const;
+  // The newest line about the request `id`.
+  std::optional<std::string> find(const std::string& id) const;
 
  private:
-  // rows_[i] has position first_ + i; at most limit_ rows.
   mutable std::mutex mutex_;
   std::size_t limit_;
   std::uint64_t first_ = 1;
+  // Pairs of request id and line; rows_[i] has position first_ + i. At most limit_ rows.
   std::deque<std::pair<std::string, std::string>> rows_;
 };
 
--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -17,6 +17,7 @@
   return text;
 }
 
+// boost::hash_combine, followed by the finalizer of SplitMix64.
 std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right) {
   std::uint64_t mixed = left ^ (right + 0x9e3779b97f4a7c15ULL + (left << 6) + (left >> 2));
   mixed ^= mixed >> 30;
@@ -26,6 +27,7 @@
   return mixed ^ (mixed >> 31);
 }
 
+// FNV-1a, mixed with the length.
 std::uint64_t stableHash(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (unsigned char byte : text) hash = (hash ^ byte) * 0x100000001b3ULL;
--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -3,6 +3,7 @@
 namespace quayrill {
 
 namespace {
+// One row of QUAYRILL_ERRORS; the index in kRows is the enumerator.
 struct ErrorRow {
   const char* name;
   int status;
@@ -15,16 +16,16 @@
     QUAYRILL_ERRORS(QUAYRILL_ROW)
 #undef QUAYRILL_ROW
 };
-const ErrorRow& row(ErrorKind kind) { return kRows[static_cast<std::size_t>(kind)]; }
+const ErrorRow& rowOf(ErrorKind kind) { return kRows[static_cast<std::size_t>(kind)]; }
 }  // namespace
 
-int httpStatus(ErrorKind kind) { return row(kind).status; }
-const char* errorName(ErrorKind kind) { return row(kind).name; }
+int httpStatus(ErrorKind kind) { return rowOf(kind).status; }
+const char* errorName(ErrorKind kind) { return rowOf(kind).name; }
 std::string errorMessage(const Error& error) {
-  return error.detail + ": " + row(error.kind).remedy;
+  return error.detail + ": " + rowOf(error.kind).remedy;
 }
 absl::Status toStatus(const Error& error) {
-  return absl::Status(row(error.kind).code, errorMessage(error));
+  return absl::Status(rowOf(error.kind).code, errorMessage(error));
 }
 
 }  // namespace quayrill
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,5 +1,6 @@
 #pragma once
-// Typed errors. Each kind carries its HTTP status and the remedy that its message ends with.
+// Errors that callers and operators see. Each kind has an HTTP status and a remedy, which ends the
+// error's message.
 #include <absl/status/status.h>
 
 #include <string>
@@ -42,20 +43,26 @@
   X(DiskError, "DiskError", 500, kDataLoss,                                                 \
     "make room on the disk or mend it; its folder is opened anew each second")
 
+// The kinds of error; one enumerator for each row of the table.
 enum class ErrorKind {
 #define QUAYRILL_KIND(kind, name, status, code, remedy) kind,
   QUAYRILL_ERRORS(QUAYRILL_KIND)
 #undef QUAYRILL_KIND
 };
 
+// An error of a kind, with what went wrong in this case.
 struct Error {
   ErrorKind kind{};
   std::string detail;
 };
 
+// The HTTP status that an answer with this error has. BadSettings has the exit code of the process.
 int httpStatus(ErrorKind kind);
+// The name of the kind as it appears in answers.
 const char* errorName(ErrorKind kind);
-std::string errorMessage(const Error& error);  // "detail: remedy"
+// The text "detail: remedy".
+std::string errorMessage(const Error& error);
+// The error as an absl status, with the same text.
 absl::Status toStatus(const Error& error);
 
 }  // namespace quayrill
--- a/src/base/mechanisms.cpp
+++ b/src/base/mechanisms.cpp
@@ -10,18 +10,19 @@
 namespace quayrill {
 
 namespace {
+// One row of QUAYRILL_MECHANISMS.
 struct Description {
   Mechanism mechanism;
-  std::string_view name, without;
+  std::string_view name, fallback;
 };
 
 constexpr Description kDescriptions[] = {
-#define QUAYRILL_DESCRIPTION(identifier, name, without) {Mechanism::identifier, name, without},
+#define QUAYRILL_DESCRIPTION(identifier, name, fallback) {Mechanism::identifier, name, fallback},
     QUAYRILL_MECHANISMS(QUAYRILL_DESCRIPTION)
 #undef QUAYRILL_DESCRIPTION
 };
 
-constexpr std::size_t kNameWidth = 20;
+constexpr std::size_t kNameWidth = 20;  // column of the names in the help text
 
 std::string joined(const std::vector<std::string_view>& names) {
   return absl::StrJoin(names, ",",
@@ -46,7 +47,7 @@
     if (row == std::end(kDescriptions)) {
       std::vector<std::string_view> names;
       for (const Description& known : kDescriptions) names.push_back(known.name);
-      return absl::InvalidArgumentError("no mechanism '" + name + "': name some of " +
+      return absl::InvalidArgumentError("unknown mechanism '" + name + "': use one of " +
                                         joined(names));
     }
     mechanisms.disable(row->mechanism);
@@ -59,7 +60,7 @@
   for (const Description& row : kDescriptions) {
     std::string name(row.name);
     name.resize(kNameWidth, ' ');
-    text += "  " + name + std::string(row.without) + "\n";
+    text += "  " + name + std::string(row.fallback) + "\n";
   }
   return text;
 }
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -1,6 +1,6 @@
 #pragma once
-// The mechanisms that decide where requests go, each with a name, so that one can be switched off
-// and its worth measured by what is lost without it.
+// The optimizations that decide where requests go. Each one can be disabled by name on the command
+// line, to measure what it contributes (an ablation).
 #include <absl/status/statusor.h>
 
 #include <bitset>
@@ -8,50 +8,54 @@
 
 namespace quayrill {
 
-// identifier, name on the command line, what is done without it
-#define QUAYRILL_MECHANISMS(X)                                                                \
-  X(LongestMatch, "longest-match", "a server is chosen by load alone")                        \
-  X(Locks, "locks", "prompts of running streams may be evicted from the index")               \
-  X(Events, "events", "servers and the store are not asked for cache events")                 \
-  X(SharedEvents, "shared-events", "each daemon reads the events of every server")            \
-  X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")    \
-  X(ExpectedRead, "expected-read", "servers are compared by requests, not by tokens to read") \
-  X(HomeFetch, "home-fetch", "the prompt's home is no source unless it is seen to hold more") \
-  X(PeerFetch, "peer-fetch", "no server is named as the source of missing cache")             \
-  X(StoreFetch, "store-fetch", "the store is not named as the source of missing cache")       \
-  X(StoreKeep, "store-keep", "nothing is sent to the store")                                  \
-  X(SpreadBound, "spread-bound", "a match counts however loaded its server is")               \
-  X(PrefixHome, "prefix-home", "ties are broken at random instead of by the prompt's prefix") \
-  X(NewestFirst, "newest-first", "weights don't count where no cache matches")                \
-  X(Avoidance, "avoidance", "a server that failed is used again at once")                     \
-  X(Urgency, "urgency", "servers are told no urgency")                                        \
-  X(KeptConnections, "kept-connections", "each request opens a connection to its server")     \
-  X(FurtherTries, "further-tries", "a request is sent to one server only")
-
+// enumerator, name on the command line, behaviour when it is disabled (help text)
+#define QUAYRILL_MECHANISMS(X)                                                                    \
+  X(LongestMatch, "longest-match", "servers are chosen by load alone, whatever they have cached") \
+  X(Locks, "locks", "prompts of running streams may be evicted from the index")                   \
+  X(Events, "events", "no cache events are read from servers and the store")                      \
+  X(SharedEvents, "shared-events", "each daemon reads the cache events of every server itself")   \
+  X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")        \
+  X(ExpectedRead, "expected-read", "servers are compared by requests, not by tokens to prefill")  \
+  X(HomeFetch, "home-fetch", "the prompt's home is a source only if it is known to hold more")    \
+  X(PeerFetch, "peer-fetch", "no other server is named as a source of missing cache")             \
+  X(StoreFetch, "store-fetch", "the store is not named as a source of missing cache")             \
+  X(StoreKeep, "store-keep", "nothing is sent to the store")                                      \
+  X(SpreadBound, "spread-bound", "a cache match counts however loaded its server is")             \
+  X(PrefixHome, "prefix-home", "ties are broken at random instead of by the prompt's prefix")     \
+  X(NewestFirst, "newest-first", "newer weights are not preferred where no cache matches")        \
+  X(Avoidance, "avoidance", "a server that failed is used again immediately")                     \
+  X(Urgency, "urgency", "requests carry no urgency for the server")                               \
+  X(KeptConnections, "kept-connections", "each request opens a new connection to its server")     \
+  X(FurtherTries, "further-tries", "each request is tried at one server only")
+
+// One enumerator for each row of the table.
 enum class Mechanism {
-#define QUAYRILL_MECHANISM(identifier, name, without) identifier,
+#define QUAYRILL_MECHANISM(identifier, name, fallback) identifier,
   QUAYRILL_MECHANISMS(QUAYRILL_MECHANISM)
 #undef QUAYRILL_MECHANISM
       Count
 };
 
-// The mechanisms that are on. All of them at first.
+// A set of enabled mechanisms; initially all of them.
 class Mechanisms {
  public:
-  bool isEnabled(Mechanism mechanism) const { return !off_[static_cast<std::size_t>(mechanism)]; }
-  void disable(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
-  // The names of those that are off, split by commas; "" where all are on.
+  bool isEnabled(Mechanism mechanism) const {
+    return !disabled_[static_cast<std::size_t>(mechanism)];
+  }
+  void disable(Mechanism mechanism) { disabled_.set(static_cast<std::size_t>(mechanism)); }
+  // The names of the disabled ones, separated by commas.
   std::string disabledNames() const;
   bool operator==(const Mechanisms&) const = default;
 
  private:
-  std::bitset<static_cast<std::size_t>(Mechanism::Count)> off_;
+  std::bitset<static_cast<std::size_t>(Mechanism::Count)> disabled_;
 };
 
-// All but those that `list` names, split by commas. The error of an unknown name says which exist.
+// All mechanisms except those named in `list`, which is separated by commas. An unknown name is an
+// error that lists the valid ones.
 absl::StatusOr<Mechanisms> parseDisabledMechanisms(const std::string& list);
 
-// One line for each mechanism, for --help: its name, and what is done without it.
+// One line for each mechanism, for --help: its name and the behaviour when it is disabled.
 std::string mechanismsHelp();
 
 }  // namespace quayrill
--- a/src/base/scope_exit.h
+++ b/src/base/scope_exit.h
@@ -1,12 +1,13 @@
 #pragma once
+// A scope guard.
 #include <functional>
 
 namespace quayrill {
 
-// Runs its action once, when its scope ends.
+// Runs `action` when it goes out of scope, also when an exception leaves the scope.
 struct ScopeExit {
   std::function<void()> action;
-  explicit ScopeExit(std::function<void()> a) : action(std::move(a)) {}
+  explicit ScopeExit(std::function<void()> onExit) : action(std::move(onExit)) {}
   ScopeExit(const ScopeExit&) = delete;
   ScopeExit& operator=(const ScopeExit&) = delete;
   ~ScopeExit() {
--- a/src/base/weights_version.cpp
+++ b/src/base/weights_version.cpp
@@ -6,7 +6,7 @@
 namespace quayrill {
 
 namespace {
-// Ours: namings within one bound that are told apart. Beyond that the oldest are forgotten.
+// Superseded versions kept for one model. Beyond that the oldest are dropped.
 constexpr std::size_t kMaxSupersededVersions = 64;
 }  // namespace
 
@@ -27,8 +27,8 @@
 
 void WeightsHistory::setNewest(const WeightsVersion& weights, std::optional<Instant> confirmedAt) {
   if (weights == newest_) return;
-  const WeightsVersion before = std::exchange(newest_, weights);
-  if (confirmedAt) recordNewestAt(before, *confirmedAt);
+  const WeightsVersion previous = std::exchange(newest_, weights);
+  if (confirmedAt) recordNewestAt(previous, *confirmedAt);
 }
 
 void WeightsHistory::recordNewestAt(const WeightsVersion& weights, Instant at) {
@@ -46,9 +46,9 @@
 }
 
 Instant WeightsHistory::usableUntil(const WeightsVersion& weights, Duration bound) const {
-  // Asked for each server at each placement; nearly always these are the newest.
+  // Called for each server at each placement. The version is nearly always the newest.
   if (weights == newest_ || !isOlderVersion(weights, newest_)) return Instant::max();
-  // While an older version was the newest, this one was not superseded either.
+  // While an older version was the newest, this one was not yet superseded either.
   std::optional<Instant> newestAt;
   for (const auto& [version, at] : newestAt_) {
     if (version != WeightsVersion{} && isOlderVersion(weights, version)) continue;
--- a/src/base/weights_version.h
+++ b/src/base/weights_version.h
@@ -1,5 +1,5 @@
 #pragma once
-// The order of weight versions, and how long a superseded one may still be used.
+// The order of weight versions, and until when a superseded version may still serve requests.
 #include <map>
 #include <optional>
 #include <utility>
@@ -9,39 +9,40 @@
 
 namespace quayrill {
 
-// The version as a number; nullopt where it is no plain decimal number.
+// The version as a number; nullopt unless it is a plain decimal number.
 std::optional<std::uint64_t> versionNumber(const WeightsVersion& version);
 
-// Versions that are numbers rise and never fall; any other is behind as soon as it differs.
+// Whether `version` is older than `wanted`. Numeric versions only increase, so they are compared as
+// numbers. Any other version counts as older as soon as it differs.
 bool isOlderVersion(const WeightsVersion& version, const WeightsVersion& wanted);
 
-// One model's versions: the newest, and for each older one an instant at which it was certainly
-// still the newest. The time that a version has left counts from there: it is superseded by the
-// first naming after it, and no later naming extends that. The empty version stands for the time
-// before the first naming.
+// The versions of one model: the newest one, and for each older one the latest instant at which it
+// is known to have still been the newest. The time that an older version has left counts from that
+// instant. It was superseded by the first newer version after it, and later versions don't extend
+// that time. The empty version stands for the time before the first version was configured.
 //
-// Forgetting a row is always safe: a version without one counts as superseded any time ago.
+// Dropping an entry is always safe: a version without one counts as superseded long ago.
 class WeightsHistory {
  public:
-  // The configuration in force names `weights`. Those it named before were the newest at
-  // `confirmedAt` for certain; nullopt: not known when.
+  // The configuration in force now names `weights`. The version that it named before was certainly
+  // the newest at `confirmedAt`; nullopt: unknown.
   void setNewest(const WeightsVersion& weights, std::optional<Instant> confirmedAt);
-  // At `at`, `weights` were the newest for certain. Word of the newest version itself is not kept.
+  // `weights` were certainly the newest at `at`. Ignored for the version that is still the newest.
   void recordNewestAt(const WeightsVersion& weights, Instant at);
-  // Drops what was superseded before `before`.
+  // Drops versions that were last known to be the newest before `before`.
   void forgetBefore(Instant before);
 
   const WeightsVersion& newest() const { return newest_; }
-  // Until when requests may begin on `weights`, where each version may be used for `bound` after
-  // the first newer one was named. Instant::max(): no newer one is known. Instant::min(): when
-  // that was is not known here.
+  // Until when requests may start on `weights`, if a version may be used for `bound` after the
+  // first newer one was configured. Instant::max(): no newer one is known. Instant::min(): there is
+  // a newer one, but it is unknown since when.
   Instant usableUntil(const WeightsVersion& weights, Duration bound) const;
   const std::map<WeightsVersion, Instant>& superseded() const { return newestAt_; }
 
  private:
   WeightsVersion newest_;
-  std::map<WeightsVersion, Instant>
-      newestAt_;  // never falls for a version; kMaxSupersededVersions rows
+  // Instants only rise for a version. At most kMaxSupersededVersions rows.
+  std::map<WeightsVersion, Instant> newestAt_;
 };
 
 }  // namespace quayrill
