--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -21,16 +21,16 @@
     if (total == 0) return RouteError{RouteError::Kind::NoWeight, i};
     if (!configuration.policies.contains(route.policy))
       return RouteError{RouteError::Kind::UnknownPolicy, i};
-    const auto [first, fresh] = seen.try_emplace({route.host, route.prefix}, i);
-    if (!fresh) return RouteError{RouteError::Kind::SameHostAndPrefix, i, 0, first->second};
+    const auto [first, isNew] = seen.try_emplace({route.host, route.prefix}, i);
+    if (!isNew) return RouteError{RouteError::Kind::SameHostAndPrefix, i, 0, first->second};
   }
   return std::nullopt;
 }
 
 std::optional<TenantName> addKeyDigest(Configuration* configuration, const TenantName& tenant,
                                        const std::string& digest) {
-  const auto [owner, fresh] = configuration->tenantByKeyDigest.try_emplace(digest, tenant);
-  if (!fresh && owner->second != tenant) return owner->second;
+  const auto [owner, isNew] = configuration->tenantByKeyDigest.try_emplace(digest, tenant);
+  if (!isNew && owner->second != tenant) return owner->second;
   configuration->tenants[tenant].keyDigests.insert(digest);
   return std::nullopt;
 }
@@ -66,16 +66,16 @@
 }
 
 bool resolveCacheSalt(const Configuration& configuration, const TenantName& tenant,
-                      const std::string& asked, CacheSalt* salt) {
+                      const std::string& requested, CacheSalt* salt) {
   const auto row = configuration.tenants.find(tenant);
   if (row == configuration.tenants.end()) return false;
   if (row->second.isolated) {
-    // The whole name space "tenant:" belongs to isolated tenants and is given out here only.
-    *salt = CacheSalt{"tenant:" + tenant.value + (asked.empty() ? "" : ":" + asked)};
-    return asked.rfind("tenant:", 0) != 0;
+    // The prefix "tenant:" is reserved for the salts of isolated tenants, which are only made here.
+    *salt = CacheSalt{"tenant:" + tenant.value + (requested.empty() ? "" : ":" + requested)};
+    return requested.rfind("tenant:", 0) != 0;
   }
-  *salt = CacheSalt{asked};
-  return asked.rfind("tenant:", 0) != 0;
+  *salt = CacheSalt{requested};
+  return requested.rfind("tenant:", 0) != 0;
 }
 
 }  // namespace quayrill
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,6 +1,6 @@
 #pragma once
-// The spec: tenants with their keys, policies, ways and weight versions. A value with its own
-// rules; nothing here knows where it is kept.
+// The configuration of a fleet: tenants with their keys, routes and their policies, services,
+// stores and weight versions. It is a plain value; where it is stored is none of its concern.
 #include <absl/status/statusor.h>
 
 #include <chrono>
@@ -15,46 +15,48 @@
 
 namespace quayrill {
 
-// An isolated tenant's salt is its own alone, and no other tenant may name it.
+// A customer of the fleet. An isolated tenant has cache salts of its own, which no other tenant can
+// use.
 struct Tenant {
   bool isolated = false;
-  std::optional<unsigned> priority{};  // goes before the policy's; 0 is the most urgent
-  std::size_t concurrency = 64;
-  std::set<std::string> keyDigests;
+  std::optional<unsigned> priority{};  // overrides the policy's; 0 is the most urgent
+  std::size_t concurrency = 64;        // requests at a time
+  std::set<std::string> keyDigests;    // of its API keys, see keyDigest()
 };
 
-// repeatable == false: once a byte may have reached a server, no second send, ever.
+// How the requests of a route are handled.
 struct RoutePolicy {
   ModelName model;
+  // False: once a byte of a request may have reached a server, it is never sent a second time.
   bool repeatable = false;
   std::chrono::milliseconds timeout{10000};
-  std::size_t tries = 1;  // sends in all; more than one only helps where nothing ran
-  std::string promptClass = "medium";
-  std::size_t concurrency = 256;
+  // Attempts in total. A policy that is not repeatable uses further ones only where nothing ran.
+  std::size_t tries = 1;
+  std::string promptClass = "medium";  // long, medium or short
+  std::size_t concurrency = 256;       // requests at a time
   std::size_t bodyLimit = 1 << 20;
-  // An answer is a series of events with rising ids. A resumable one may go on at another server
-  // behind the last event that was passed on; it is repeatable too.
+  // A streamed answer is a sequence of events with increasing ids. A resumable stream may continue
+  // at another server after the last event that was forwarded; it is always repeatable.
   bool isStream = false;
   bool isResumable = false;
-  unsigned priority = 1;  // 0 is the most urgent
-  std::chrono::milliseconds firstEventTarget{
-      0};                                       // first event within this is in time; 0: none named
-  std::chrono::milliseconds eventGapTarget{0};  // longest pause between events; 0: none named
+  unsigned priority = 1;                          // 0 is the most urgent
+  std::chrono::milliseconds firstEventTarget{0};  // latency target of the first event; 0: none
+  std::chrono::milliseconds eventGapTarget{0};    // longest gap between two events; 0: no target
 };
 
-// A kind of back end. Numbers that are 0 are not known.
+// A group of equal model servers. Numbers are 0 where they are unknown.
 struct Service {
   std::string healthPath;
-  std::size_t maxConnections = 0;  // of one server, from all callers together
+  std::size_t maxConnections = 0;  // to one server, from all clients together
   std::uint32_t slots = 1;
   std::uint64_t cacheTokens = 0;  // of one server
-  std::uint64_t tokenBytes = 0;   // of kept cache
+  std::uint64_t tokenBytes = 0;   // of cache for one token
   double linkMbps = 0;
-  std::size_t eventReaders = 0;  // calls for cache events that one server holds at once
+  std::size_t eventReaders = 0;  // concurrent calls for cache events that one server accepts
   std::vector<ModelName> models;
 };
 
-// A store of kept prompt parts. It is no back end.
+// A cache store for prompt parts, from which servers fetch. It serves no requests itself.
 struct PartStore {
   Address address;
   std::string zone;
@@ -63,71 +65,78 @@
   std::size_t eventReaders = 0;
 };
 
+// One service's share of a route's traffic.
 struct SplitShare {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-// Invariant: the split's weights add up to more than 0; no two routes share host and prefix.
+// Maps requests by host and path prefix to services and a policy. In a valid configuration the
+// weights of a split add up to more than 0, and no two routes have the same host and prefix.
 struct Route {
   std::string name;
   std::string host;    // lower case, no port
   std::string prefix;  // begins and ends with a slash
   PolicyName policy;
   std::vector<SplitShare> split;
-  bool isPublic = false;  // needs no key
+  bool isPublic = false;  // accepts requests without a key
 };
 
-// What a caller may send and how long it may take.
+// Limits for clients, checked before a request is routed.
 struct CallerLimits {
   std::size_t headerBytes = 16 << 10;
   std::size_t bodyBytes = 16 << 20;
-  std::chrono::milliseconds headerTimeout{10000};
-  std::chrono::milliseconds idleTimeout{60000};
+  std::chrono::milliseconds headerTimeout{10000};  // to send all headers of a request
+  std::chrono::milliseconds idleTimeout{60000};    // of a connection between requests
 };
 
+// All of it. Values that parseConfiguration returns satisfy every rule.
 struct Configuration {
   std::map<TenantName, Tenant> tenants;
   std::map<PolicyName, RoutePolicy> policies;
-  std::map<std::string, PolicyName> policyByPath;  // path below /v1/ to policy
+  std::map<std::string, PolicyName> policyByPath;  // by the path below /v1/
   std::map<ModelName, WeightsVersion> weights;
   std::map<std::string, TenantName> tenantByKeyDigest;  // derived from tenants
-  std::vector<Route> routes;  // by host, then by falling length of the prefix
+  std::vector<Route> routes;  // sorted by host, then by descending prefix length
   std::map<ServiceName, Service> services;
   std::map<ServiceName, PartStore> stores;
   CallerLimits callerLimits;
 };
 
-// The first rule that a route breaks, in the order of the rows; whoever read them names the field.
+// The first violation among the routes, in their order. The parser of the document, which knows the
+// names of its fields, turns it into a message.
 struct RouteError {
   enum class Kind { UnknownService, UnknownPolicy, NoWeight, SameHostAndPrefix };
   Kind kind{};
   std::size_t route = 0;  // index in routes
-  std::size_t part = 0;   // index in its split
-  std::size_t other = 0;  // the route that it clashes with
+  std::size_t part = 0;   // index in the split of that route
+  std::size_t other = 0;  // index of the conflicting route
 };
+// nullopt: all routes are valid.
 std::optional<RouteError> firstRouteError(const Configuration& configuration);
 
-// Gives the tenant a key. The result is the tenant that has it already, if that is another one.
+// Adds a key to a tenant. If the key belongs to another tenant already, nothing changes and that
+// tenant is returned.
 std::optional<TenantName> addKeyDigest(Configuration* configuration, const TenantName& tenant,
                                        const std::string& digest);
 
-// Puts the routes into their order; call it once they are all there.
+// Sorts the routes as findRoute needs them. Call it after the last one was added.
 void sortRoutes(Configuration* configuration);
-// The route of that host with the longest prefix that begins the path; nullptr if there is none.
-// A port behind the host and its case don't count.
+// The route of `host` with the longest prefix of `path`; nullptr if there is none. The case of the
+// host and a port after it are ignored.
 const Route* findRoute(const Configuration& configuration, std::string_view host,
                        std::string_view path);
 
-// Schema and rules; the message starts with the path of the offending field.
+// Parses a configuration document and checks it against the schema and all rules. An error message
+// starts with the path of the offending field.
 absl::StatusOr<Configuration> parseConfiguration(const std::string& body);
 
-// An RFC 7386 merge patch on a body; the result is not checked.
+// Applies an RFC 7386 merge patch to a configuration document. The result is not validated.
 absl::StatusOr<std::string> patchConfiguration(const std::string& body, const std::string& patch);
 
-// The salt that a tenant's cache is kept under: its own if isolated, else what it asks for among
-// the shared ones. False: it asked for one it may not use.
+// The salt under which a tenant's cache is kept: derived from its name if it is isolated, otherwise
+// the requested one. False: the tenant may not use the requested salt, or does not exist.
 bool resolveCacheSalt(const Configuration& configuration, const TenantName& tenant,
-                      const std::string& asked, CacheSalt* salt);
+                      const std::string& requested, CacheSalt* salt);
 
 }  // namespace quayrill
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -1,4 +1,5 @@
-// The product's own configuration document: its schema, and what it says as a value.
+// Parses the configuration document of the built-in dialect: its schema, and the conversion to a
+// Configuration.
 #include <nlohmann/json.hpp>
 #include <set>
 
@@ -78,13 +79,14 @@
   }
 })json";
 
-absl::Status bad(const std::string& path, const std::string& remedy) {
+// The error that `path` is invalid.
+absl::Status fieldError(const std::string& path, const std::string& remedy) {
   return absl::InvalidArgumentError(path + ": " + remedy);
 }
 
 std::chrono::milliseconds millisOf(const Json& row, const char* field,
-                                   std::chrono::milliseconds otherwise) {
-  return std::chrono::milliseconds(row.value(field, otherwise.count()));
+                                   std::chrono::milliseconds fallback) {
+  return std::chrono::milliseconds(row.value(field, fallback.count()));
 }
 
 absl::Status readTenants(const Json& rows, Configuration* configuration) {
@@ -96,8 +98,8 @@
     for (const auto& digest : row.value("keys", Json::array())) {
       if (const auto owner =
               addKeyDigest(configuration, TenantName{name}, digest.get<std::string>()))
-        return bad("/tenants/" + name + "/keys",
-                   "a key of '" + owner->value + "': give each tenant its own keys");
+        return fieldError("/tenants/" + name + "/keys",
+                          "a key of '" + owner->value + "': give each tenant its own keys");
     }
   }
   return absl::OkStatus();
@@ -120,11 +122,11 @@
     policy.eventGapTarget = millisOf(row, "gap_target_ms", policy.eventGapTarget);
     const std::string at = "/contracts/" + name;
     if (!policy.model.value.empty() && !configuration->weights.contains(policy.model))
-      return bad(at + "/model",
-                 "'" + policy.model.value + "' is not under /models: add it there first");
+      return fieldError(at + "/model",
+                        "'" + policy.model.value + "' is not under /models: add it there first");
     if (policy.isResumable && !(policy.isStream && policy.repeatable))
-      return bad(at + "/resumable",
-                 "only a stream that is repeatable resumes: set stream and repeatable too");
+      return fieldError(at + "/resumable",
+                        "only a stream that is repeatable resumes: set stream and repeatable too");
     configuration->policies[PolicyName{name}] = policy;
   }
   return absl::OkStatus();
@@ -143,8 +145,9 @@
     for (const auto& model : row.value("models", Json::array())) {
       service.models.push_back(ModelName{model.get<std::string>()});
       if (!configuration->weights.contains(service.models.back()))
-        return bad("/services/" + name + "/models",
-                   "'" + service.models.back().value + "' is not under /models: add it there");
+        return fieldError(
+            "/services/" + name + "/models",
+            "'" + service.models.back().value + "' is not under /models: add it there");
     }
     configuration->services[ServiceName{name}] = service;
   }
@@ -163,24 +166,25 @@
   }
 }
 
+// The message for a violation, with the path of the field.
 absl::Status describe(const RouteError& error, const Configuration& configuration) {
   const Route& route = configuration.routes[error.route];
   const std::string at = "/routes/" + route.name;
   switch (error.kind) {
     case RouteError::Kind::UnknownService:
-      return bad(
+      return fieldError(
           at + "/split/" + std::to_string(error.part) + "/service",
           "no service '" + route.split[error.part].service.value + "': add it under /services");
     case RouteError::Kind::UnknownPolicy:
-      return bad(at + "/contract",
-                 "no policy '" + route.policy.value + "': add it under /contracts");
+      return fieldError(at + "/contract",
+                        "no policy '" + route.policy.value + "': add it under /contracts");
     case RouteError::Kind::NoWeight:
-      return bad(at + "/split", "the weights add up to 0: give one service more than 0");
+      return fieldError(at + "/split", "the weights add up to 0: give one service more than 0");
     case RouteError::Kind::SameHostAndPrefix:
       break;
   }
-  return bad(at + "/prefix", "route '" + configuration.routes[error.other].name +
-                                 "' has this host and prefix: change or remove one of them");
+  return fieldError(at + "/prefix", "route '" + configuration.routes[error.other].name +
+                                        "' has this host and prefix: change or remove one of them");
 }
 
 absl::Status readRoutes(const Json& rows, Configuration* configuration) {
@@ -200,28 +204,29 @@
   return absl::OkStatus();
 }
 
-// A request of a way names no model, so the policy has to.
+// Requests below /v1/ are matched by their path alone and name no model, so their policy must.
 absl::Status readWays(const Json& rows, Configuration* configuration) {
   for (const auto& [path, policy] : rows.items()) {
     const PolicyName name{policy.get<std::string>()};
     const auto found = configuration->policies.find(name);
     if (found == configuration->policies.end())
-      return bad("/ways/" + path, "no policy '" + name.value + "': add it under /contracts");
+      return fieldError("/ways/" + path, "no policy '" + name.value + "': add it under /contracts");
     if (found->second.model.value.empty())
-      return bad("/contracts/" + name.value + "/model",
-                 "missing, and the way '" + path + "' needs it: name a model of /models");
+      return fieldError("/contracts/" + name.value + "/model",
+                        "missing, and the way '" + path + "' needs it: name a model of /models");
     configuration->policyByPath[path] = name;
   }
   return absl::OkStatus();
 }
 
+// A policy without a model is only allowed if a route uses it: the request then names the model.
 absl::Status checkModels(const Configuration& configuration) {
   std::set<PolicyName> routed;
   for (const Route& route : configuration.routes) routed.insert(route.policy);
   for (const auto& [name, policy] : configuration.policies) {
     if (policy.model.value.empty() && !routed.contains(name))
-      return bad("/contracts/" + name.value + "/model",
-                 "missing, and no route uses the contract: name a model of /models");
+      return fieldError("/contracts/" + name.value + "/model",
+                        "missing, and no route uses the contract: name a model of /models");
   }
   return absl::OkStatus();
 }
@@ -229,9 +234,9 @@
 
 absl::StatusOr<Configuration> parseConfiguration(const std::string& body) {
   const Json json = Json::parse(body, nullptr, false);
-  if (json.is_discarded()) return bad("/", "not JSON: send one JSON object");
+  if (json.is_discarded()) return fieldError("/", "not JSON: send one JSON object");
   if (const auto error = schemaError(kConfigurationSchema, json))
-    return bad(error->path, error->what);
+    return fieldError(error->path, error->what);
   Configuration configuration;
   const auto rowsOf = [&](const char* name) { return json.value(name, Json::object()); };
   for (const auto& [name, model] : json["models"].items())
--- a/src/configuration/schema.cpp
+++ b/src/configuration/schema.cpp
@@ -18,23 +18,23 @@
   valijson::ValidationResults results;
   if (validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(document), &results))
     return std::nullopt;
-  // The deepest report names the field itself; the ones above only say that something below failed.
-  SchemaError found;
-  std::size_t deepest = 0;
+  // The validator reports a violation at every level. The deepest report names the field itself.
+  SchemaError deepestError;
+  std::size_t maxDepth = 0;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    if (!found.what.empty() && error.context.size() < deepest) continue;
-    deepest = error.context.size();
-    found.path.clear();
+    if (!deepestError.what.empty() && error.context.size() < maxDepth) continue;
+    maxDepth = error.context.size();
+    deepestError.path.clear();
     for (const std::string& step : error.context) {
       if (step == "<root>") continue;
-      const bool bracketed = step.size() > 2 && step.front() == '[';
-      found.path += "/" + (bracketed ? step.substr(1, step.size() - 2) : step);
+      const bool isIndex = step.size() > 2 && step.front() == '[';
+      deepestError.path += "/" + (isIndex ? step.substr(1, step.size() - 2) : step);
     }
-    if (found.path.empty()) found.path = "/";
-    found.what = error.description + " Correct or remove it.";
+    if (deepestError.path.empty()) deepestError.path = "/";
+    deepestError.what = error.description + " Correct or remove it.";
   }
-  return found;
+  return deepestError;
 }
 
 }  // namespace quayrill
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -7,36 +7,38 @@
 namespace quayrill {
 
 namespace {
-// Hex digits, 64 bits: among the changes remembered no two share them by accident (one chance in
-// 10^13), and each body carries all of them.
+// In hex digits. 64 bits suffice to tell the remembered changes apart (the chance of a collision is
+// 1 in 10^13), and are short enough to be stored in every body.
 constexpr std::size_t kDigestLength = 16;
 }  // namespace
 
-std::string changeDigest(std::string_view kind, std::uint64_t basis, std::string_view text) {
-  std::string whole(kind);
-  whole += '\0' + std::to_string(basis) + '\0';
-  whole += text;
-  const std::string digest = keyDigest(whole);
+std::string changeDigest(std::string_view kind, std::uint64_t baseVersion, std::string_view text) {
+  std::string request(kind);
+  request += '\0' + std::to_string(baseVersion) + '\0';
+  request += text;
+  const std::string digest = keyDigest(request);
   return digest.substr(digest.find(':') + 1, kDigestLength);
 }
 
-ChangeStatus classifyChange(const SubmittedChange& sent, const AppliedChanges& taken,
-                            std::uint64_t forgotten, std::uint64_t current) {
-  const AppliedChange change{sent.version, sent.digest};
-  if (std::find(taken.begin(), taken.end(), change) != taken.end()) return ChangeStatus::Applied;
-  if (sent.baseVersion == current) return ChangeStatus::New;
-  const bool mayBeForgotten = sent.baseVersion < forgotten && sent.version <= forgotten;
+ChangeStatus classifyChange(const SubmittedChange& submitted, const AppliedChanges& applied,
+                            std::uint64_t forgottenUpTo, std::uint64_t current) {
+  const AppliedChange change{submitted.version, submitted.digest};
+  if (std::find(applied.begin(), applied.end(), change) != applied.end())
+    return ChangeStatus::Applied;
+  if (submitted.baseVersion == current) return ChangeStatus::New;
+  const bool mayBeForgotten =
+      submitted.baseVersion < forgottenUpTo && submitted.version <= forgottenUpTo;
   return mayBeForgotten ? ChangeStatus::Forgotten : ChangeStatus::Stale;
 }
 
-std::uint64_t recordApplied(AppliedChanges* taken, AppliedChange change) {
-  taken->push_front(std::move(change));
-  std::uint64_t forgotten = 0;
-  while (taken->size() > kMaxAppliedChanges) {
-    forgotten = std::max(forgotten, taken->back().version);
-    taken->pop_back();
+std::uint64_t recordApplied(AppliedChanges* applied, AppliedChange change) {
+  applied->push_front(std::move(change));
+  std::uint64_t forgottenUpTo = 0;
+  while (applied->size() > kMaxAppliedChanges) {
+    forgottenUpTo = std::max(forgottenUpTo, applied->back().version);
+    applied->pop_back();
   }
-  return forgotten;
+  return forgottenUpTo;
 }
 
 }  // namespace quayrill
--- a/src/peers/archive.h
+++ b/src/peers/archive.h
@@ -1,5 +1,6 @@
 #pragma once
-// Values to bytes and back, by Boost.Serialization without a header.
+// Binary encoding of values by Boost.Serialization, without an archive header. Used for messages
+// between daemons and for what they store on disk.
 #include <boost/archive/binary_iarchive.hpp>
 #include <boost/archive/binary_oarchive.hpp>
 #include <boost/serialization/string.hpp>
@@ -12,6 +13,7 @@
 
 inline constexpr auto kArchiveFlags = boost::archive::no_header | boost::archive::no_codecvt;
 
+// The bytes of `value`.
 template <class Value>
 std::string encodeValue(const Value& value) {
   std::ostringstream out;
@@ -22,6 +24,7 @@
   return out.str();
 }
 
+// Reads `bytes` into `value`. False: they don't decode, and `value` may have been changed in part.
 template <class Value>
 bool decodeValue(const std::string& bytes, Value* value) {
   try {
--- a/src/peers/messages.cpp
+++ b/src/peers/messages.cpp
@@ -11,6 +11,7 @@
   return crc.checksum();
 }
 
+// Reads a message of type Body; the result is always true.
 template <class Body>
 bool readAlternative(boost::archive::binary_iarchive& archive, Message* message) {
   Body body;
@@ -29,8 +30,8 @@
   return kNames[message.index()];
 }
 
-// Layout: version, CRC-32 of the rest, archive. The checksum keeps damaged bytes away from the
-// archive, whose container sizes are trusted.
+// Layout of a frame: wire version, CRC-32 of the rest, archive. The checksum protects the archive
+// reader, which trusts the container sizes that it reads.
 std::string encodeEnvelope(const Envelope& envelope) {
   std::ostringstream out;
   {
@@ -51,12 +52,13 @@
 
 absl::StatusOr<Envelope> decodeEnvelope(const std::string& bytes) {
   std::uint32_t head[2];
-  if (bytes.size() < sizeof head) return absl::InvalidArgumentError("short frame");
+  if (bytes.size() < sizeof head)
+    return absl::InvalidArgumentError("frame is shorter than its header");
   std::copy_n(bytes.data(), sizeof head, reinterpret_cast<char*>(head));
-  if (head[0] != kWireVersion) return absl::InvalidArgumentError("other wire version");
+  if (head[0] != kWireVersion) return absl::InvalidArgumentError("unsupported wire version");
   const std::string payload = bytes.substr(sizeof head);
   if (head[1] != checksum(payload.data(), payload.size()))
-    return absl::DataLossError("damaged frame");
+    return absl::DataLossError("frame checksum does not match");
   try {
     std::istringstream in(payload);
     boost::archive::binary_iarchive archive(in, kArchiveFlags);
@@ -70,7 +72,7 @@
 #undef QUAYRILL_READER
     };
     if (kind == 0 || kind >= std::size(kReaders))
-      return absl::InvalidArgumentError("unknown message");
+      return absl::InvalidArgumentError("unknown message type");
     kReaders[kind](archive, &envelope.body);
     return envelope;
   } catch (const std::exception& error) {
