--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -108,9 +108,9 @@
 struct RouteError {
   enum class Kind { UnknownService, UnknownPolicy, NoWeight, SameHostAndPrefix };
   Kind kind{};
-  std::size_t route = 0;  // index in routes
-  std::size_t part = 0;   // index in the split of that route
-  std::size_t other = 0;  // index of the conflicting route
+  std::size_t routeIndex = 0;  // index in routes
+  std::size_t shareIndex = 0;  // index in the split of that route
+  std::size_t otherIndex = 0;  // index of the conflicting route
 };
 // nullopt: all routes are valid.
 std::optional<RouteError> firstRouteError(const Configuration& configuration);
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -168,13 +168,13 @@
 
 // The message for a violation, with the path of the field.
 absl::Status describe(const RouteError& error, const Configuration& configuration) {
-  const Route& route = configuration.routes[error.route];
+  const Route& route = configuration.routes[error.routeIndex];
   const std::string at = "/routes/" + route.name;
   switch (error.kind) {
     case RouteError::Kind::UnknownService:
-      return fieldError(
-          at + "/split/" + std::to_string(error.part) + "/service",
-          "no service '" + route.split[error.part].service.value + "': add it under /services");
+      return fieldError(at + "/split/" + std::to_string(error.shareIndex) + "/service",
+                        "no service '" + route.split[error.shareIndex].service.value +
+                            "': add it under /services");
     case RouteError::Kind::UnknownPolicy:
       return fieldError(at + "/contract",
                         "no policy '" + route.policy.value + "': add it under /contracts");
@@ -183,7 +183,7 @@
     case RouteError::Kind::SameHostAndPrefix:
       break;
   }
-  return fieldError(at + "/prefix", "route '" + configuration.routes[error.other].name +
+  return fieldError(at + "/prefix", "route '" + configuration.routes[error.otherIndex].name +
                                         "' has this host and prefix: change or remove one of them");
 }
 
