--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -13,10 +13,10 @@
   for (std::size_t i = 0; i < configuration.routes.size(); ++i) {
     const Route& route = configuration.routes[i];
     std::uint64_t total = 0;
-    for (std::size_t part = 0; part < route.split.size(); ++part) {
-      total += route.split[part].weight;
-      if (!configuration.services.contains(route.split[part].service))
-        return RouteError{RouteError::Kind::UnknownService, i, part};
+    for (std::size_t share = 0; share < route.split.size(); ++share) {
+      total += route.split[share].weight;
+      if (!configuration.services.contains(route.split[share].service))
+        return RouteError{RouteError::Kind::UnknownService, i, share};
     }
     if (total == 0) return RouteError{RouteError::Kind::NoWeight, i};
     if (!configuration.policies.contains(route.policy))
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -47,10 +47,10 @@
 // A group of equal model servers. Numbers are 0 where they are unknown.
 struct Service {
   std::string healthPath;
-  std::size_t maxConnections = 0;  // to one server, from all clients together
-  std::uint32_t slots = 1;
-  std::uint64_t cacheTokens = 0;  // of one server
-  std::uint64_t tokenBytes = 0;   // of cache for one token
+  std::size_t maxConnections = 0;  // to one server, from all callers together
+  std::uint32_t slots = 1;         // requests that one server runs at a time
+  std::uint64_t cacheTokens = 0;   // of one server
+  std::uint64_t tokenBytes = 0;    // of cache for one token
   double linkMbps = 0;
   std::size_t eventReaders = 0;  // concurrent calls for cache events that one server accepts
   std::vector<ModelName> models;
@@ -82,7 +82,7 @@
   bool isPublic = false;  // accepts requests without a key
 };
 
-// Limits for clients, checked before a request is routed.
+// Limits for the connections and requests of callers.
 struct CallerLimits {
   std::size_t headerBytes = 16 << 10;
   std::size_t bodyBytes = 16 << 20;
@@ -90,7 +90,7 @@
   std::chrono::milliseconds idleTimeout{60000};    // of a connection between requests
 };
 
-// All of it. Values that parseConfiguration returns satisfy every rule.
+// The whole configuration. A value that parseConfiguration returns satisfies all rules.
 struct Configuration {
   std::map<TenantName, Tenant> tenants;
   std::map<PolicyName, RoutePolicy> policies;
@@ -108,9 +108,9 @@
 struct RouteError {
   enum class Kind { UnknownService, UnknownPolicy, NoWeight, SameHostAndPrefix };
   Kind kind{};
-  std::size_t routeIndex = 0;  // index in routes
-  std::size_t shareIndex = 0;  // index in the split of that route
-  std::size_t otherIndex = 0;  // index of the conflicting route
+  std::size_t routeIndex = 0;  // in `routes`
+  std::size_t shareIndex = 0;  // in the split of that route
+  std::size_t otherIndex = 0;  // the conflicting route
 };
 // nullopt: all routes are valid.
 std::optional<RouteError> firstRouteError(const Configuration& configuration);
