--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -42,11 +42,12 @@
   }
 })json";
 
-absl::Status bad(const std::string& field, const std::string& remedy) {
+// The error that the setting `field` is invalid.
+absl::Status fieldError(const std::string& field, const std::string& remedy) {
   return absl::InvalidArgumentError("setting '" + field + "': " + remedy);
 }
 
-// Flags are text; the schema wants numbers and lists where fields files have them.
+// The value of a flag in the type that the schema requires: numbers and lists instead of text.
 Json flagValue(const std::string& name, const std::string& text) {
   if (name == "seeds") {
     Json list = Json::array();
@@ -64,20 +65,20 @@
   return text;
 }
 
-// A folder on a full disk passes: the process then serves without a voting copy until there is
-// room.
+// Checks that the data folder is writable. A folder on a full disk passes: the process then runs
+// without a voting replica until there is space.
 absl::Status checkFolder(const std::string& folder) {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
   if (error || ::access(folder.c_str(), R_OK | W_OK | X_OK) != 0)
-    return bad("data_folder", "'" + folder +
-                                  "' can't be written: name a folder "
-                                  "that this user may write");
+    return fieldError("data_folder", "'" + folder +
+                                         "' is not writable: name a folder "
+                                         "that this user may write to");
   return absl::OkStatus();
 }
 
-// The number of register replicas and the losses that they must bear. Without a setting for the
-// losses of machines the replicas bear as many as a majority of them allows.
+// Reads the number of register replicas and the losses that they must bear. Without a setting for
+// losses of machines, they bear as many as leave a majority.
 absl::Status readLosses(const Json& fields, Settings* settings) {
   settings->replicasWanted = fields.value("copies_wanted", settings->replicasWanted);
   settings->losses.machines = fields.value("bear_machines", (settings->replicasWanted - 1) / 2);
@@ -92,45 +93,47 @@
   }
   if (settings->losses.zones > 0 &&
       settings->topology.regionOfZone.size() <= 2 * settings->losses.zones)
-    return bad("bear_zones", "name more than twice as many zones under region_of_zone");
+    return fieldError("bear_zones", "name more than twice as many zones under region_of_zone");
   if (settings->losses.regions > 0 && regions.size() <= 2 * settings->losses.regions)
-    return bad("bear_regions", "name more than twice as many regions under region_of_zone");
+    return fieldError("bear_regions", "name more than twice as many regions under region_of_zone");
   if (!fields.contains("bear_machines") && settings->losses.zones + settings->losses.regions == 0)
     return absl::OkStatus();
   const std::size_t needed = replicasWanted(settings->losses, settings->topology);
   if (fields.contains("copies_wanted") && settings->replicasWanted < needed)
-    return bad("copies_wanted", std::to_string(settings->replicasWanted) +
-                                    " don't bear these losses: give at least " +
-                                    std::to_string(needed) + " or leave the field out");
+    return fieldError("copies_wanted", std::to_string(settings->replicasWanted) +
+                                           " replicas don't bear these losses: give at least " +
+                                           std::to_string(needed) + " or leave the field out");
   settings->replicasWanted = std::max(settings->replicasWanted, needed);
   return absl::OkStatus();
 }
 
+// Checks that required addresses are set, all are valid, and no two listeners share one.
 absl::Status checkAddresses(const Settings& settings) {
-  const bool agent = settings.role != "proxy";
+  const bool isAgent = settings.role != "proxy";
   struct Row {
     const char* field;
     const Address& address;
-    bool needed;
-    bool own;
+    bool isRequired;
+    bool isListener;  // this process listens there
   };
-  const Row rows[] = {{"cohort", settings.peerAddress, agent, agent},
+  const Row rows[] = {{"cohort", settings.peerAddress, isAgent, isAgent},
                       {"operators", settings.operatorAddress, true, true},
                       {"callers", settings.callerAddress, true, true},
-                      {"platform", settings.platformAddress, agent, false},
+                      {"platform", settings.platformAddress, isAgent, false},
                       {"store", settings.storeAddress, false, false},
                       {"cohort_via", settings.peerRelay, false, false}};
-  std::map<Address, std::string> taken;
+  std::map<Address, std::string> fieldByAddress;
   for (const Row& row : rows) {
     if (row.address.value.empty()) {
-      if (row.needed) return bad(row.field, "missing: give it as ip:port");
+      if (row.isRequired) return fieldError(row.field, "missing: give it as ip:port");
       continue;
     }
     if (auto status = checkAddress(row.field, row.address.value); !status.ok()) return status;
-    if (!row.own) continue;
-    const auto [other, fresh] = taken.try_emplace(row.address, row.field);
-    if (!fresh)
-      return bad(row.field, "same ip and port as '" + other->second + "': give each its own port");
+    if (!row.isListener) continue;
+    const auto [other, isNew] = fieldByAddress.try_emplace(row.address, row.field);
+    if (!isNew)
+      return fieldError(row.field,
+                        "same ip and port as '" + other->second + "': give each its own port");
   }
   return absl::OkStatus();
 }
@@ -140,34 +143,40 @@
 absl::Status checkAddress(const std::string& field, const std::string& text) {
   const auto colon = text.rfind(':');
   boost::system::error_code error;
-  if (colon == std::string::npos) return bad(field, "'" + text + "' has no port: give ip:port");
+  if (colon == std::string::npos)
+    return fieldError(field, "'" + text + "' has no port: give ip:port");
   boost::asio::ip::make_address_v4(text.substr(0, colon), error);
   if (error)
-    return bad(field,
-               "'" + text + "' is no IPv4 number: host names are not looked up, give ip:port");
+    return fieldError(
+        field,
+        "'" + text + "' has no numeric IPv4 address: host names are not resolved, give ip:port");
   const std::string port = text.substr(colon + 1);
-  const bool digits = !port.empty() && port.size() <= 5 &&
-                      port.find_first_not_of("0123456789") == std::string::npos;
-  if (!digits || std::stoul(port) == 0 || std::stoul(port) > 65535)
-    return bad(field, "'" + text + "' has a bad port: give one from 1 to 65535");
+  const bool isNumber = !port.empty() && port.size() <= 5 &&
+                        port.find_first_not_of("0123456789") == std::string::npos;
+  if (!isNumber || std::stoul(port) == 0 || std::stoul(port) > 65535)
+    return fieldError(field, "'" + text + "' has a bad port: give one from 1 to 65535");
   return absl::OkStatus();
 }
 
-absl::StatusOr<Settings> loadSettings(const SettingsArguments& asked) {
-  if (asked.settingsFile.empty()) return readSettings("{}", asked.flags);
-  std::ifstream in(asked.settingsFile);
-  if (!in) return bad("settings", "'" + asked.settingsFile + "' can't be read: name a JSON file");
+absl::StatusOr<Settings> loadSettings(const SettingsArguments& arguments) {
+  if (arguments.settingsFile.empty()) return readSettings("{}", arguments.flags);
+  std::ifstream in(arguments.settingsFile);
+  if (!in)
+    return fieldError("settings",
+                      "'" + arguments.settingsFile + "' can't be read: name a readable JSON file");
   std::ostringstream text;
   text << in.rdbuf();
-  return readSettings(text.str(), asked.flags);
+  return readSettings(text.str(), arguments.flags);
 }
 
 absl::StatusOr<Settings> readSettings(const std::string& settingsText,
                                       const std::map<std::string, std::string>& flags) {
   Json fields = Json::parse(settingsText, nullptr, false);
-  if (!fields.is_object()) return bad("settings", "the file is no JSON object: correct it");
+  if (!fields.is_object())
+    return fieldError("settings", "the file is not a JSON object: correct it");
   for (const auto& [name, flag] : flags) fields[name] = flagValue(name, flag);
-  if (const auto error = schemaError(kSettingsSchema, fields)) return bad(error->path, error->what);
+  if (const auto error = schemaError(kSettingsSchema, fields))
+    return fieldError(error->path, error->what);
   Settings settings;
   const auto text = [&](const char* name) { return fields.value(name, std::string{}); };
   settings.role = fields.value("role", settings.role);
@@ -183,7 +192,7 @@
   settings.placement = fields.value("placement", settings.placement);
   settings.fetch = fields.value("fetch", "on") == "on";
   const auto mechanisms = parseDisabledMechanisms(text("without"));
-  if (!mechanisms.ok()) return bad("without", std::string(mechanisms.status().message()));
+  if (!mechanisms.ok()) return fieldError("without", std::string(mechanisms.status().message()));
   settings.mechanisms = *mechanisms;
   if (auto status = readLosses(fields, &settings); !status.ok()) return status;
   settings.catchUp =
@@ -200,7 +209,8 @@
     settings.seeds.push_back(Address{address});
   }
   if (settings.role != "proxy" && settings.seeds.empty())
-    return bad("seeds", "missing: name three peer addresses, the same on every machine");
+    return fieldError("seeds",
+                      "missing: name three peer addresses, the same ones on every machine");
   if (auto status = checkAddresses(settings); !status.ok()) return status;
   if (settings.role != "proxy" && !settings.dataFolder.empty()) {
     if (auto status = checkFolder(settings.dataFolder); !status.ok()) return status;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,6 @@
 #pragma once
-// A process's settings: where it stands, whom it asks first. Everything else comes from the fleet.
+// The local settings of a process: its addresses, its data folder, the seeds by which it joins a
+// fleet, and bounds. Everything else comes from the configuration of the fleet.
 #include <absl/status/statusor.h>
 
 #include <map>
@@ -14,69 +15,71 @@
 
 namespace quayrill {
 
+// The settings of one process, with their defaults.
 struct Settings {
   std::string role = "both";  // proxy, agent or both
-  Address peerAddress;        // agent: other daemons connect here
-  Address operatorAddress;    // agent: operator API, and the feed of its proxy
-  Address callerAddress;      // proxy: requests of callers
+  Address peerAddress;        // agent: listens for other daemons here
+  Address operatorAddress;    // agent: serves the operator API and the feed of its proxy here
+  Address callerAddress;      // proxy: listens for requests of callers here
   std::string zone;
-  std::vector<Address> seeds;        // three peer addresses
-  std::string dataFolder;            // "" on machines that keep no register replica
-  std::string syncDelayFile;         // file with the milliseconds that each sync is to last longer
-  Address platformAddress;           // the platform's list of servers
-  Address storeAddress;              // the store of kept prompt parts; may be absent
-  Address peerRelay;                 // relay for peer connections, used by quayrill-local's cuts
+  std::vector<Address> seeds;  // peer addresses of three daemons
+  std::string dataFolder;      // "": this machine keeps no register replica
+  std::string syncDelayFile;  // file with the milliseconds by which to prolong each sync; for tests
+  Address platformAddress;    // where the platform serves its list of servers
+  Address storeAddress;       // of the store of prompt parts; may be empty
+  Address peerRelay;          // relay for connections to peers, with which quayrill-local cuts them
   std::string placement = "prefix";  // prefix; least-burden and round-robin for comparisons
-  bool fetch = true;                 // let servers pull missing prefixes from peers and the store
-  std::size_t replicasWanted = 4;
-  // Losses to bear: what may be lost at once while the register must go on. replicasWanted is
-  // enough for them.
-  LossesToBear losses;
-  Topology topology;  // zones and their regions; needed where losses of these are to be borne
-  // A machine that was lost, or its successor, is whole again after so long, so the next loss may
-  // come then: repairs of the register must be done by that time. 0: no such bound is promised.
+  bool fetch = true;                 // let servers fetch missing prefixes from peers and the store
+  std::size_t replicasWanted = 4;    // of the register; enough to bear `losses`
+  LossesToBear losses;               // simultaneous losses that the register must survive
+  Topology topology;                 // zones and their regions; needed to bear the loss of one
+  // The time within which a lost machine or its successor has recovered, so that the next loss may
+  // follow. Repairs of the register must be finished by then. 0: no such bound is promised.
   std::chrono::milliseconds catchUp{0};
-  std::size_t blockTokens = 16;
+  std::size_t blockTokens = 16;  // tokens in a block of the prefix index
   std::size_t trafficThreads = 2;
+  // The proxy rejects requests when the configuration has not been confirmed for this long.
   std::chrono::milliseconds stalenessLimit{2000};
-  std::chrono::milliseconds shutdownGrace{10000};
-  Address
-      readinessAddress;  // readiness is told here too, where the platform asks at an own address
-  std::string nodeName;  // this machine's name in logs and orders; "" takes the peer address
-  bool mayFound = true;  // false: an empty disk joins a fleet and never founds one
-  // How long a founder waits for word of a fleet that lives; 0 only where the platform vouches that
+  std::chrono::milliseconds shutdownGrace{10000};  // from SIGTERM until open streams are cut
+  Address readinessAddress;  // where the platform checks readiness, if at an address of its own
+  std::string nodeName;      // this machine's name in logs and orders; "": the peer address is used
+  bool mayFound = true;      // false: a daemon with an empty disk only joins a fleet
+  // How long a founder waits to hear of an existing fleet. 0 only if the platform guarantees that
   // there is none.
   std::chrono::milliseconds foundingWait{3000};
-  // How old the platform's list may grow before this fleet reads it again, and the calls a second
-  // that all daemons together may make for it.
+  // The age at which the platform's list is read again, and the rate of calls for it that all
+  // daemons together must not exceed.
   std::chrono::milliseconds listInterval{400};
   double listCallsPerSecond = 50;
-  // A server that shows as leaving gets nothing after this; 0: by the product's own bound.
+  // No request is sent to a server that has been leaving for this long; 0: the built-in bound.
   std::chrono::milliseconds drainTimeout{3000};
-  // Two holders of one leader role never order within this of each other.
+  // Orders of two successive holders of a leader role are at least this far apart.
   std::chrono::milliseconds leaseSpan{3000};
-  // No request begins on older weights later than this after newer ones were named.
+  // No request starts on older weights later than this after newer ones were configured.
   std::chrono::milliseconds rolloutDeadline{20000};
-  // Extra tries over all daemons: at most share * firsts + slack in any window.
+  // The budget for retries of all daemons: in any window at most
+  // retryShare * first attempts + retryHeadroom.
   double retryShare = 0.2;
   std::chrono::milliseconds retryWindow{10000};
   std::size_t retryHeadroom = 0;
-  Mechanisms mechanisms;  // what decides where requests go; all on but for measurements
+  Mechanisms mechanisms;  // all enabled, except in measurements
 };
 
+// What the command line says about settings.
 struct SettingsArguments {
-  std::string settingsFile;
-  std::map<std::string, std::string> flags;  // settings given on the command line win
+  std::string settingsFile;                  // "": none
+  std::map<std::string, std::string> flags;  // by setting; they override the file
 };
 
-// Reads, checks against the schema and the rules, and names the field and the remedy.
-absl::StatusOr<Settings> loadSettings(const SettingsArguments& asked);
+// Reads the file and checks all settings. An error names the field and the remedy.
+absl::StatusOr<Settings> loadSettings(const SettingsArguments& arguments);
 
-// The same from the text of a settings file, JSON, with the flags over it.
+// The same for the text of a settings file (JSON), overridden by the flags.
 absl::StatusOr<Settings> readSettings(const std::string& settingsText,
                                       const std::map<std::string, std::string>& flags);
 
-// "ip:port" with a numeric IPv4 address; a host name is told so.
+// Checks that `text` is "ip:port" with a numeric IPv4 address. The error for a host name says that
+// names are not resolved.
 absl::Status checkAddress(const std::string& field, const std::string& text);
 
 }  // namespace quayrill
