--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -231,7 +231,7 @@
   std::string body = second;
   for (std::uint64_t baseVersion = 9; baseVersion < 9 + kMaxAppliedChanges + 20; ++baseVersion)
     body = made(platform::configReplacement(whole(baseVersion + 1), baseVersion), body);
-  CHECK(platform::parseBody(body)->taken.size() == kMaxAppliedChanges);
+  CHECK(platform::parseBody(body)->applied.size() == kMaxAppliedChanges);
   CHECK(holds(platform::configReplacement(whole(9 + 25), 9 + 24), body));
 }
 
@@ -291,10 +291,10 @@
   std::string body = made(platform::configReplacement(large.dump(), 0), "");
   platform::RegisterBody full = *platform::parseBody(body);
   for (std::uint64_t number = 2; number <= kMaxAppliedChanges + 1; ++number)
-    recordApplied(&full.taken, {number, changeDigest("patch", number - 1, "any")});
+    recordApplied(&full.applied, {number, changeDigest("patch", number - 1, "any")});
   full.config["gen"] = kMaxAppliedChanges + 1;
   body = platform::serializeBody(full);
-  CHECK(platform::parseBody(body)->taken.size() == kMaxAppliedChanges);
+  CHECK(platform::parseBody(body)->applied.size() == kMaxAppliedChanges);
   UpdateOperation updateOperation(*platform::configPatch(R"({"gen":9000})", kMaxAppliedChanges + 1),
                                   kRegisterBodyLimit, Instant(10s));
   REQUIRE(updateOperation.next(Instant(1s)));
