--- a/tests/configuration_tests.cpp
+++ b/tests/configuration_tests.cpp
@@ -1,3 +1,4 @@
+// The configuration document of the built-in dialect, and the settings of a process.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -9,11 +10,15 @@
 
 namespace {
 const std::string kDigest = keyDigest("secret");
+
+// A document with these values of the fields "tenants", "contracts" and "ways".
 std::string configurationWith(const std::string& tenants, const std::string& policies,
                               const std::string& ways) {
   return R"({"models":{"till":{"weights":"w1"}},"tenants":)" + tenants + R"(,"contracts":)" +
          policies + R"(,"ways":)" + ways + "}";
 }
+
+// The path that the error of parsing `body` starts with; "" if there is no error.
 std::string pathOfError(const std::string& body) {
   const auto configuration = parseConfiguration(body);
   if (configuration.ok()) return "";
@@ -90,7 +95,7 @@
 }
 
 namespace {
-// Everything that an own document may state; each test changes one place.
+// A valid document with every field of the schema. Tests change one field each.
 nlohmann::json wholeConfiguration() {
   return nlohmann::json::parse(R"({
     "models": {"till": {"weights": "w1"}},
@@ -149,7 +154,8 @@
   };
   CHECK(errorWith("/routes/talk/split/1/service", "no") == "/routes/talk/split/1/service");
   CHECK(errorWith("/routes/talk/contract", "no") == "/routes/talk/contract");
-  // Rows are read by name: "talk" comes behind "all", which has the prefix first.
+  // Routes are checked in the order of their names, so "talk" conflicts with "all" and not vice
+  // versa.
   CHECK(errorWith("/routes/talk/prefix", "/") == "/routes/talk/prefix");
   CHECK(errorWith("/routes/talk/prefix", "talk") == "/routes/talk/prefix");
   CHECK(errorWith("/routes/talk/host", "A.example") == "/routes/talk/host");
--- a/tests/mechanisms_tests.cpp
+++ b/tests/mechanisms_tests.cpp
@@ -1,4 +1,4 @@
-// The switches of single mechanisms.
+// Disabling single mechanisms by name.
 #include <catch2/catch.hpp>
 
 #include "base/mechanisms.h"
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration document, what the register keeps of it, and changes to both.
+// The platform's configuration document, the register body that contains it, and changes of both.
 #include <catch2/catch.hpp>
 
 #include "base/digest.h"
@@ -11,6 +11,7 @@
 using platform::Document;
 
 namespace {
+// A valid document with every known field and some unknown ones.
 Document sample() {
   return Document::parse(R"({"gen":7,"routes":[
     {"name":"chat","host":"Ficu95.example","prefix":"/lohu930/","type":"stream","deadlineMs":8000,
@@ -33,31 +34,40 @@
               {"name":"open","apiKeys":["three"]}],
    "later":{"kept":[1,2.5,"x"]}})");
 }
+
+// The message of the error of parsing `document`; "" if it is valid.
 std::string errorOf(const Document& document) {
   const auto config = platform::parseConfig(document);
   return config.ok() ? "" : std::string(config.status().message());
 }
-std::string whole(std::uint64_t generation) {
+
+// The text of the sample with another generation.
+std::string documentText(std::uint64_t generation) {
   Document document = sample();
   document["gen"] = generation;
   return document.dump();
 }
-// The body after the change; the change has to be made anew.
-std::string made(const absl::StatusOr<Update>& change, const std::string& standing) {
+
+// The body after a change that must succeed and must not be in effect already.
+std::string bodyAfter(const absl::StatusOr<Update>& change, const std::string& current) {
   REQUIRE(change.ok());
-  const auto body = (*change)(standing);
+  const auto body = (*change)(current);
   INFO(body.status().ToString());
   REQUIRE(body.ok());
   REQUIRE(*body);
   return **body;
 }
-absl::StatusOr<std::optional<std::string>> tried(const absl::StatusOr<Update>& change,
-                                                 const std::string& standing) {
+
+// The result of a change, or the error of parsing it.
+absl::StatusOr<std::optional<std::string>> tryChange(const absl::StatusOr<Update>& change,
+                                                     const std::string& current) {
   if (!change.ok()) return change.status();
-  return (*change)(standing);
+  return (*change)(current);
 }
-bool holds(const absl::StatusOr<Update>& change, const std::string& standing) {
-  const auto body = tried(change, standing);
+
+// Whether the change is in effect already.
+bool isInEffect(const absl::StatusOr<Update>& change, const std::string& current) {
+  const auto body = tryChange(change, current);
   return body.ok() && !*body;
 }
 }  // namespace
@@ -118,7 +128,7 @@
   const auto config = platform::parseConfig(document);
   REQUIRE(config.ok());
   CHECK_FALSE(config->configuration.policies.at(PolicyName{"chat"}).repeatable);
-  document["routes"][2]["resumable"] = true;  // of no meaning without a stream
+  document["routes"][2]["resumable"] = true;  // has no effect without a stream
   CHECK_FALSE(
       platform::parseConfig(document)->configuration.policies.at(PolicyName{"pay"}).repeatable);
 }
@@ -185,20 +195,20 @@
     }
     bad["routes"][0]["deadlineMs"] = "soon";
     CHECK_THAT(errorOf(bad), Contains("/routes/0/deadlineMs: "));
-    const std::string text = whole(8);
+    const std::string text = documentText(8);
     CHECK_THAT(
         std::string(platform::parseDocument(text.substr(0, text.size() / 2)).status().message()),
         Contains("can't be read whole"));
     CHECK_FALSE(platform::configReplacement("[]", 0).ok());
     CHECK_FALSE(platform::configReplacement("", 0).ok());
   }
-  // Nothing of the kind ever becomes a change.
+  // No invalid document becomes a change.
   if (bad != sample()) CHECK_FALSE(platform::configReplacement(bad.dump(), 0).ok());
 }
 
 TEST_CASE("platform config: the register keeps a document as it was sent") {
-  const std::string text = whole(7);
-  const std::string body = made(platform::configReplacement(text, 0), "");
+  const std::string text = documentText(7);
+  const std::string body = bodyAfter(platform::configReplacement(text, 0), "");
   CHECK(platform::parseBody(body)->config.dump() == text);
   const auto configuration = platform::readConfiguration(body);
   REQUIRE(configuration.ok());
@@ -208,21 +218,27 @@
 }
 
 TEST_CASE("platform config: what a change builds on, its number, and the same one again") {
-  const std::string first = made(platform::configReplacement(whole(7), 0), "");
-  CHECK(holds(platform::configReplacement(whole(7), 0), first));
-  const auto codeOf = [](const absl::StatusOr<Update>& change, const std::string& standing) {
-    return tried(change, standing).status().code();
+  const std::string first = bodyAfter(platform::configReplacement(documentText(7), 0), "");
+  CHECK(isInEffect(platform::configReplacement(documentText(7), 0), first));
+  const auto codeOf = [](const absl::StatusOr<Update>& change, const std::string& current) {
+    return tryChange(change, current).status().code();
   };
   using absl::StatusCode;
-  CHECK(codeOf(platform::configReplacement(whole(8), 0), first) == StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::configReplacement(whole(8), 3), "") == StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::configReplacement(whole(7), 7), first) == StatusCode::kInvalidArgument);
-  CHECK(codeOf(platform::configReplacement(whole(6), 7), first) == StatusCode::kInvalidArgument);
-  CHECK(codeOf(platform::configReplacement(whole(0), 0), "") == StatusCode::kInvalidArgument);
-  const std::string second = made(platform::configReplacement(whole(9), 7), first);
-  CHECK(holds(platform::configReplacement(whole(7), 0), second));
-  CHECK(holds(platform::configReplacement(whole(9), 7), second));
-  // Of two on one basis, the one that lost is told so also when the winner has its number.
+  CHECK(codeOf(platform::configReplacement(documentText(8), 0), first) ==
+        StatusCode::kFailedPrecondition);
+  CHECK(codeOf(platform::configReplacement(documentText(8), 3), "") ==
+        StatusCode::kFailedPrecondition);
+  CHECK(codeOf(platform::configReplacement(documentText(7), 7), first) ==
+        StatusCode::kInvalidArgument);
+  CHECK(codeOf(platform::configReplacement(documentText(6), 7), first) ==
+        StatusCode::kInvalidArgument);
+  CHECK(codeOf(platform::configReplacement(documentText(0), 0), "") ==
+        StatusCode::kInvalidArgument);
+  const std::string second = bodyAfter(platform::configReplacement(documentText(9), 7), first);
+  CHECK(isInEffect(platform::configReplacement(documentText(7), 0), second));
+  CHECK(isInEffect(platform::configReplacement(documentText(9), 7), second));
+  // Of two changes of one version, the one that lost is stale even if both lead to the same
+  // version.
   Document rival = sample();
   rival["gen"] = 9;
   rival["later"] = "rival";
@@ -230,57 +246,58 @@
         StatusCode::kFailedPrecondition);
   std::string body = second;
   for (std::uint64_t baseVersion = 9; baseVersion < 9 + kMaxAppliedChanges + 20; ++baseVersion)
-    body = made(platform::configReplacement(whole(baseVersion + 1), baseVersion), body);
+    body = bodyAfter(platform::configReplacement(documentText(baseVersion + 1), baseVersion), body);
   CHECK(platform::parseBody(body)->applied.size() == kMaxAppliedChanges);
-  CHECK(holds(platform::configReplacement(whole(9 + 25), 9 + 24), body));
+  CHECK(isInEffect(platform::configReplacement(documentText(9 + 25), 9 + 24), body));
 }
 
 TEST_CASE("platform config: a resend behind hundreds of changes is never refused") {
-  const auto codeOf = [](const absl::StatusOr<Update>& change, const std::string& standing) {
-    return tried(change, standing).status().code();
+  const auto codeOf = [](const absl::StatusOr<Update>& change, const std::string& current) {
+    return tryChange(change, current).status().code();
   };
   using absl::StatusCode;
   constexpr std::uint64_t kChanges = 600;
   std::string body;
-  std::vector<std::string> patches;  // the one on top of version n is patches[n - 1]
-  body = made(platform::configReplacement(whole(1), 0), body);
+  std::vector<std::string> patches;  // patches[n - 1] builds on version n
+  body = bodyAfter(platform::configReplacement(documentText(1), 0), body);
   for (std::uint64_t baseVersion = 1; baseVersion < kChanges; ++baseVersion) {
     patches.push_back(R"({"gen":)" + std::to_string(baseVersion + 1) +
                       R"(,"limits":{"idleTimeoutMs":)" + std::to_string(baseVersion) + "}}");
-    body = made(platform::configPatch(patches.back(), baseVersion), body);
+    body = bodyAfter(platform::configPatch(patches.back(), baseVersion), body);
   }
   std::size_t acknowledged = 0;
   for (std::uint64_t baseVersion = 1; baseVersion < kChanges; ++baseVersion) {
-    const auto again = tried(platform::configPatch(patches[baseVersion - 1], baseVersion), body);
-    if (again.ok() && !*again) ++acknowledged;
-    CHECK((again.ok() ? !*again : again.status().code() == StatusCode::kUnknown));
+    const auto resend =
+        tryChange(platform::configPatch(patches[baseVersion - 1], baseVersion), body);
+    if (resend.ok() && !*resend) ++acknowledged;
+    CHECK((resend.ok() ? !*resend : resend.status().code() == StatusCode::kUnknown));
   }
   CHECK(acknowledged == kMaxAppliedChanges);
-  CHECK(codeOf(platform::configReplacement(whole(1), 0), body) == StatusCode::kUnknown);
-  // What can't have been taken is refused all the same: its number was not reached by what is
-  // forgotten, or what followed on its version is remembered.
-  CHECK(codeOf(platform::configReplacement(whole(kChanges + 1), 1), body) ==
+  CHECK(codeOf(platform::configReplacement(documentText(1), 0), body) == StatusCode::kUnknown);
+  // A change that can't have been applied is rejected: it leads above the forgotten versions, or
+  // the change that followed on its base version is remembered.
+  CHECK(codeOf(platform::configReplacement(documentText(kChanges + 1), 1), body) ==
         StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::configReplacement(whole(kChanges), kChanges - 1), body) ==
+  CHECK(codeOf(platform::configReplacement(documentText(kChanges), kChanges - 1), body) ==
         StatusCode::kFailedPrecondition);
-  CHECK(codeOf(platform::configReplacement(whole(kChanges - 9), kChanges - 10), body) ==
+  CHECK(codeOf(platform::configReplacement(documentText(kChanges - 9), kChanges - 10), body) ==
         StatusCode::kFailedPrecondition);
 }
 
 TEST_CASE("platform config: the configuration in force holds, whatever it says it builds on") {
-  const std::string first = made(platform::configReplacement(whole(7), 0), "");
-  CHECK(holds(platform::configReplacement(whole(7), 3), first));
-  std::string spaced = sample().dump(2);
-  CHECK(holds(platform::configReplacement(spaced, 0), first));
+  const std::string first = bodyAfter(platform::configReplacement(documentText(7), 0), "");
+  CHECK(isInEffect(platform::configReplacement(documentText(7), 3), first));
+  std::string indented = sample().dump(2);
+  CHECK(isInEffect(platform::configReplacement(indented, 0), first));
   const std::string patched =
-      made(platform::configPatch(R"({"gen":9,"limits":{"idleTimeoutMs":9000}})", 7), first);
-  CHECK(
-      holds(platform::configReplacement(platform::parseBody(patched)->config.dump(), 5), patched));
-  // On top of itself or of a later one it is no resend.
+      bodyAfter(platform::configPatch(R"({"gen":9,"limits":{"idleTimeoutMs":9000}})", 7), first);
+  CHECK(isInEffect(platform::configReplacement(platform::parseBody(patched)->config.dump(), 5),
+                   patched));
+  // A change that builds on its own version or a later one is not a resend.
   using absl::StatusCode;
-  CHECK(tried(platform::configReplacement(whole(7), 7), first).status().code() ==
+  CHECK(tryChange(platform::configReplacement(documentText(7), 7), first).status().code() ==
         StatusCode::kInvalidArgument);
-  CHECK(tried(platform::configReplacement(whole(7), 8), first).status().code() ==
+  CHECK(tryChange(platform::configReplacement(documentText(7), 8), first).status().code() ==
         StatusCode::kFailedPrecondition);
 }
 
@@ -288,7 +305,7 @@
   Document large = sample();
   large["gen"] = 1;
   large["later"] = std::string((1 << 20) - large.dump().size() - 200, 'x');
-  std::string body = made(platform::configReplacement(large.dump(), 0), "");
+  std::string body = bodyAfter(platform::configReplacement(large.dump(), 0), "");
   platform::RegisterBody full = *platform::parseBody(body);
   for (std::uint64_t number = 2; number <= kMaxAppliedChanges + 1; ++number)
     recordApplied(&full.applied, {number, changeDigest("patch", number - 1, "any")});
@@ -299,14 +316,14 @@
                                   kRegisterBodyLimit, Instant(10s));
   REQUIRE(updateOperation.next(Instant(1s)));
   updateOperation.onAnswer({{}, {}, ChangeResult::Chosen, {9, {}, {}, body}, {}, {}});
-  CHECK(updateOperation.next(Instant(1s)).has_value());  // proposed, not refused for its size
+  CHECK(updateOperation.next(Instant(1s)).has_value());  // proposed, not rejected for its size
   large["later"] = std::string(1 << 20, 'x');
-  CHECK(tried(platform::configReplacement(large.dump(), 0), "").status().code() ==
+  CHECK(tryChange(platform::configReplacement(large.dump(), 0), "").status().code() ==
         absl::StatusCode::kResourceExhausted);
 }
 
 TEST_CASE("platform config: a patch changes named items") {
-  const std::string first = made(platform::configReplacement(whole(7), 0), "");
+  const std::string first = bodyAfter(platform::configReplacement(documentText(7), 0), "");
   const std::string text = R"({"gen":9,"upsert":{"routes":[
       {"name":"pay","host":"ficu95.example","prefix":"/","type":"unsafe","deadlineMs":700,
        "backend":"east"},
@@ -314,7 +331,7 @@
        "backend":"south"}],
      "backends":[{"name":"south"}],"limits":{"idleTimeoutMs":9000}},
      "remove":{"routes":["look","never-there"],"tenants":["open"]}})";
-  const std::string body = made(platform::configPatch(text, 7), first);
+  const std::string body = bodyAfter(platform::configPatch(text, 7), first);
   const auto configuration = platform::readConfiguration(body);
   REQUIRE(configuration.ok());
   CHECK(configuration->routes.size() == 3);
@@ -327,11 +344,11 @@
   const Document document = platform::parseBody(body)->config;
   CHECK(document["gen"] == 9);
   CHECK(document["later"] == sample()["later"]);
-  CHECK(document["routes"][1]["name"] == "pay");  // in its old place
+  CHECK(document["routes"][1]["name"] == "pay");  // replaced in place
   CHECK(document["routes"][2]["name"] == "new");
-  CHECK(holds(platform::configPatch(text, 7), body));
+  CHECK(isInEffect(platform::configPatch(text, 7), body));
   const auto codeOf = [&](const std::string& patch, std::uint64_t baseVersion) {
-    return tried(platform::configPatch(patch, baseVersion), first).status().code();
+    return tryChange(platform::configPatch(patch, baseVersion), first).status().code();
   };
   using absl::StatusCode;
   CHECK(codeOf(text, 6) == StatusCode::kFailedPrecondition);
@@ -340,27 +357,27 @@
   CHECK(codeOf(R"({"upsert":{}})", 7) == StatusCode::kInvalidArgument);
   CHECK(codeOf(R"({"gen":9,"upsert":{"routes":[{"host":"x"}]}})", 7) ==
         StatusCode::kInvalidArgument);
-  CHECK(tried(platform::configPatch(R"({"gen":9})", 0), "").status().code() ==
+  CHECK(tryChange(platform::configPatch(R"({"gen":9})", 0), "").status().code() ==
         StatusCode::kInvalidArgument);
 }
 
 TEST_CASE("platform config: weights are named by rising numbers and outlive configurations") {
-  const std::string first = made(platform::configReplacement(whole(7), 0), "");
+  const std::string first = bodyAfter(platform::configReplacement(documentText(7), 0), "");
   const auto named = [](int generation) {
     return platform::weightsUpdate(R"({"model":"daka510000","gen":)" + std::to_string(generation) +
                                    "}");
   };
-  CHECK(holds(named(1), first));
-  std::string body = made(named(3), first);
-  CHECK(holds(named(3), body));
-  CHECK(holds(named(2), body));
-  body = made(platform::configReplacement(whole(9), 7), body);
+  CHECK(isInEffect(named(1), first));
+  std::string body = bodyAfter(named(3), first);
+  CHECK(isInEffect(named(3), body));
+  CHECK(isInEffect(named(2), body));
+  body = bodyAfter(platform::configReplacement(documentText(9), 7), body);
   CHECK(platform::readConfiguration(body)->weights.at(ModelName{"daka510000"}).value == "3");
-  // The first weights were acknowledged; the model went away since.
-  const std::string gone = made(
+  // The first version was acknowledged before the model was removed.
+  const std::string gone = bodyAfter(
       platform::configPatch(R"({"gen":11,"upsert":{"backends":[{"name":"east"}]}})", 7), first);
-  CHECK(holds(named(1), gone));
-  const auto unknown = tried(platform::weightsUpdate(R"({"model":"x","gen":2})"), first);
+  CHECK(isInEffect(named(1), gone));
+  const auto unknown = tryChange(platform::weightsUpdate(R"({"model":"x","gen":2})"), first);
   CHECK_THAT(std::string(unknown.status().message()),
              Contains("/model: ") && Contains("add it to the models"));
   CHECK_FALSE(platform::weightsUpdate(R"({"model":"x"})").ok());
@@ -368,7 +385,7 @@
   CHECK_FALSE(platform::weightsUpdate("{").ok());
 }
 
-// Not a check: run it by name, `quayrill_tests "[cost]"`.
+// A benchmark, hidden by default. Run it with `quayrill_tests "[cost]"`.
 TEST_CASE("platform config: what 280 more routes cost", "[.][cost]") {
   Document document = sample();
   for (int i = 0; i < 280; ++i) {
@@ -378,18 +395,20 @@
     document["routes"].push_back(route);
   }
   const std::string text = document.dump();
-  const auto each = [](const char* what, const std::function<void()>& work) {
+  const auto measure = [](const char* what, const std::function<void()>& work) {
     constexpr int kRounds = 50;
     work();
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     for (int i = 0; i < kRounds; ++i) work();
-    const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double, std::milli> took =
+        std::chrono::steady_clock::now() - startedAt;
     WARN(what << ": " << took.count() / kRounds << " ms");
   };
-  const std::string body = made(platform::configReplacement(text, 0), "");
+  const std::string body = bodyAfter(platform::configReplacement(text, 0), "");
   const std::string patch = R"({"gen":9})";
   WARN("document " << text.size() << " bytes, body " << body.size());
-  each("read the configuration of the register", [&] { (void)platform::readConfiguration(body); });
-  each("read a whole configuration", [&] { (void)platform::configReplacement(text, 0); });
-  each("make a patch of one field", [&] { made(platform::configPatch(patch, 7), body); });
+  measure("read the configuration of the register",
+          [&] { (void)platform::readConfiguration(body); });
+  measure("read a whole configuration", [&] { (void)platform::configReplacement(text, 0); });
+  measure("make a patch of one field", [&] { bodyAfter(platform::configPatch(patch, 7), body); });
 }
--- a/tests/platform_servers_tests.cpp
+++ b/tests/platform_servers_tests.cpp
@@ -1,4 +1,4 @@
-// The platform's list of servers, their reports and orders, read and written without a socket.
+// Parsing and formatting of the platform's server list, reports and orders, without a socket.
 #include <catch2/catch.hpp>
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-// As the platform's own pages show it.
+// As in the platform's documentation.
 constexpr char kPage[] =
     R"({"instances":[{"backend":"huvo11a","addr":"10.128.0.9:8080","zone":"oriente","gen":"v1",)"
     R"("slots":128,"state":"ready","warmupLeftMs":0,"phase":"unified","models":[{"name":)"
@@ -42,19 +42,19 @@
 
 TEST_CASE("platform servers: a draining server and one in an unknown state are leaving") {
   for (const char* state : {"draining", "halted"}) {
-    Json told = page();
-    told["instances"][0]["state"] = state;
-    const auto read = platform::parseListPage(told.dump());
+    Json list = page();
+    list["instances"][0]["state"] = state;
+    const auto read = platform::parseListPage(list.dump());
     REQUIRE(read.ok());
     CHECK(read->rows.at(0).leaving);
   }
 }
 
 TEST_CASE("platform servers: a server without models has no weights") {
-  Json told = page();
-  told["instances"][0]["models"] = Json::array();
-  told["nextToken"] = nullptr;
-  const auto read = platform::parseListPage(told.dump());
+  Json list = page();
+  list["instances"][0]["models"] = Json::array();
+  list["nextToken"] = nullptr;
+  const auto read = platform::parseListPage(list.dump());
   REQUIRE(read.ok());
   CHECK(read->next.empty());
   CHECK(read->rows.at(0).model == ModelName{});
@@ -66,13 +66,13 @@
   CHECK_FALSE(platform::parseListPage("[]").ok());
   CHECK_FALSE(platform::parseListPage(std::string(kPage).substr(0, 200)).ok());
   for (const char* field : {"addr", "id", "state", "backend"}) {
-    Json told = page();
-    told["instances"][0].erase(field);
-    CHECK_FALSE(platform::parseListPage(told.dump()).ok());
+    Json list = page();
+    list["instances"][0].erase(field);
+    CHECK_FALSE(platform::parseListPage(list.dump()).ok());
   }
-  Json endless = page();
-  endless.erase("nextToken");  // whether more would follow is not known
-  CHECK_FALSE(platform::parseListPage(endless.dump()).ok());
+  Json withoutToken = page();
+  withoutToken.erase("nextToken");  // it is unknown whether another page follows
+  CHECK_FALSE(platform::parseListPage(withoutToken.dump()).ok());
 }
 
 TEST_CASE("platform servers: a page token is escaped into the query") {
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -1,4 +1,5 @@
-// Settings that change under a running daemon: by a changed file, with and without SIGHUP.
+// Changes of the settings file of a running daemon, with and without SIGHUP, and their effect on
+// its fleet.
 #include <unistd.h>
 #include <catch2/catch.hpp>
 
@@ -31,7 +32,7 @@
   return {SettingsSource{kFile, text, readOwn}, *readOwn(text)};
 }
 
-// Two looks, as at a file that has come to rest.
+// Two looks that show the same text: a text is only judged once it has stopped changing.
 SettingsLook lookTwice(SettingsJudge& judge, const std::optional<std::string>& text,
                        bool asked = false) {
   const SettingsLook first = judge.onLook(text, asked);
@@ -41,6 +42,7 @@
   return judge.onLook(text, false);
 }
 
+// A settings file on disk, removed at the end of the test.
 struct SettingsFile {
   std::string path =
       (std::filesystem::temp_directory_path() / ("quayrill-settings-" + std::to_string(::getpid())))
@@ -65,7 +67,7 @@
   CHECK_THAT(look.told, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
   CHECK(look.refused.empty());
   CHECK_FALSE(judge.onLook(kNew, false).changed);
-  // And back.
+  // The old settings can be restored.
   CHECK(lookTwice(judge, kOld).changed->seeds.front() == Address{"10.0.0.1:1"});
 }
 
@@ -100,12 +102,12 @@
                                  Catch::Contains("stay in force"));
     CHECK(look.refused.find('\n') == std::string::npos);
     CHECK(judge.inForce().seeds.size() == 2);
-    // Once: it is looked at each second.
+    // The file is read each second, so the error is reported only once.
     const SettingsLook again = judge.onLook(bad, false);
     CHECK((again.refused + again.told).empty());
-    // Whoever asks is told again.
+    // After SIGHUP it is reported again.
     CHECK_FALSE(judge.onLook(bad, true).refused.empty());
-    // The file as it was is no change.
+    // Restoring the file is not a change.
     const SettingsLook back = lookTwice(judge, kOld);
     CHECK_FALSE(back.changed);
     CHECK(back.refused.empty());
@@ -162,7 +164,7 @@
       lookTwice(judge, text("10.1.0.2:8,10.1.0.3:8", "bootstrap=false\nfield.unknown=1\n"));
   REQUIRE(look.changed);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.1.0.2:7000"}, {"10.1.0.3:7000"}});
-  // A first start of all is over when the file is written anew; nobody has to restart for it.
+  // `bootstrap` matters at the first start only, so its change requires no restart.
   CHECK(look.told.find("restart") == std::string::npos);
   CHECK(look.changed->mayFound);
   CHECK_THAT(lookTwice(judge, text("a:8", "")).refused, Catch::Contains("'seeds'"));
@@ -199,8 +201,8 @@
   REQUIRE(sim::runUntilFounded(world, 60s));
   const std::size_t late = world.size() - 1;
   world.crash(late, true);
-  world.run(30s);  // the others forget its first life
-  // It comes back under settings that nobody listens at.
+  world.run(30s);  // the others forget its first incarnation
+  // It restarts with seeds at which no daemon listens.
   world.setSeeds(late, {Address{"127.9.9.1:7000"}, Address{"127.9.9.2:7000"}});
   world.start(late);
   world.run(20s);
@@ -238,8 +240,8 @@
     sim::WorldSettings settings;
     settings.seed = seed;
     sim::World world(settings);
-    // All start with the first three as seeds. One is told of itself alone, by which it would found
-    // a fleet of its own.
+    // All start with the first three as seeds. Then one gets itself as its only seed, which would
+    // let it found a fleet of its own.
     world.setSeeds(3, {world.addressOf(3)});
     CHECK(sim::runUntilFounded(world, 60s));
     std::set<std::uint64_t> fleets;
--- a/tests/tree_tests.cpp
+++ b/tests/tree_tests.cpp
@@ -1,5 +1,5 @@
-// What the tree itself must hold: where the platform's names may stand, what the users' bench turns
-// away, one list of packages.
+// Rules for the source tree: names of the platform are used only in its adapter, constructs that
+// the users' test bench rejects don't occur, and both lists of packages agree.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
@@ -25,14 +25,13 @@
   return lines;
 }
 
-// The files of the tree apart from those under `passedOver`, build folders and the repository's
-// own.
-std::vector<fs::path> filesOutside(const std::set<std::string>& passedOver) {
+// The files of the tree, except for build folders, the repository's own files, and those under
+// `excluded`.
+std::vector<fs::path> filesOutside(const std::set<std::string>& excluded) {
   std::vector<fs::path> files;
   for (const auto& top : fs::directory_iterator(kTree)) {
     const std::string name = top.path().filename();
-    if (name == ".git" || name == "target" || name.starts_with("build") ||
-        passedOver.contains(name))
+    if (name == ".git" || name == "target" || name.starts_with("build") || excluded.contains(name))
       continue;
     if (top.is_regular_file()) files.push_back(top.path());
     if (!top.is_directory()) continue;
@@ -43,14 +42,19 @@
   return files;
 }
 
-bool wordPart(char letter) {
-  return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '_' || letter == '-';
+// Whether a character belongs to a word; names may contain hyphens.
+bool isWordCharacter(char character) {
+  return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '_' ||
+         character == '-';
 }
 
+// Whether `word` occurs in `text` as a whole word.
 bool hasWord(const std::string& text, const std::string& word) {
-  for (auto at = text.find(word); at != std::string::npos; at = text.find(word, at + 1)) {
-    const auto end = at + word.size();
-    if ((at == 0 || !wordPart(text[at - 1])) && (end == text.size() || !wordPart(text[end])))
+  for (auto begin = text.find(word); begin != std::string::npos;
+       begin = text.find(word, begin + 1)) {
+    const auto end = begin + word.size();
+    if ((begin == 0 || !isWordCharacter(text[begin - 1])) &&
+        (end == text.size() || !isWordCharacter(text[end])))
       return true;
   }
   return false;
@@ -72,13 +76,13 @@
       CHECK_FALSE(hasWord(text, name));
     }
   }
-  // The list is of names that the platform does have.
-  std::size_t known = 0;
+  // The list must consist of names that the platform has; part of them occur in its adapter.
+  std::size_t knownNames = 0;
   std::string platform;
   for (const auto& entry : fs::directory_iterator(kTree / "platform"))
     platform += textOf(entry.path());
-  for (const std::string& name : names) known += hasWord(platform, name) ? 1 : 0;
-  CHECK(known > 15);
+  for (const std::string& name : names) knownNames += hasWord(platform, name) ? 1 : 0;
+  CHECK(knownNames > 15);
 }
 
 TEST_CASE("tree: no source loads libraries into others, traces them or shares memory") {
@@ -96,10 +100,10 @@
 }
 
 TEST_CASE("tree: nothing reaches outside of it") {
-  const std::string above = std::string("../") + "given";
+  const std::string outsidePath = std::string("../") + "given";
   for (const fs::path& file : filesOutside({"docs", "journal"})) {
     INFO(file);
-    CHECK(textOf(file).find(above) == std::string::npos);
+    CHECK(textOf(file).find(outsidePath) == std::string::npos);
   }
 }
 
@@ -112,12 +116,12 @@
   REQUIRE(build.size() > 10);
   for (const std::string& line : linesOf(kTree / "deploy/system.toml")) {
     if (!line.starts_with("packages")) continue;
-    std::istringstream parts(line.substr(line.find('[')));
-    std::string part;
-    std::getline(parts, part, '"');
-    while (std::getline(parts, part, '"')) {
-      deploy.insert(part);
-      std::getline(parts, part, '"');
+    std::istringstream list(line.substr(line.find('[')));
+    std::string package;
+    std::getline(list, package, '"');
+    while (std::getline(list, package, '"')) {
+      deploy.insert(package);
+      std::getline(list, package, '"');
     }
   }
   CHECK(deploy == build);
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -1,5 +1,5 @@
-// Amendments of the register's body: against a scripted register, and by several daemons at once
-// in the simulator.
+// Updates of the register's body: against a scripted register, and from several daemons at once in
+// the simulator.
 #include <catch2/catch.hpp>
 #include <memory>
 
@@ -12,23 +12,29 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kLimit = 1 << 20;
-constexpr Duration kDue = 3500ms;
+constexpr std::size_t kMaxBodyBytes = 1 << 20;
+constexpr Duration kTimeout = 3500ms;
 
+// A configuration document; documents of different services differ.
 std::string config(std::uint64_t generation, const std::string& service = "b") {
   return R"({"gen":)" + std::to_string(generation) +
          R"(,"routes":[{"name":"r","host":"h","prefix":"/","backend":"b"}],"backends":[{"name":")" +
          service + R"(","runtime":{"models":[{"name":"m"}]}}],"by":")" + service + "\"}";
 }
-Update onTop(std::uint64_t baseVersion, std::uint64_t generation, const std::string& by = "") {
+// The update to `generation` on top of `baseVersion`; `by` makes updates to one generation differ.
+Update updateOnTop(std::uint64_t baseVersion, std::uint64_t generation,
+                   const std::string& by = "") {
   platform::Document document = platform::Document::parse(config(generation));
   document["by"] = by;
   return *platform::configReplacement(document.dump(), baseVersion);
 }
 
-// A register of one replica. `fates` says what becomes of the changes that come next.
+// A register of one replica. `fates` scripts what happens to the next changes; further ones succeed
+// or conflict as usual.
 struct Script {
-  enum class Fate { Plain, TakenUnheard, LostUnheard, NotTried };
+  // AppliedUnanswered: applied, but the answer is lost. LostUnanswered: lost together with its
+  // answer. NotTried: the register is unreachable.
+  enum class Fate { Plain, AppliedUnanswered, LostUnanswered, NotTried };
   RegisterValue value;
   std::deque<Fate> fates;
   bool readable = true;
@@ -53,7 +59,7 @@
       fates.pop_front();
     }
     const bool fits = asked.expectedVersion == value.version;
-    if (fits && (fate == Fate::Plain || fate == Fate::TakenUnheard))
+    if (fits && (fate == Fate::Plain || fate == Fate::AppliedUnanswered))
       value = {value.version + 1, {}, {}, asked.body};
     if (fate == Fate::Plain)
       return {
@@ -64,13 +70,15 @@
     return {{}, kConfigurationKey, unknown ? ChangeResult::Unknown : ChangeResult::NotTried, {}, {},
             {}};
   }
+  // Carries out the next step of the operation; false if there is none.
   bool step(UpdateOperation& updateOperation) {
     const auto asked = updateOperation.next(now);
     if (asked) updateOperation.onAnswer(answer(*asked));
     return asked.has_value();
   }
-  UpdateResult carry(Update change) {
-    UpdateOperation updateOperation(std::move(change), kLimit, now + kDue);
+  // Runs an update to its end.
+  UpdateResult runToEnd(Update change) {
+    UpdateOperation updateOperation(std::move(change), kMaxBodyBytes, now + kTimeout);
     while (step(updateOperation)) {
     }
     REQUIRE(updateOperation.done());
@@ -82,40 +90,40 @@
 
 TEST_CASE("amend: the same change comes twice, also behind later ones") {
   Script script;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
-  CHECK(script.carry(onTop(3, 5)) == UpdateResult::Applied);
-  CHECK(script.carry(onTop(5, 6)) == UpdateResult::Applied);
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
-  CHECK(script.carry(onTop(3, 5)) == UpdateResult::AlreadyApplied);
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::Applied);
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::AlreadyApplied);
+  CHECK(script.runToEnd(updateOnTop(3, 5)) == UpdateResult::Applied);
+  CHECK(script.runToEnd(updateOnTop(5, 6)) == UpdateResult::Applied);
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::AlreadyApplied);
+  CHECK(script.runToEnd(updateOnTop(3, 5)) == UpdateResult::AlreadyApplied);
   CHECK(script.value.version == 3);
   CHECK(script.changes == 3);
 }
 
 TEST_CASE("amend: what may not be is never proposed") {
   Script script;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
-  CHECK(script.carry(onTop(3, 3, "other")) == UpdateResult::Rejected);
-  CHECK(script.carry(onTop(3, 2)) == UpdateResult::Rejected);
-  CHECK(script.carry(onTop(0, 9)) == UpdateResult::Stale);
-  CHECK(script.carry(onTop(2, 9)) == UpdateResult::Stale);
-  CHECK(script.carry(*platform::configPatch(
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::Applied);
+  CHECK(script.runToEnd(updateOnTop(3, 3, "other")) == UpdateResult::Rejected);
+  CHECK(script.runToEnd(updateOnTop(3, 2)) == UpdateResult::Rejected);
+  CHECK(script.runToEnd(updateOnTop(0, 9)) == UpdateResult::Stale);
+  CHECK(script.runToEnd(updateOnTop(2, 9)) == UpdateResult::Stale);
+  CHECK(script.runToEnd(*platform::configPatch(
             R"({"gen":9,"upsert":{"backends":[{"name":"x"}]},"remove":{"backends":["b"]}})", 3)) ==
         UpdateResult::Rejected);
-  const std::string large(kLimit, 'x');
-  CHECK(script.carry(onTop(3, 9, large)) == UpdateResult::TooLarge);
+  const std::string large(kMaxBodyBytes, 'x');
+  CHECK(script.runToEnd(updateOnTop(3, 9, large)) == UpdateResult::TooLarge);
   CHECK(script.changes == 1);
   script.value.body = "{\"of\":\"another build\"}";
-  CHECK(script.carry(onTop(3, 9)) == UpdateResult::NotApplied);
+  CHECK(script.runToEnd(updateOnTop(3, 9)) == UpdateResult::NotApplied);
   CHECK(script.changes == 1);
 }
 
 TEST_CASE("amend: of two on one version, one is taken and the other is told so by a read") {
   Script script;
-  UpdateOperation first(onTop(0, 3, "a"), kLimit, script.now + kDue);
-  UpdateOperation second(onTop(0, 4, "b"), kLimit, script.now + kDue);
-  UpdateOperation firstAgain(onTop(0, 3, "a"), kLimit, script.now + kDue);
-  // All three have read before any is proposed.
+  UpdateOperation first(updateOnTop(0, 3, "a"), kMaxBodyBytes, script.now + kTimeout);
+  UpdateOperation second(updateOnTop(0, 4, "b"), kMaxBodyBytes, script.now + kTimeout);
+  UpdateOperation firstAgain(updateOnTop(0, 3, "a"), kMaxBodyBytes, script.now + kTimeout);
+  // All three read the same version before any is proposed.
   for (UpdateOperation* each : {&first, &second, &firstAgain}) REQUIRE(script.step(*each));
   for (UpdateOperation* each : {&first, &second, &firstAgain}) {
     while (script.step(*each)) {
@@ -124,46 +132,46 @@
   CHECK(first.done()->result == UpdateResult::Applied);
   CHECK(second.done()->result == UpdateResult::Stale);
   CHECK(firstAgain.done()->result == UpdateResult::AlreadyApplied);
-  CHECK(script.reads == 5);  // the two that lost read again before they say so
+  CHECK(script.reads == 5);  // the two that conflicted read again to learn their result
   CHECK(script.value.version == 1);
 }
 
 TEST_CASE("amend: a change of unknown result is settled by a read") {
   Script script;
   SECTION("it was taken") {
-    script.fates = {Fate::TakenUnheard};
-    CHECK(script.carry(onTop(0, 3)) == UpdateResult::AlreadyApplied);
+    script.fates = {Fate::AppliedUnanswered};
+    CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::AlreadyApplied);
     CHECK(script.value.version == 1);
   }
   SECTION("it was not, and no time is left") {
-    script.fates = {Fate::LostUnheard};
-    CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
+    script.fates = {Fate::LostUnanswered};
+    CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::NotApplied);
     CHECK(script.value.version == 0);
   }
   SECTION("another one was taken meanwhile") {
-    UpdateOperation mine(onTop(0, 3, "a"), kLimit, script.now + kDue);
+    UpdateOperation mine(updateOnTop(0, 3, "a"), kMaxBodyBytes, script.now + kTimeout);
     REQUIRE(script.step(mine));
-    script.fates = {Fate::LostUnheard};
+    script.fates = {Fate::LostUnanswered};
     REQUIRE(script.step(mine));
-    script.carry(onTop(0, 4, "b"));
+    script.runToEnd(updateOnTop(0, 4, "b"));
     while (script.step(mine)) {
     }
     CHECK(mine.done()->result == UpdateResult::Stale);
   }
   SECTION("it was taken and more followed") {
-    UpdateOperation mine(onTop(0, 3, "a"), kLimit, script.now + kDue);
+    UpdateOperation mine(updateOnTop(0, 3, "a"), kMaxBodyBytes, script.now + kTimeout);
     REQUIRE(script.step(mine));
-    script.fates = {Fate::TakenUnheard};
+    script.fates = {Fate::AppliedUnanswered};
     REQUIRE(script.step(mine));
-    CHECK(script.carry(onTop(3, 4, "b")) == UpdateResult::Applied);
+    CHECK(script.runToEnd(updateOnTop(3, 4, "b")) == UpdateResult::Applied);
     while (script.step(mine)) {
     }
     CHECK(mine.done()->result == UpdateResult::AlreadyApplied);
   }
   SECTION("the read fails too") {
-    UpdateOperation mine(onTop(0, 3), kLimit, script.now + kDue);
+    UpdateOperation mine(updateOnTop(0, 3), kMaxBodyBytes, script.now + kTimeout);
     REQUIRE(script.step(mine));
-    script.fates = {Fate::TakenUnheard};
+    script.fates = {Fate::AppliedUnanswered};
     REQUIRE(script.step(mine));
     script.readable = false;
     while (script.step(mine)) {
@@ -176,24 +184,25 @@
 TEST_CASE("amend: a resend whose change is forgotten has no clear answer, and is not proposed") {
   Script script;
   for (std::uint64_t baseVersion = 0; baseVersion < kMaxAppliedChanges + 5; ++baseVersion)
-    REQUIRE(script.carry(onTop(baseVersion, baseVersion + 1)) == UpdateResult::Applied);
+    REQUIRE(script.runToEnd(updateOnTop(baseVersion, baseVersion + 1)) == UpdateResult::Applied);
   const std::size_t changes = script.changes;
-  CHECK(script.carry(onTop(2, 3)) == UpdateResult::Unknown);
-  CHECK(script.carry(onTop(2, 3, "rival")) == UpdateResult::Unknown);
-  CHECK(script.carry(onTop(5, 6)) == UpdateResult::AlreadyApplied);
-  CHECK(script.carry(onTop(5, 6, "rival")) == UpdateResult::Stale);
-  CHECK(script.carry(onTop(2, kMaxAppliedChanges + 9)) == UpdateResult::Stale);
+  CHECK(script.runToEnd(updateOnTop(2, 3)) == UpdateResult::Unknown);
+  CHECK(script.runToEnd(updateOnTop(2, 3, "rival")) == UpdateResult::Unknown);
+  CHECK(script.runToEnd(updateOnTop(5, 6)) == UpdateResult::AlreadyApplied);
+  CHECK(script.runToEnd(updateOnTop(5, 6, "rival")) == UpdateResult::Stale);
+  CHECK(script.runToEnd(updateOnTop(2, kMaxAppliedChanges + 9)) == UpdateResult::Stale);
   CHECK(script.changes == changes);
 }
 
 TEST_CASE("amend: a change that is settled behind hundreds of others is never refused") {
   Script script;
-  UpdateOperation mine(onTop(0, 1, "a"), kLimit, script.now + kDue);
+  UpdateOperation mine(updateOnTop(0, 1, "a"), kMaxBodyBytes, script.now + kTimeout);
   REQUIRE(script.step(mine));
-  script.fates = {Fate::TakenUnheard};
+  script.fates = {Fate::AppliedUnanswered};
   REQUIRE(script.step(mine));
   for (std::uint64_t baseVersion = 1; baseVersion < kMaxAppliedChanges + 5; ++baseVersion)
-    REQUIRE(script.carry(onTop(baseVersion, baseVersion + 1, "b")) == UpdateResult::Applied);
+    REQUIRE(script.runToEnd(updateOnTop(baseVersion, baseVersion + 1, "b")) ==
+            UpdateResult::Applied);
   while (script.step(mine)) {
   }
   CHECK(mine.done()->result == UpdateResult::Unknown);
@@ -202,17 +211,17 @@
 
 TEST_CASE("amend: a register that does not answer took nothing, and it is said in time") {
   Script script;
-  const Instant begun = script.now;
+  const Instant startedAt = script.now;
   script.readable = false;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::NotApplied);
   CHECK(script.changes == 0);
-  CHECK(script.now - begun <= kDue);
+  CHECK(script.now - startedAt <= kTimeout);
   script.readable = true;
   script.fates = {Fate::NotTried};
   const Instant later = script.now;
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::NotApplied);
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::NotApplied);
   CHECK(script.value.version == 0);
-  CHECK(script.now - later <= kDue);
+  CHECK(script.now - later <= kTimeout);
 }
 
 TEST_CASE("amend: versions of weights only rise, whoever comes first") {
@@ -220,10 +229,10 @@
   const auto named = [](int generation) {
     return *platform::weightsUpdate(R"({"model":"m","gen":)" + std::to_string(generation) + "}");
   };
-  CHECK(script.carry(named(2)) == UpdateResult::Rejected);  // no service names it yet
-  CHECK(script.carry(onTop(0, 3)) == UpdateResult::Applied);
-  UpdateOperation low(named(2), kLimit, script.now + kDue),
-      high(named(3), kLimit, script.now + kDue);
+  CHECK(script.runToEnd(named(2)) == UpdateResult::Rejected);  // no service has the model yet
+  CHECK(script.runToEnd(updateOnTop(0, 3)) == UpdateResult::Applied);
+  UpdateOperation low(named(2), kMaxBodyBytes, script.now + kTimeout),
+      high(named(3), kMaxBodyBytes, script.now + kTimeout);
   REQUIRE(script.step(low));
   REQUIRE(script.step(high));
   for (UpdateOperation* each : {&high, &low}) {
@@ -233,7 +242,7 @@
   CHECK(high.done()->result == UpdateResult::Applied);
   CHECK(low.done()->result == UpdateResult::AlreadyApplied);
   CHECK(platform::readConfiguration(script.value.body)->weights.at(ModelName{"m"}).value == "3");
-  CHECK(script.carry(onTop(3, 4)) == UpdateResult::Applied);
+  CHECK(script.runToEnd(updateOnTop(3, 4)) == UpdateResult::Applied);
   CHECK(platform::readConfiguration(script.value.body)->weights.at(ModelName{"m"}).value == "3");
 }
 
@@ -261,23 +270,26 @@
 }
 
 namespace {
-// One update at one daemon of the simulated fleet.
+// An update that is submitted to one daemon of the simulated fleet.
 struct Call {
   std::size_t machine;
   UpdateOperation updateOperation;
   std::optional<std::uint64_t> pending{};
 };
 
+// A simulated fleet and the updates that are in progress there.
 struct Fleet {
   sim::World world;
   std::vector<std::unique_ptr<Call>> calls;
 
   explicit Fleet(const sim::WorldSettings& settings) : world(settings) { world.run(12s); }
   Call& begin(std::size_t machine, Update change) {
-    calls.push_back(std::make_unique<Call>(
-        Call{machine, UpdateOperation(std::move(change), kLimit, world.localNow(machine) + kDue)}));
+    calls.push_back(
+        std::make_unique<Call>(Call{machine, UpdateOperation(std::move(change), kMaxBodyBytes,
+                                                             world.localNow(machine) + kTimeout)}));
     return *calls.back();
   }
+  // Advances one update if its pending step is done.
   void pump(Call& call) {
     if (call.pending) {
       const auto& done = world.asked(*call.pending).done;
@@ -290,8 +302,8 @@
     call.pending = asked->isRead ? world.read(call.machine)
                                  : world.change(call.machine, asked->expectedVersion, asked->body);
   }
-  void run(Duration span) {
-    for (Duration past{}; past < span; past += 5ms) {
+  void run(Duration duration) {
+    for (Duration elapsed{}; elapsed < duration; elapsed += 5ms) {
       for (const auto& call : calls) {
         if (!call->updateOperation.done()) pump(*call);
       }
@@ -312,32 +324,34 @@
     std::uint64_t baseVersion = 0;
     for (std::uint64_t round = 1; round <= 5; ++round) {
       const std::uint64_t generation = baseVersion + 1 + seed % 3;
-      Call& a1 = fleet.begin(0, onTop(baseVersion, generation, "a"));
-      Call& b1 = fleet.begin(1, onTop(baseVersion, generation, "b"));
+      Call& a1 = fleet.begin(0, updateOnTop(baseVersion, generation, "a"));
+      Call& b1 = fleet.begin(1, updateOnTop(baseVersion, generation, "b"));
       fleet.run(std::chrono::milliseconds(5 * (seed % 4)));
-      Call& a2 = fleet.begin(2, onTop(baseVersion, generation, "a"));
-      Call& b2 = fleet.begin(3, onTop(baseVersion, generation, "b"));
+      Call& a2 = fleet.begin(2, updateOnTop(baseVersion, generation, "a"));
+      Call& b2 = fleet.begin(3, updateOnTop(baseVersion, generation, "b"));
       fleet.run(9s);
       for (Call* call : {&a1, &b1, &a2, &b2}) REQUIRE(call->updateOperation.done());
-      // Whatever was lost on the way: a try after that gets the answer that holds for ever.
-      Call& a3 = fleet.begin(0, onTop(baseVersion, generation, "a"));
+      // Whichever messages were lost, a resend after that gets the final answer.
+      Call& a3 = fleet.begin(0, updateOnTop(baseVersion, generation, "a"));
       fleet.run(4s);
-      Call& b3 = fleet.begin(1, onTop(baseVersion, generation, "b"));
+      Call& b3 = fleet.begin(1, updateOnTop(baseVersion, generation, "b"));
       fleet.run(4s);
       REQUIRE(a3.updateOperation.done());
       REQUIRE(b3.updateOperation.done());
-      const auto isYes = [](const Call& call) {
+      const auto isConfirmed = [](const Call& call) {
         const UpdateResult result = call.updateOperation.done()->result;
         return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
       };
-      const auto isNo = [](const Call& call) {
+      const auto isRejected = [](const Call& call) {
         return call.updateOperation.done()->result == UpdateResult::Stale;
       };
-      CHECK(isYes(a3) != isYes(b3));
-      CHECK(isNo(a3) != isNo(b3));
-      for (const auto& [tries, holds] : {std::pair{std::vector<Call*>{&a1, &a2}, isYes(a3)},
-                                         std::pair{std::vector<Call*>{&b1, &b2}, isYes(b3)}}) {
-        for (const Call* call : tries) CHECK_FALSE((holds ? isNo(*call) : isYes(*call)));
+      CHECK(isConfirmed(a3) != isConfirmed(b3));
+      CHECK(isRejected(a3) != isRejected(b3));
+      for (const auto& [tries, isApplied] :
+           {std::pair{std::vector<Call*>{&a1, &a2}, isConfirmed(a3)},
+            std::pair{std::vector<Call*>{&b1, &b2}, isConfirmed(b3)}}) {
+        for (const Call* call : tries)
+          CHECK_FALSE((isApplied ? isRejected(*call) : isConfirmed(*call)));
       }
       baseVersion = generation;
       fleet.calls.clear();
