--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -41,13 +41,13 @@
 }
 
 void Agent::tickOrders(Instant now) {
-  core_->forgetWeightsBefore(now - settings_.rolloutDeadline);
+  core_->forgetWeightsBefore(now - settings_.rolloutTimeLimit);
   if (!configuration_) return;
   std::erase_if(rollouts_,
                 [&](const auto& row) { return !configuration_->weights.contains(row.first); });
   for (const auto& [model, newest] : configuration_->weights) {
     // The lease itself waits a lease out before it counts.
-    const RolloutSettings rolloutSettings{settings_.rolloutDeadline, Duration{}};
+    const RolloutSettings rolloutSettings{settings_.rolloutTimeLimit, Duration{}};
     Rollout& rollout = rollouts_.try_emplace(model, model, rolloutSettings).first->second;
     const RolloutView view = rolloutView(model, now);
     const RegisterKey key = orderLease(model);
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -9,24 +9,25 @@
 namespace quayrill {
 
 // enumerator, name on the command line, behaviour when it is disabled (help text)
-#define QUAYRILL_MECHANISMS(X)                                                                    \
-  X(LongestMatch, "longest-match", "servers are chosen by load alone, whatever they have cached") \
-  X(Locks, "locks", "prompts of running streams may be evicted from the index")                   \
-  X(Events, "events", "no cache events are read from servers and the store")                      \
-  X(SharedEvents, "shared-events", "each daemon reads the cache events of every server itself")   \
-  X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")        \
-  X(ExpectedRead, "expected-read", "servers are compared by requests, not by tokens to prefill")  \
-  X(HomeFetch, "home-fetch", "the prompt's home is a source only if it is known to hold more")    \
-  X(PeerFetch, "peer-fetch", "no other server is named as a source of missing cache")             \
-  X(StoreFetch, "store-fetch", "the store is not named as a source of missing cache")             \
-  X(StoreKeep, "store-keep", "nothing is sent to the store")                                      \
-  X(SpreadBound, "spread-bound", "a cache match counts however loaded its server is")             \
-  X(PrefixHome, "prefix-home", "ties are broken at random instead of by the prompt's prefix")     \
-  X(NewestFirst, "newest-first", "newer weights are not preferred where no cache matches")        \
-  X(Avoidance, "avoidance", "a server that failed is used again immediately")                     \
-  X(Urgency, "urgency", "requests carry no urgency for the server")                               \
-  X(KeptConnections, "kept-connections", "each request opens a new connection to its server")     \
-  X(FurtherTries, "further-tries", "each request is tried at one server only")
+#define QUAYRILL_MECHANISMS(X)                                                                     \
+  X(LongestMatch, "longest-match", "servers are chosen by load alone, whatever they have cached")  \
+  X(Locks, "locks", "prompts of running streams may be evicted from the index")                    \
+  X(Events, "events", "no cache events are read from servers and the store")                       \
+  X(SharedEvents, "shared-events", "each daemon reads the cache events of every server itself")    \
+  X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")         \
+  X(ExpectedPrefill, "expected-read",                                                              \
+    "servers are compared by requests, not by tokens to prefill")                                  \
+  X(HomeFetch, "home-fetch", "the prompt's home is a source only if it is known to hold more")     \
+  X(PeerFetch, "peer-fetch", "no other server is named as a source of missing cache")              \
+  X(StoreFetch, "store-fetch", "the store is not named as a source of missing cache")              \
+  X(StoreWrite, "store-keep", "nothing is sent to the store")                                      \
+  X(SpreadBound, "spread-bound", "a cache match counts however loaded its server is")              \
+  X(PrefixHome, "prefix-home", "ties are broken at random instead of by the prompt's prefix")      \
+  X(PreferNewestWeights, "newest-first", "newer weights are not preferred where no cache matches") \
+  X(Avoidance, "avoidance", "a server that failed is used again immediately")                      \
+  X(Urgency, "urgency", "requests carry no urgency for the server")                                \
+  X(ConnectionReuse, "kept-connections", "each request opens a new connection to its server")      \
+  X(Retries, "further-tries", "each request is tried at one server only")
 
 // One enumerator for each row of the table.
 enum class Mechanism {
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -48,7 +48,7 @@
     StartSetting{"fresh_limit_ms", same<&Settings::stalenessLimit>},
     StartSetting{"drain bound", same<&Settings::drainTimeout>},
     StartSetting{"lease bound", same<&Settings::leaseSpan>},
-    StartSetting{"rollout bound", same<&Settings::rolloutDeadline>},
+    StartSetting{"rollout bound", same<&Settings::rolloutTimeLimit>},
     StartSetting{"retry ratio", same<&Settings::retryShare>},
     StartSetting{"retry window", same<&Settings::retryWindow>},
     StartSetting{"retry slack", same<&Settings::retryHeadroom>}};
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -160,7 +160,8 @@
   for (Option& option : options) {
     Candidate& candidate = option.candidate;
     double own = expectedOwn(option, sources, static_cast<double>(promptTokens), shared);
-    if (!candidate.isNewest && isEnabled(Mechanism::NewestFirst)) own *= 1 + kOldWeightsShare;
+    if (!candidate.isNewest && isEnabled(Mechanism::PreferNewestWeights))
+      own *= 1 + kOldWeightsShare;
     candidate.unreadTokens = option.row->load.unreadTokens(now);
     // The less there is to read, the more urgent the request: it passes most of what waits.
     const double waited = isEnabled(Mechanism::Urgency)
@@ -220,7 +221,8 @@
     const bool isUnder = isBounded && !candidate.capped;
     const double shown = !isBounded ? load : isUnder ? 0 : candidate.load;
     // What must be read anew is best read for the weights that stay.
-    const bool isNewest = isBounded && candidate.isNewest && isEnabled(Mechanism::NewestFirst);
+    const bool isNewest =
+        isBounded && candidate.isNewest && isEnabled(Mechanism::PreferNewestWeights);
     return std::make_tuple(isUnder, match, isNewest, -shown, tieOf(candidate.server, tieName));
   };
   const Option& chosen =
@@ -264,7 +266,7 @@
   // to nothing, reading the part again costs much. Shared parts that are to be read are kept.
   if (!isSource && isEnabled(Mechanism::StoreFetch)) placed.fetchFrom = store_;
   const std::size_t kept = storeRow_.tree.peekPrefix(*chosen.path);
-  if (isRead && kept < shared / settings_.blockTokens + 1 && isEnabled(Mechanism::StoreKeep))
+  if (isRead && kept < shared / settings_.blockTokens + 1 && isEnabled(Mechanism::StoreWrite))
     placed.keepAt = store_;
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -78,7 +78,7 @@
   for (const ServerState& row : seen->servers) {
     if (row.name == server.name)
       return !row.leaving &&
-             seen->usableUntil(server, settings_.rolloutDeadline) > BootClock::now();
+             seen->usableUntil(server, settings_.rolloutTimeLimit) > BootClock::now();
   }
   return false;
 }
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -93,7 +93,7 @@
                          job.prefix,       tried,      job.entered.overShare};
     const auto seen = view();
     // What is sent now may wait at the server before it begins.
-    asked.mayUse = [seen, bound = Duration(settings_.rolloutDeadline)](const ServerState& server) {
+    asked.mayUse = [seen, bound = Duration(settings_.rolloutTimeLimit)](const ServerState& server) {
       return seen->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
     };
     const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
@@ -124,7 +124,7 @@
 
     const Instant firstPieceDue =
         std::min(firstPieceDueOf(job.policy, job.entered, attempt, job.due),
-                 view()->usableUntil(placed.chosenServer, settings_.rolloutDeadline));
+                 view()->usableUntil(placed.chosenServer, settings_.rolloutTimeLimit));
     Delivery delivery{job.id,  placed.chosenServer, job.salt, formatPrefix(job.prefix), job.body,
                       job.due, firstPieceDue};
     const std::function<bool()> mayStart = [this, &job, &placed, wasSent] {
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -24,7 +24,7 @@
   PlacementSettings made{settings.blockTokens};
   made.spreadRequests = kSpreadRequests;
   made.spreadFactor = kSpreadFactor;
-  made.byExpectedRead = settings.mechanisms.isEnabled(Mechanism::ExpectedRead);
+  made.byExpectedRead = settings.mechanisms.isEnabled(Mechanism::ExpectedPrefill);
   made.mechanisms = settings.mechanisms;
   return made;
 }
@@ -38,7 +38,7 @@
       placement_(placementSettings(settings_)),
       budgets_(settings_.retryShare, settings_.retryWindow),
       slackShare_(settings_.retryWindow),
-      pool_(io_, settings_.mechanisms.isEnabled(Mechanism::KeptConnections) ? kMostIdle : 0,
+      pool_(io_, settings_.mechanisms.isEnabled(Mechanism::ConnectionReuse) ? kMostIdle : 0,
             kIdleSpan) {}
 
 Relay::~Relay() {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -100,7 +100,7 @@
 
 // By the weights that a request for that server asks for.
 Instant Relay::mayBeginUntil(const ServerState& server) const {
-  const Instant until = view_->usableUntil(server, settings_.rolloutDeadline);
+  const Instant until = view_->usableUntil(server, settings_.rolloutTimeLimit);
   return until == Instant::max() || until == Instant::min() ? until : until - kBeginningSlack;
 }
 
@@ -162,7 +162,7 @@
   std::string lastDetail = "no server is free", trail;
   std::optional<HttpResponse> failure;
   TryEnd lastEnd = TryEnd::NeverSent;
-  const bool triesFurther = settings_.mechanisms.isEnabled(Mechanism::FurtherTries);
+  const bool triesFurther = settings_.mechanisms.isEnabled(Mechanism::Retries);
   const std::size_t most = triesFurther ? std::max<std::size_t>(1, job.policy.tries) : 1;
   while (BootClock::now() < job.deadline && neverSent < 4 && !caller->isGone && !ending_) {
     const auto placed = place(job, tried);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -56,7 +56,7 @@
   // Orders of two successive holders of a leader role are at least this far apart.
   std::chrono::milliseconds leaseSpan{3000};
   // No request starts on older weights later than this after newer ones were configured.
-  std::chrono::milliseconds rolloutDeadline{20000};
+  std::chrono::milliseconds rolloutTimeLimit{20000};
   // The budget for retries of all daemons: in any window at most
   // retryShare * first attempts + retryHeadroom.
   double retryShare = 0.2;
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -153,7 +153,7 @@
                        {ModelName{"till"}, WeightsVersion{"between"}, 1}};
   });
 }
-const std::chrono::microseconds kWeightsBound = Settings{}.rolloutDeadline;
+const std::chrono::microseconds kWeightsBound = Settings{}.rolloutTimeLimit;
 }  // namespace
 
 TEST_CASE("proxy: past a version's own bound nothing begins on it, whatever was named since") {
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 const ModelName kModel{"m"};
-const std::chrono::microseconds kBound = Settings{}.rolloutDeadline;
+const std::chrono::microseconds kBound = Settings{}.rolloutTimeLimit;
 
 // Names `newest`; `superseded` tells how long ago each older version was the newest at least.
 void nameWeights(RelayStage* stage, const std::string& newest,
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -278,7 +278,7 @@
       read("bounds.retrySlack=32.94736842105263\nbounds.retryRatio=0.2\nbounds.rolloutMs=1500.5\n");
   REQUIRE(fractions.ok());
   CHECK(fractions->retryHeadroom == 32);
-  CHECK(fractions->rolloutDeadline == 1500ms);
+  CHECK(fractions->rolloutTimeLimit == 1500ms);
   for (const char* wrong : {"nan", "inf", "-1", "1e300", "many", "5x"}) {
     CAPTURE(wrong);
     const auto refused = read("bounds.retrySlack=" + std::string(wrong) + "\n");
