--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -11,7 +11,7 @@
 // enumerator, name on the command line, behaviour when it is disabled (help text)
 #define QUAYRILL_MECHANISMS(X)                                                                     \
   X(LongestMatch, "longest-match", "servers are chosen by load alone, whatever they have cached")  \
-  X(Locks, "locks", "prompts of running streams may be evicted from the index")                    \
+  X(PathLocks, "locks", "prompts of running streams may be evicted from the index")                \
   X(Events, "events", "no cache events are read from servers and the store")                       \
   X(SharedEvents, "shared-events", "each daemon reads the cache events of every server itself")    \
   X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")         \
@@ -24,7 +24,7 @@
   X(SpreadBound, "spread-bound", "a cache match counts however loaded its server is")              \
   X(PrefixHome, "prefix-home", "ties are broken at random instead of by the prompt's prefix")      \
   X(PreferNewestWeights, "newest-first", "newer weights are not preferred where no cache matches") \
-  X(Avoidance, "avoidance", "a server that failed is used again immediately")                      \
+  X(FailureAvoidance, "avoidance", "a server that failed is used again immediately")               \
   X(Urgency, "urgency", "requests carry no urgency for the server")                                \
   X(ConnectionReuse, "kept-connections", "each request opens a new connection to its server")      \
   X(Retries, "further-tries", "each request is tried at one server only")
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -276,7 +276,7 @@
   const std::size_t before = row.tree.peekPrefix(path);
   const PrefixInsert inserted =
       row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
-  if (isEnabled(Mechanism::Locks)) row.tree.lock(inserted.node);
+  if (isEnabled(Mechanism::PathLocks)) row.tree.lock(inserted.node);
   row.load.onPlaced(unreadTokens, now);
   tickets_[++lastTicket_] = {row.state.name, row.treeLife,         inserted.node,
                              path,           before < path.size(), unreadTokens};
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -166,7 +166,7 @@
   if (row == rows_.end() || lock.treeLife < row->second.firstLife) return;
   row->second.load.onEnded(lock.unreadTokens, now);
   if (row->second.treeLife != lock.treeLife) return;
-  if (isEnabled(Mechanism::Locks)) row->second.tree.unlock(lock.node);
+  if (isEnabled(Mechanism::PathLocks)) row->second.tree.unlock(lock.node);
   if (!ran && lock.inserted) row->second.tree.prune(lock.path);
   keepBudget(row->second);
 }
@@ -192,7 +192,7 @@
 }
 
 void Placement::noteFailure(const ServerName& server, Instant now) {
-  if (!isEnabled(Mechanism::Avoidance)) return;
+  if (!isEnabled(Mechanism::FailureAvoidance)) return;
   const auto row = rows_.find(server);
   if (row == rows_.end()) return;
   const std::uint32_t doubled = std::min(row->second.failures++, 3U);
@@ -200,7 +200,7 @@
 }
 
 void Placement::noteRefusal(const ServerName& server, Instant now) {
-  if (!isEnabled(Mechanism::Avoidance)) return;
+  if (!isEnabled(Mechanism::FailureAvoidance)) return;
   const auto row = rows_.find(server);
   if (row != rows_.end())
     row->second.avoidUntil = std::max(row->second.avoidUntil, now + kRefusalSpan);
--- a/tests/mechanisms_tests.cpp
+++ b/tests/mechanisms_tests.cpp
@@ -14,7 +14,7 @@
   CHECK(none->disabledNames().empty());
   const auto two = parseDisabledMechanisms("locks,peer-fetch");
   REQUIRE(two.ok());
-  CHECK_FALSE(two->isEnabled(Mechanism::Locks));
+  CHECK_FALSE(two->isEnabled(Mechanism::PathLocks));
   CHECK_FALSE(two->isEnabled(Mechanism::PeerFetch));
   CHECK(two->isEnabled(Mechanism::Events));
   CHECK(two->disabledNames() == "locks,peer-fetch");
