--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -161,12 +161,12 @@
 }
 
 void Agent::feedPlane(Instant now) {
-  for (PlaneDigest& digest : core_->takePlaneDigests()) {
+  for (DataPlaneDigest& digest : core_->takePlaneDigests()) {
     if (planeFeed_) planeFeed_(std::move(digest), now);
   }
 }
 
-void Agent::takePlaneReport(PlaneReport report) {
+void Agent::takePlaneReport(DataPlaneReport report) {
   asio::post(io_, [this, report = std::move(report)]() mutable {
     core_->takePlaneReport(std::move(report));
   });
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -42,10 +42,10 @@
   using Feed = std::function<void(Snapshot, Instant)>;
   void setFeed(Feed feed) { feed_ = std::move(feed); }
   // The data plane in this process, told what those of the fleet observe. As setFeed.
-  using PlaneFeed = std::function<void(PlaneDigest, Instant)>;
+  using PlaneFeed = std::function<void(DataPlaneDigest, Instant)>;
   void setPlaneFeed(PlaneFeed feed) { planeFeed_ = std::move(feed); }
   // What the data plane in this process observed. May be called on any thread.
-  void takePlaneReport(PlaneReport report);
+  void takePlaneReport(DataPlaneReport report);
   std::size_t callsOpen() const { return callsOpen_; }
 
   // For calls of operators, on the control thread. A register that is not heard can't be changed.
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -138,9 +138,9 @@
     sendListAnswers(std::move(sends), now, effects);
   } else if (const auto* note = std::get_if<ServerNote>(&envelope.body)) {
     notes_.take(*note, now);
-  } else if (const auto* report = std::get_if<PlaneReport>(&envelope.body)) {
+  } else if (const auto* report = std::get_if<DataPlaneReport>(&envelope.body)) {
     exchange_.onReport(envelope.from, *report, now);
-  } else if (const auto* digest = std::get_if<PlaneDigest>(&envelope.body)) {
+  } else if (const auto* digest = std::get_if<DataPlaneDigest>(&envelope.body)) {
     exchange_.onDigest(*digest, now);
   } else if (const auto* replicaAnswer = std::get_if<ReplicaResponse>(&envelope.body)) {
     sendAll(proposer_.onAnswer(*replicaAnswer, now, &done), effects);
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -120,9 +120,9 @@
   void forgetWeightsBefore(Instant before) { weights_.forgetBefore(before); }
   const WeightsHistories& weights() const { return weights_; }
   // What the data plane of this daemon observed since its last report.
-  void takePlaneReport(PlaneReport report) { exchange_.takeOwn(std::move(report)); }
+  void takePlaneReport(DataPlaneReport report) { exchange_.takeOwn(std::move(report)); }
   // What the fleet's data planes observed, for the data plane of this daemon.
-  std::vector<PlaneDigest> takePlaneDigests() { return exchange_.takeDigests(); }
+  std::vector<DataPlaneDigest> takePlaneDigests() { return exchange_.takeDigests(); }
   // Those whose cache events this daemon reads for the fleet. None until it has had time to hear of
   // the others: it would take every source for its own, and after a restart of all daemons each
   // would read everything.
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -56,18 +56,18 @@
   return rendezvousOwner("aggregate/" + zone, idle.empty() ? all : idle);
 }
 
-void PlaneExchange::takeOwn(PlaneReport report) {
+void PlaneExchange::takeOwn(DataPlaneReport report) {
   hasOwn_ = true;
   own_.outstanding = std::move(report.outstanding);
   append(&own_.batches, std::move(report.batches));
 }
 
-void PlaneExchange::onReport(const Address& from, const PlaneReport& report, Instant now) {
+void PlaneExchange::onReport(const Address& from, const DataPlaneReport& report, Instant now) {
   reports_[from] = {report.outstanding, now};
   append(&nearBatches_, report.batches);
 }
 
-void PlaneExchange::onDigest(const PlaneDigest& digest, Instant now) {
+void PlaneExchange::onDigest(const DataPlaneDigest& digest, Instant now) {
   if (digest.zone.empty()) {
     digests_.push_back(digest);
     if (digests_.size() > kMostDigests) digests_.erase(digests_.begin());
@@ -77,10 +77,10 @@
   append(&farBatches_, digest.batches);
 }
 
-std::vector<PlaneDigest> PlaneExchange::takeDigests() { return std::exchange(digests_, {}); }
+std::vector<DataPlaneDigest> PlaneExchange::takeDigests() { return std::exchange(digests_, {}); }
 
-PlaneDigest PlaneExchange::ownZone(Instant now) const {
-  PlaneDigest digest;
+DataPlaneDigest PlaneExchange::ownZone(Instant now) const {
+  DataPlaneDigest digest;
   digest.zone = zone_;
   Sums sums;
   Duration age{};
@@ -95,7 +95,7 @@
   return digest;
 }
 
-PlaneDigest PlaneExchange::fleet(PlaneDigest digest, Instant now) const {
+DataPlaneDigest PlaneExchange::fleet(DataPlaneDigest digest, Instant now) const {
   digest.zone.clear();
   Sums sums;
   add(&sums, digest.outstanding);
@@ -116,11 +116,11 @@
   std::erase_if(reports_, [&](const auto& row) { return now - row.second.at > kReportSpan; });
   std::erase_if(zones_, [&](const auto& row) { return now - row.second.at > kZoneSpan; });
   if (reports_.empty() && zones_.empty()) return;
-  PlaneDigest mine = ownZone(now);
+  DataPlaneDigest mine = ownZone(now);
   if (!reports_.empty()) {
     for (const auto& [zone, aggregator] : others) sends->push_back({self_, aggregator, mine});
   }
-  const PlaneDigest told = fleet(std::move(mine), now);
+  const DataPlaneDigest told = fleet(std::move(mine), now);
   nearBatches_.clear();
   farBatches_.clear();
   for (const GossipItem& item : live) {
@@ -137,7 +137,7 @@
   nextTick_ = now + kEvery;
   const Address aggregator = aggregatorOf(zone_, live);
   if (std::exchange(hasOwn_, false)) {
-    const PlaneReport report = std::exchange(own_, {});
+    const DataPlaneReport report = std::exchange(own_, {});
     if (aggregator == self_)
       onReport(self_, report, now);
     else if (aggregator != Address{})
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -22,14 +22,14 @@
   PlaneExchange(Address self, std::string zone) : self_(std::move(self)), zone_(std::move(zone)) {}
 
   // What this daemon's data plane observed since it last reported.
-  void takeOwn(PlaneReport report);
-  void onReport(const Address& from, const PlaneReport& report, Instant now);
-  void onDigest(const PlaneDigest& digest, Instant now);
+  void takeOwn(DataPlaneReport report);
+  void onReport(const Address& from, const DataPlaneReport& report, Instant now);
+  void onDigest(const DataPlaneDigest& digest, Instant now);
   bool isDue(Instant now) const { return now >= nextTick_; }
   // `live`: all live daemons, this one too.
   void onTick(const std::vector<GossipItem>& live, Instant now, std::vector<Envelope>* sends);
   // What came for this daemon's own data plane, oldest first; given out once.
-  std::vector<PlaneDigest> takeDigests();
+  std::vector<DataPlaneDigest> takeDigests();
 
  private:
   struct Report {
@@ -42,20 +42,20 @@
   };
   void aggregate(const std::vector<GossipItem>& live, const std::map<std::string, Address>& others,
                  Instant now, std::vector<Envelope>* sends);
-  PlaneDigest ownZone(Instant now) const;
+  DataPlaneDigest ownZone(Instant now) const;
   // The own zone's digest with those of the others added.
-  PlaneDigest fleet(PlaneDigest digest, Instant now) const;
+  DataPlaneDigest fleet(DataPlaneDigest digest, Instant now) const;
 
   Address self_;
   std::string zone_;
   Instant nextTick_{};
-  PlaneReport own_;
+  DataPlaneReport own_;
   bool hasOwn_ = false;                // its data plane reported since the last round
   std::map<Address, Report> reports_;  // of this zone's daemons
   std::map<std::string, Zone> zones_;  // of the others
   // Not yet told on: read in this zone, read in others. Bounded; the oldest go first.
   std::vector<PartEventBatch> nearBatches_, farBatches_;
-  std::vector<PlaneDigest> digests_;
+  std::vector<DataPlaneDigest> digests_;
 };
 
 // The daemon that aggregates for a zone: by rendezvous over those of its live daemons that have no
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -75,7 +75,7 @@
     if (settings.role == "both" && dialect.relayNames) {
       relay = std::make_unique<Relay>(settings, dialect);
       relay->setReporter(
-          [&agent](PlaneReport report) { agent->takePlaneReport(std::move(report)); });
+          [&agent](DataPlaneReport report) { agent->takePlaneReport(std::move(report)); });
       if (auto status = relay->start(); !status.ok()) {
         std::cerr << program << ": " << status.message() << "\n";
         return 1;
@@ -83,7 +83,7 @@
       agent->setFeed([&relay](Snapshot told, Instant askedAt) {
         relay->takeSnapshot(std::move(told), askedAt);
       });
-      agent->setPlaneFeed([&relay](PlaneDigest digest, Instant toldAt) {
+      agent->setPlaneFeed([&relay](DataPlaneDigest digest, Instant toldAt) {
         relay->takeDigest(std::move(digest), toldAt);
       });
     }
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -318,14 +318,14 @@
   QUAYRILL_FIELDS(source, isReachable, sourceIncarnation, first, next, hasGap, groups)
 };
 // What the data plane of one daemon observed. Sent to the aggregator of its zone.
-struct PlaneReport {
+struct DataPlaneReport {
   std::vector<OutstandingRow> outstanding;  // all of its own; servers without any are omitted
   std::vector<PartEventBatch> batches;      // read since its previous report
   QUAYRILL_FIELDS(outstanding, batches)
 };
 // What the data planes of a zone or of the whole fleet observed. An aggregator sends the digest of
 // its zone to the aggregators of the other zones, and that of the fleet to the daemons of its zone.
-struct PlaneDigest {
+struct DataPlaneDigest {
   std::string zone;            // "": the whole fleet
   std::int64_t ageMicros = 0;  // average age of the reports in `outstanding`
   std::vector<OutstandingRow> outstanding;
@@ -353,8 +353,8 @@
   X(ServerListRequest, "ListAsk") \
   X(ServerListResponse, "ListAnswer") \
   X(ServerNote, "ServerNote") \
-  X(PlaneReport, "PlaneReport") \
-  X(PlaneDigest, "PlaneDigest")
+  X(DataPlaneReport, "PlaneReport") \
+  X(DataPlaneDigest, "PlaneDigest")
 // clang-format on
 
 // Any message; std::monostate stands for none.
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kReportEvery = 100ms;
 }  // namespace
 
-void Relay::takeDigest(PlaneDigest digest, Instant toldAt) {
+void Relay::takeDigest(DataPlaneDigest digest, Instant toldAt) {
   asio::post(io_, [this, digest = std::move(digest), toldAt] {
     ++counters_.fleetDigests;
     if (settings_.mechanisms.isEnabled(Mechanism::SharedLoad)) {
@@ -52,7 +52,7 @@
   for (;;) {
     co_await pauseFor(kReportEvery);
     if (!reporter_) continue;
-    PlaneReport report;
+    DataPlaneReport report;
     for (const ServerOutstanding& row : placement_.ownOutstanding())
       report.outstanding.push_back(
           {row.server, row.outstanding.requests, row.outstanding.unreadTokens});
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -109,10 +109,10 @@
   // Called by the agent's thread, each time that something may have changed.
   void takeSnapshot(Snapshot told, Instant askedAt);
   // What the fleet's data planes observe. Called by the agent's thread.
-  void takeDigest(PlaneDigest digest, Instant toldAt);
+  void takeDigest(DataPlaneDigest digest, Instant toldAt);
   // Who tells the fleet what this data plane observes. Set it before start; called on the traffic
   // thread.
-  using Reporter = std::function<void(PlaneReport)>;
+  using Reporter = std::function<void(DataPlaneReport)>;
   void setReporter(Reporter reporter) { reporter_ = std::move(reporter); }
   // Not ready from now on. Accepts, ends what it accepted, and has left before the grace is over.
   void beginLeaving();
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -32,7 +32,7 @@
   std::vector<GossipItem> live;
   std::map<Address, PlaneExchange> exchanges;
   std::set<Address> dead;  // they neither send nor get anything
-  std::map<Address, std::vector<PlaneDigest>> told;
+  std::map<Address, std::vector<DataPlaneDigest>> told;
   Instant now{100s};
   std::size_t messages = 0;
 
@@ -55,14 +55,14 @@
     for (const Envelope& envelope : sends) {
       if (dead.contains(envelope.to) || dead.contains(envelope.from)) continue;
       ++messages;
-      if (const auto* report = std::get_if<PlaneReport>(&envelope.body))
+      if (const auto* report = std::get_if<DataPlaneReport>(&envelope.body))
         exchanges.at(envelope.to).onReport(envelope.from, *report, now);
-      if (const auto* digest = std::get_if<PlaneDigest>(&envelope.body))
+      if (const auto* digest = std::get_if<DataPlaneDigest>(&envelope.body))
         exchanges.at(envelope.to).onDigest(*digest, now);
     }
     now += 400ms;
     for (auto& [address, exchange] : exchanges) {
-      for (PlaneDigest& digest : exchange.takeDigests()) told[address].push_back(digest);
+      for (DataPlaneDigest& digest : exchange.takeDigests()) told[address].push_back(digest);
     }
   }
   // Each live edge has `requests` at one server, and reports it in each round.
@@ -83,7 +83,7 @@
   // How often a batch of that source was told to the daemon.
   std::size_t batchesTold(const std::string& address, const std::string& source) {
     std::size_t count = 0;
-    for (const PlaneDigest& digest : told[Address{address}]) {
+    for (const DataPlaneDigest& digest : told[Address{address}]) {
       for (const PartEventBatch& batch : digest.batches) count += batch.source.value == source;
     }
     return count;
@@ -106,7 +106,7 @@
   fleet.reportedRounds(6, 2);
   for (const char* edge : {"n1", "n2", "n3", "s1", "s2", "s3"}) {
     CHECK(fleet.lastTold(edge) == 12);
-    const PlaneDigest& last = fleet.told[Address{edge}].back();
+    const DataPlaneDigest& last = fleet.told[Address{edge}].back();
     CHECK(last.outstanding.front().unreadTokens == 600);
     CHECK(last.ageMicros >= 0);
     CHECK(last.ageMicros <= 1200000);
