--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -64,7 +64,7 @@
     const auto patched = patchConfiguration(current.value.body, body);
     if (!patched.ok())
       co_return errorResponse(
-          {ErrorKind::BadConfiguration, std::string(patched.status().message())});
+          {ErrorKind::InvalidConfiguration, std::string(patched.status().message())});
     body = *patched;
   }
   if (body.size() > kConfigurationLimit)
@@ -72,7 +72,8 @@
         {ErrorKind::BodyTooLarge, "the configuration would have " + std::to_string(body.size()) +
                                       " bytes of at most " + std::to_string(kConfigurationLimit)});
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
-    co_return errorResponse({ErrorKind::BadConfiguration, std::string(parsed.status().message())});
+    co_return errorResponse(
+        {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
   ChangeAsked change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
   const ChangeDone done = co_await ask(change);
   switch (done.result) {
@@ -115,7 +116,7 @@
   if (!body.empty()) {
     if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
       co_return errorResponse(
-          {ErrorKind::BadConfiguration, std::string(parsed.status().message())});
+          {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
   }
   AgentEffects effects;
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -25,7 +25,7 @@
   X(HeadersTooLarge, "HeaderOversize", 431, kOutOfRange, "send smaller headers")            \
   X(RequestTimeout, "SlowCaller", 408, kDeadlineExceeded,                                   \
     "send the whole request sooner; it never ran")                                          \
-  X(BadConfiguration, "BadConfiguration", 422, kInvalidArgument,                            \
+  X(InvalidConfiguration, "BadConfiguration", 422, kInvalidArgument,                        \
     "correct the named field; nothing was changed")                                         \
   X(Overloaded, "TurnedAwayBusy", 429, kResourceExhausted, "come back after Retry-After")   \
   X(Rejected, "TurnedAway", 503, kUnavailable, "come back after Retry-After; it never ran") \
@@ -39,7 +39,7 @@
     "come back after Retry-After; it may be repeated")                                      \
   X(ChangeOutcomeUnknown, "ChangeUnknown", 504, kUnknown,                                   \
     "read the spec: its version tells whether the change was made")                         \
-  X(BadSettings, "BadSettings", 2, kInvalidArgument, "correct the setting")                 \
+  X(InvalidSettings, "BadSettings", 2, kInvalidArgument, "correct the setting")             \
   X(DiskError, "DiskError", 500, kDataLoss,                                                 \
     "make room on the disk or mend it; its folder is opened anew each second")
 
