--- a/src/base/error.h
+++ b/src/base/error.h
@@ -56,7 +56,7 @@
   std::string detail;
 };
 
-// The HTTP status that an answer with this error has. BadSettings has the exit code of the process.
+// The HTTP status that an answer with this error has; for InvalidSettings, the exit code.
 int httpStatus(ErrorKind kind);
 // The name of the kind as it appears in answers.
 const char* errorName(ErrorKind kind);
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -15,8 +15,7 @@
   X(Events, "events", "no cache events are read from servers and the store")                       \
   X(SharedEvents, "shared-events", "each daemon reads the cache events of every server itself")    \
   X(SharedLoad, "shared-load", "a daemon counts only its own requests as a server's load")         \
-  X(ExpectedPrefill, "expected-read",                                                              \
-    "servers are compared by requests, not by tokens to prefill")                                  \
+  X(ExpectedPrefill, "expected-read", "servers are compared by requests, not tokens to prefill")   \
   X(HomeFetch, "home-fetch", "the prompt's home is a source only if it is known to hold more")     \
   X(PeerFetch, "peer-fetch", "no other server is named as a source of missing cache")              \
   X(StoreFetch, "store-fetch", "the store is not named as a source of missing cache")              \
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -20,25 +20,25 @@
 };
 
 // name, representation
-#define QUAYRILL_STRONG_TYPES(X)                                      \
-  X(Address, std::string)    /* "ip:port" with a numeric IP */        \
-  X(ServerName, std::string) /* ip:port of a model server */          \
-  X(ModelName, std::string)                                           \
-  X(WeightsVersion, std::string)                                      \
-  X(CacheSalt, std::string) /* "": the shared salt */                 \
-  X(TenantName, std::string)                                          \
-  X(PolicyName, std::string)                                          \
-  X(ServiceName, std::string)                                         \
-  X(RequestId, std::string)                                           \
-  X(RegisterKey, std::string)                                         \
-  X(ServerIdentity, std::string) /* changes when a server restarts */ \
-  X(StoreId, std::uint64_t)      /* 0: no store */                    \
-  X(ProposerId, std::uint64_t)   /* random, drawn at each start */    \
-  X(Epoch, std::uint64_t)                                             \
-  X(ConfigurationVersion, std::uint64_t)                              \
-  X(FencingToken, std::uint64_t)                                      \
-  X(Incarnation, std::uint64_t)                                       \
-  X(WriteId, std::uint64_t)                                           \
+#define QUAYRILL_STRONG_TYPES(X)                                         \
+  X(Address, std::string)    /* "ip:port" with a numeric IP */           \
+  X(ServerName, std::string) /* ip:port of a model server */             \
+  X(ModelName, std::string)                                              \
+  X(WeightsVersion, std::string)                                         \
+  X(CacheSalt, std::string) /* "": the shared salt */                    \
+  X(TenantName, std::string)                                             \
+  X(PolicyName, std::string)                                             \
+  X(ServiceName, std::string)                                            \
+  X(RequestId, std::string)                                              \
+  X(RegisterKey, std::string)                                            \
+  X(ServerIdentity, std::string) /* changes when a server restarts */    \
+  X(StoreId, std::uint64_t)      /* a replica's data on disk; 0: none */ \
+  X(ProposerId, std::uint64_t)   /* random, drawn at each start */       \
+  X(Epoch, std::uint64_t)                                                \
+  X(ConfigurationVersion, std::uint64_t)                                 \
+  X(FencingToken, std::uint64_t)                                         \
+  X(Incarnation, std::uint64_t)                                          \
+  X(WriteId, std::uint64_t)                                              \
   X(OperationId, std::uint64_t)
 
 #define QUAYRILL_DECLARE(name, rep) using name = Strong<struct name##Tag, rep>;
