--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -1,5 +1,5 @@
 // Parses the configuration document of the built-in dialect: its schema, and the conversion to a
-// Configuration.
+// Configuration. In the document, policies are called "contracts", and paths below /v1/ "ways".
 #include <nlohmann/json.hpp>
 #include <set>
 
@@ -79,11 +79,12 @@
   }
 })json";
 
-// The error that `path` is invalid.
+// The error that the field `path` is invalid.
 absl::Status fieldError(const std::string& path, const std::string& remedy) {
   return absl::InvalidArgumentError(path + ": " + remedy);
 }
 
+// A field in milliseconds; `fallback` if it is absent.
 std::chrono::milliseconds millisOf(const Json& row, const char* field,
                                    std::chrono::milliseconds fallback) {
   return std::chrono::milliseconds(row.value(field, fallback.count()));
@@ -120,12 +121,12 @@
     policy.priority = row.value("priority", policy.priority);
     policy.firstEventTarget = millisOf(row, "target_ms", policy.firstEventTarget);
     policy.eventGapTarget = millisOf(row, "gap_target_ms", policy.eventGapTarget);
-    const std::string at = "/contracts/" + name;
+    const std::string fieldPath = "/contracts/" + name;
     if (!policy.model.value.empty() && !configuration->weights.contains(policy.model))
-      return fieldError(at + "/model",
+      return fieldError(fieldPath + "/model",
                         "'" + policy.model.value + "' is not under /models: add it there first");
     if (policy.isResumable && !(policy.isStream && policy.repeatable))
-      return fieldError(at + "/resumable",
+      return fieldError(fieldPath + "/resumable",
                         "only a stream that is repeatable resumes: set stream and repeatable too");
     configuration->policies[PolicyName{name}] = policy;
   }
@@ -166,25 +167,27 @@
   }
 }
 
-// The message for a violation, with the path of the field.
-absl::Status describe(const RouteError& error, const Configuration& configuration) {
+// The error for a violation among the routes, with the path of the field.
+absl::Status routeError(const RouteError& error, const Configuration& configuration) {
   const Route& route = configuration.routes[error.routeIndex];
-  const std::string at = "/routes/" + route.name;
+  const std::string fieldPath = "/routes/" + route.name;
   switch (error.kind) {
     case RouteError::Kind::UnknownService:
-      return fieldError(at + "/split/" + std::to_string(error.shareIndex) + "/service",
+      return fieldError(fieldPath + "/split/" + std::to_string(error.shareIndex) + "/service",
                         "no service '" + route.split[error.shareIndex].service.value +
                             "': add it under /services");
     case RouteError::Kind::UnknownPolicy:
-      return fieldError(at + "/contract",
+      return fieldError(fieldPath + "/contract",
                         "no policy '" + route.policy.value + "': add it under /contracts");
     case RouteError::Kind::NoWeight:
-      return fieldError(at + "/split", "the weights add up to 0: give one service more than 0");
+      return fieldError(fieldPath + "/split",
+                        "the weights add up to 0: give one service more than 0");
     case RouteError::Kind::SameHostAndPrefix:
       break;
   }
-  return fieldError(at + "/prefix", "route '" + configuration.routes[error.otherIndex].name +
-                                        "' has this host and prefix: change or remove one of them");
+  return fieldError(fieldPath + "/prefix",
+                    "route '" + configuration.routes[error.otherIndex].name +
+                        "' has this host and prefix: change or remove one of them");
 }
 
 absl::Status readRoutes(const Json& rows, Configuration* configuration) {
@@ -200,12 +203,12 @@
                              share.value("weight", std::uint32_t{1})});
     configuration->routes.push_back(std::move(route));
   }
-  if (const auto error = firstRouteError(*configuration)) return describe(*error, *configuration);
+  if (const auto error = firstRouteError(*configuration)) return routeError(*error, *configuration);
   return absl::OkStatus();
 }
 
 // Requests below /v1/ are matched by their path alone and name no model, so their policy must.
-absl::Status readWays(const Json& rows, Configuration* configuration) {
+absl::Status readPathPolicies(const Json& rows, Configuration* configuration) {
   for (const auto& [path, policy] : rows.items()) {
     const PolicyName name{policy.get<std::string>()};
     const auto found = configuration->policies.find(name);
@@ -246,14 +249,14 @@
   if (auto status = readServices(rowsOf("services"), &configuration); !status.ok()) return status;
   readStores(rowsOf("stores"), &configuration);
   if (auto status = readRoutes(rowsOf("routes"), &configuration); !status.ok()) return status;
-  if (auto status = readWays(json["ways"], &configuration); !status.ok()) return status;
+  if (auto status = readPathPolicies(json["ways"], &configuration); !status.ok()) return status;
   if (auto status = checkModels(configuration); !status.ok()) return status;
   const Json limits = rowsOf("caller_limits");
-  CallerLimits& bounds = configuration.callerLimits;
-  bounds.headerBytes = limits.value("header_bytes", bounds.headerBytes);
-  bounds.bodyBytes = limits.value("body_bytes", bounds.bodyBytes);
-  bounds.headerTimeout = millisOf(limits, "header_due_ms", bounds.headerTimeout);
-  bounds.idleTimeout = millisOf(limits, "idle_due_ms", bounds.idleTimeout);
+  CallerLimits& callerLimits = configuration.callerLimits;
+  callerLimits.headerBytes = limits.value("header_bytes", callerLimits.headerBytes);
+  callerLimits.bodyBytes = limits.value("body_bytes", callerLimits.bodyBytes);
+  callerLimits.headerTimeout = millisOf(limits, "header_due_ms", callerLimits.headerTimeout);
+  callerLimits.idleTimeout = millisOf(limits, "idle_due_ms", callerLimits.idleTimeout);
   sortRoutes(&configuration);
   return configuration;
 }
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -93,7 +93,7 @@
   std::string zone;
   StoreId store;  // 0: holds no replica and wants none
   ConfigurationVersion configurationInForce;
-  std::string proxyAddress;
+  std::string proxyAddress;  // of the daemon's proxy; "": it has none
   bool leaving = false;
   std::uint64_t fleet = 0;  // the fleet of its register replica; 0: none yet
   QUAYRILL_FIELDS(source, version, nonce, zone, store, configurationInForce, proxyAddress, leaving,
@@ -136,7 +136,8 @@
   QUAYRILL_FIELDS(items)
 };
 
-// The first round of Paxos. `store` is the replica that is addressed.
+// The first round of Paxos. `store` is the addressed replica, `replicas` the replica set that the
+// proposer knows.
 struct Prepare {
   OperationId operation;
   RegisterKey key;
@@ -145,7 +146,7 @@
   ReplicaSet replicas;
   QUAYRILL_FIELDS(operation, key, ballot, store, replicas)
 };
-// The second round of Paxos.
+// The second round of Paxos; proposes `value`.
 struct Accept {
   OperationId operation;
   RegisterKey key;
@@ -165,7 +166,7 @@
   bool accepting = false;  // answers Accept, not Prepare
   bool granted = false;    // promised or accepted
   Ballot promised;
-  Ballot acceptedAt;
+  Ballot acceptedAt;  // of `value`, which the replica has accepted
   RegisterValue value;
   ReplicaSet replicas;
   QUAYRILL_FIELDS(operation, key, ballot, store, accepting, granted, promised, acceptedAt, value,
