--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -31,7 +31,7 @@
 
 TEST_CASE("weights history: what is not known counts as superseded any time ago") {
   WeightsHistory restarted;
-  restarted.name(kThree, std::nullopt);
+  restarted.setNewest(kThree, std::nullopt);
   CHECK(restarted.usableUntil(kTwo, kBound) == Instant::min());
   CHECK(restarted.usableUntil(kThree, kBound) == Instant::max());
   // While an older version was the newest, no later one was superseded.
