--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -36,11 +36,11 @@
   // The time within which a lost machine or its successor has recovered, so that the next loss may
   // follow. Repairs of the register must be finished by then. 0: no such bound is promised.
   std::chrono::milliseconds catchUp{0};
-  std::size_t blockTokens = 16;  // tokens in a block of the prefix index
+  std::size_t blockTokens = 16;  // tokens of one cache block
   std::size_t trafficThreads = 2;
   // The proxy rejects requests when the configuration has not been confirmed for this long.
   std::chrono::milliseconds stalenessLimit{2000};
-  std::chrono::milliseconds shutdownGrace{10000};  // from SIGTERM until open streams are cut
+  std::chrono::milliseconds shutdownGrace{10000};  // for open streams to finish after SIGTERM
   Address readinessAddress;  // where the platform checks readiness, if at an address of its own
   std::string nodeName;      // this machine's name in logs and orders; "": the peer address is used
   bool mayFound = true;      // false: a daemon with an empty disk only joins a fleet
