--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -116,7 +116,7 @@
       });
     });
   }
-  for (const ChangeDone& done : effects.done) {
+  for (const ChangeOutcome& done : effects.done) {
     const auto waiter = waiters_.find(done.operation);
     if (waiter == waiters_.end()) continue;
     const Waiter wake = std::move(waiter->second);
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -53,7 +53,7 @@
   // Reads, updates and proposes until it is known what became of it, or its time is over.
   awaitable<UpdateDone> updateConfiguration(Update change);
   // A read of the configuration through the register itself, which also settles it.
-  awaitable<ChangeDone> readSettled(Span due);
+  awaitable<ChangeOutcome> readSettled(Span due);
 
  private:
   struct Polled {
@@ -62,7 +62,7 @@
     Instant healthyAt{};  // start of the last poll that was answered
     std::uint64_t life = 0;
   };
-  using Waiter = std::function<void(const ChangeDone&)>;
+  using Waiter = std::function<void(const ChangeOutcome&)>;
 
   void apply(AgentEffects effects);
   void takeDisk(Disk::Rows rows);
@@ -86,7 +86,7 @@
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
   awaitable<HttpResponse> recover(HttpRequest& request);
   awaitable<HttpResponse> changeConfiguration(HttpRequest& request, bool isPatch);
-  awaitable<ChangeDone> ask(ChangeAsked change);
+  awaitable<ChangeOutcome> ask(ChangeRequest change);
   // Enough register replicas that a change survives the loss of one.
   bool hasReplicasToSpare() const;
   ServerState stateOf(const Polled& row, Instant now) const;
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -122,7 +122,7 @@
 }
 
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   if (const auto* ask = std::get_if<NewsAsk>(&envelope.body)) {
     effects->sends.push_back({settings_.self, envelope.from, news_.answer(*ask)});
   } else if (const auto* answer = std::get_if<NewsAnswer>(&envelope.body)) {
@@ -163,7 +163,7 @@
   finish(done, now, effects);
 }
 
-void AgentCore::begin(ChangeAsked change, Purpose purpose, Instant now, AgentEffects* effects) {
+void AgentCore::begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects) {
   if (change.operation.value == 0) change.operation = OperationId{++operationCounter_};
   if (change.writeId.value == 0) change.writeId = WriteId{random_() | 1};
   purposes_[change.operation] = purpose;
@@ -174,14 +174,14 @@
   sendAll(proposer_.begin(change, freshness_.replicas(), now), effects);
 }
 
-OperationId AgentCore::askChange(ChangeAsked change, Instant now, AgentEffects* effects) {
+OperationId AgentCore::askChange(ChangeRequest change, Instant now, AgentEffects* effects) {
   change.operation = OperationId{++operationCounter_};
   begin(change, Purpose::Outside, now, effects);
   return change.operation;
 }
 
-void AgentCore::finish(const std::vector<ChangeDone>& done, Instant now, AgentEffects* effects) {
-  for (const ChangeDone& ended : done) {
+void AgentCore::finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects) {
+  for (const ChangeOutcome& ended : done) {
     adopt(ended.replicas, now, effects);
     const auto purpose = purposes_.find(ended.operation);
     if (purpose == purposes_.end()) continue;
@@ -373,7 +373,7 @@
   }
   tickReplicas(now, effects);
   tickSweep(now, effects);
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   sendAll(proposer_.onTick(freshness_.replicas(), now, &done), effects);
   finish(done, now, effects);
 }
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -35,7 +35,7 @@
   Span leaseSpan{};  // two holders of one leader role never act within this of each other
   std::chrono::milliseconds listEvery{400};
   double listCallsPerS = 50;  // for the platform's list, of all daemons together
-  LossesToBear losses{};      // that replicasWanted bear
+  LossTolerance losses{};     // that replicasWanted bear
   Topology topology{};
   // The next loss may come so long after a lost machine, or its successor, started; 0: not
   // promised.
@@ -51,9 +51,9 @@
 struct AgentEffects {
   std::vector<Envelope> sends;
   std::vector<ReplicaWork> replicaWork;
-  std::vector<ChangeDone> done;  // of the operations asked from outside
-  bool readList = false;         // the platform's list is to be read, and takeList or
-                                 // onListFailed called once
+  std::vector<ChangeOutcome> done;  // of the operations asked from outside
+  bool readList = false;            // the platform's list is to be read, and takeList or
+                                    // onListFailed called once
 };
 
 class AgentCore {
@@ -64,7 +64,7 @@
 
   void onMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onTick(Instant now, AgentEffects* effects);
-  OperationId askChange(ChangeAsked change, Instant now, AgentEffects* effects);
+  OperationId askChange(ChangeRequest change, Instant now, AgentEffects* effects);
   void onDiskError();
   // The data folder was opened and read anew after a error, or late: the replica votes again by
   // what is really there. False where the rows can't be understood.
@@ -181,8 +181,8 @@
   bool spreadsBetter(const ReplicaMember& joining, Instant now) const;
   std::optional<ReplicaMember> candidate(Instant now) const;
   void tickSweep(Instant now, AgentEffects* effects);
-  void begin(ChangeAsked change, Purpose purpose, Instant now, AgentEffects* effects);
-  void finish(const std::vector<ChangeDone>& done, Instant now, AgentEffects* effects);
+  void begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects);
+  void finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects);
   void adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects);
   // Writes the replica set in use down where this machine holds a replica and has an older one.
   void keepReplicaSet(AgentEffects* effects);
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -72,7 +72,7 @@
   });
   const bool unconfirmed = !confirmedAt_ || now - *confirmedAt_ > kUnconfirmedSpan;
   const bool all = askAll || unconfirmed || !replicas_.settled || sequence_ % kAskAllEvery == 0;
-  if (!all) order.resize(meetsEveryMajority(replicas_));
+  if (!all) order.resize(readQuorumOf(replicas_));
   Sends sends;
   for (const ReplicaMember& member : order) {
     round.asked.insert(member.store);
@@ -192,8 +192,7 @@
   }
   // Until the epoch is settled, a value may still stand on a majority of the older set alone; a
   // majority of this one meets those too.
-  const std::size_t enough =
-      replicas_.settled ? meetsEveryMajority(replicas_) : majorityOf(replicas_);
+  const std::size_t enough = replicas_.settled ? readQuorumOf(replicas_) : majorityOf(replicas_);
   bool current = true;
   const Epoch epochBefore = replicas_.epoch;
   for (const RegisterKey& key : {kReplicaSetKey, kConfigurationKey}) {
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -29,8 +29,8 @@
           Fence{json.value("fence", std::uint64_t{0})}, json.value("released", true)};
 }
 
-ChangeAsked Leases::change(const RegisterKey& role, Row& row, Instant now, bool isRead,
-                           const LeaseBody& body) {
+ChangeRequest Leases::change(const RegisterKey& role, Row& row, Instant now, bool isRead,
+                             const LeaseBody& body) {
   row.busy = true;
   row.askedAt = now;
   row.askedFence = body.fence;
@@ -38,7 +38,7 @@
   return {{}, role, isRead, row.version, encodeLease(body), {}, now + 1500ms};
 }
 
-std::optional<ChangeAsked> Leases::pursue(const RegisterKey& role, Instant now, Fence floor) {
+std::optional<ChangeRequest> Leases::pursue(const RegisterKey& role, Instant now, Fence floor) {
   Row& row = rows_[role];
   if (row.busy || now < row.retryAt) return std::nullopt;
   const bool mine = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
@@ -63,7 +63,7 @@
   return change(role, row, now, false, {self_, nonce_, next, false});
 }
 
-std::optional<ChangeAsked> Leases::release(const RegisterKey& role, Instant now) {
+std::optional<ChangeRequest> Leases::release(const RegisterKey& role, Instant now) {
   Row& row = rows_[role];
   if (row.busy || row.body.released || row.body.holder != self_ || row.body.nonce != nonce_)
     return std::nullopt;
@@ -71,7 +71,7 @@
   return change(role, row, now, false, {self_, nonce_, row.body.fence, true});
 }
 
-void Leases::onDone(const ChangeDone& done, Instant now) {
+void Leases::onDone(const ChangeOutcome& done, Instant now) {
   Row& row = rows_[done.key];
   row.busy = false;
   if (done.result == ChangeResult::NotTried || done.result == ChangeResult::Unknown) {
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -28,9 +28,9 @@
   // The register change that brings this daemon nearer to holding the leader role, if one is due
   // now. A fence newly taken is at least `floor`, so that it rises even where the register was
   // founded again and the holds in it are lost.
-  std::optional<ChangeAsked> pursue(const RegisterKey& role, Instant now, Fence floor = {});
-  std::optional<ChangeAsked> release(const RegisterKey& role, Instant now);
-  void onDone(const ChangeDone& done, Instant now);
+  std::optional<ChangeRequest> pursue(const RegisterKey& role, Instant now, Fence floor = {});
+  std::optional<ChangeRequest> release(const RegisterKey& role, Instant now);
+  void onDone(const ChangeOutcome& done, Instant now);
   // The fence, while the lease is sure to last for `needed` more.
   std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const;
 
@@ -50,8 +50,8 @@
     Fence askedFence;
     Instant retryAt;
   };
-  ChangeAsked change(const RegisterKey& role, Row& row, Instant now, bool isRead,
-                     const LeaseBody& body);
+  ChangeRequest change(const RegisterKey& role, Row& row, Instant now, bool isRead,
+                       const LeaseBody& body);
   Address self_;
   std::uint64_t nonce_;
   Span leaseSpan_;
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -63,8 +63,9 @@
       }));
   if (members.size() <= kFewestAlone) return false;
   if (isLeaving(member) && isInTouch(member.store, now))
-    return lossesBorne(members.size() - 1, others) >= lossesBorne(members.size(), others + 1);
-  return lossesBorne(others, others) > lossesBorne(members.size(), others);
+    return lossesTolerated(members.size() - 1, others) >=
+           lossesTolerated(members.size(), others + 1);
+  return lossesTolerated(others, others) > lossesTolerated(members.size(), others);
 }
 
 AgentCore::Crowd AgentCore::crowdAt(const Site& site,
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -143,7 +143,7 @@
   const auto listed = replicas.settled ? std::nullopt : freshness_.keysOfMajority();
   const auto asks =
       epochSweep_.next(replicas, freshness_.replicaSetVersion(), listed, following, now);
-  for (const ChangeAsked& ask : asks) {
+  for (const ChangeRequest& ask : asks) {
     if (!proposer_.isBusy(ask.key))
       begin(ask, ask.isRead ? Purpose::Sweep : Purpose::Replicas, now, effects);
   }
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -17,13 +17,13 @@
 }
 }  // namespace
 
-awaitable<ChangeDone> Agent::ask(ChangeAsked change) {
+awaitable<ChangeOutcome> Agent::ask(ChangeRequest change) {
   auto timer = std::make_shared<asio::steady_timer>(io_);
-  auto result = std::make_shared<std::optional<ChangeDone>>();
+  auto result = std::make_shared<std::optional<ChangeOutcome>>();
   timer->expires_at(std::chrono::steady_clock::time_point::max());
   AgentEffects effects;
   const OperationId operation = core_->askChange(change, BootClock::now(), &effects);
-  waiters_[operation] = [timer, result](const ChangeDone& done) {
+  waiters_[operation] = [timer, result](const ChangeOutcome& done) {
     *result = done;
     timer->cancel();
   };
@@ -35,8 +35,8 @@
   co_return **result;
 }
 
-awaitable<ChangeDone> Agent::readSettled(Span due) {
-  ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
+awaitable<ChangeOutcome> Agent::readSettled(Span due) {
+  ChangeRequest read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
   co_return co_await ask(read);
 }
 
@@ -49,7 +49,7 @@
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
     co_return turnedAway("too few register replicas to survive the loss of one");
-  const ChangeDone current = co_await readSettled(2s);
+  const ChangeOutcome current = co_await readSettled(2s);
   if (current.result != ChangeResult::Chosen)
     co_return turnedAway("no majority of register replicas answered");
   if (current.value.version != expected) {
@@ -73,8 +73,8 @@
                                   " bytes of at most " + std::to_string(kConfigurationLimit)});
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse({ErrorKind::BadConfiguration, std::string(parsed.status().message())});
-  ChangeAsked change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
-  const ChangeDone done = co_await ask(change);
+  ChangeRequest change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
+  const ChangeOutcome done = co_await ask(change);
   switch (done.result) {
     case ChangeResult::Chosen: {
       LOG(INFO) << "configuration " << done.value.version << " acknowledged";
@@ -123,7 +123,7 @@
   if (!made.turnedAway.empty())
     co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
   // A round of the new register shows that what founds it is synced.
-  const ChangeDone done = co_await readSettled(3s);
+  const ChangeOutcome done = co_await readSettled(3s);
   if (done.result != ChangeResult::Chosen)
     co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
   LOG(INFO) << "register founded again as fleet " << made.replicas.fleet;
@@ -222,7 +222,7 @@
   }
   if (path == "/q/spec") {
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
-    const ChangeDone done = co_await readSettled(2s);
+    const ChangeOutcome done = co_await readSettled(2s);
     if (done.result != ChangeResult::Chosen)
       co_return turnedAway("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -31,9 +31,9 @@
                          "too few register replicas to survive the loss of one"};
   UpdateOperation updateOperation(std::move(change), kBodyLimit, BootClock::now() + kUpdateDue);
   for (;;) {
-    const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
+    const std::optional<ChangeRequest> asked = updateOperation.next(BootClock::now());
     if (!asked) break;
-    const ChangeDone answer = co_await ask(*asked);
+    const ChangeOutcome answer = co_await ask(*asked);
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Taken)
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -70,8 +70,8 @@
   effects->observed.push_back(dead);
 }
 
-void Caller::take(const std::vector<ChangeDone>& done, OrderSet acked, StepEffects* effects) {
-  for (const ChangeDone& ended : done) {
+void Caller::take(const std::vector<ChangeOutcome>& done, OrderSet acked, StepEffects* effects) {
+  for (const ChangeOutcome& ended : done) {
     known_.adopt(ended.replicas);
     Observed seen;
     if (ended.result == ChangeResult::Chosen) {
@@ -92,20 +92,20 @@
 }
 
 void Caller::answer(const ReplicaAnswer& answer, OrderSet acked, StepEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   effects->sends = proposer_.answer(answer, &done);
   known_.adopt(answer.replicas);
   take(done, acked, effects);
 }
 
 void Caller::passPhase(OrderSet acked, StepEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   effects->sends = proposer_.passPhase(known_.replicas(), &done);
   take(done, acked, effects);
 }
 
 void Caller::passDeadline(OrderSet acked, StepEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   proposer_.passDeadline(known_.replicas(), &done);
   isLate_ = true;
   take(done, acked, effects);
--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -31,10 +31,12 @@
   std::string stateBytes() const;
   // The same in parts: what stands whoever answered, and what one replica answered.
   std::string sharedBytes() const;
-  std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
+  std::string bytesOfAnswersFrom(StoreId store) const {
+    return proposer_.bytesOfAnswersFrom(store);
+  }
 
  private:
-  void take(const std::vector<ChangeDone>& done, OrderSet acked, StepEffects* effects);
+  void take(const std::vector<ChangeOutcome>& done, OrderSet acked, StepEffects* effects);
   void pump(OrderSet acked, StepEffects* effects);
   void report(UpdateResult result, StepEffects* effects);
   std::string ownBytes() const;
--- a/src/model/invariants.cpp
+++ b/src/model/invariants.cpp
@@ -78,8 +78,7 @@
 std::string brokenIn(const ReplicaSet& replicas, const std::vector<View>& views,
                      const History& history) {
   const std::vector<View> able = answering(replicas, views);
-  const std::size_t confirming =
-      replicas.settled ? meetsEveryMajority(replicas) : majorityOf(replicas);
+  const std::size_t confirming = replicas.settled ? readQuorumOf(replicas) : majorityOf(replicas);
   for (std::uint32_t bits = 1; bits < (1u << able.size()); ++bits) {
     std::vector<const View*> asked;
     for (std::size_t i = 0; i < able.size(); ++i) {
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -20,7 +20,7 @@
   return TimedProposer(ProposerId{proposerId(proposer)});
 }
 
-void Mover::begin(const ChangeAsked& ask, StepEffects* effects) {
+void Mover::begin(const ChangeRequest& ask, StepEffects* effects) {
   const std::size_t proposer = proposerFor(ask.key);
   if (proposers_[proposer].isBusy()) return;
   isRead_[proposer] = ask.isRead;
@@ -38,11 +38,12 @@
   if (configuration_->plant == Plant::UnsettledEpoch) replicas.settled = true;
   const Instant now = proposers_[0].clock();
   const auto asks = sweep_.next(replicas, known_.replicaSetVersion(), listed, following, now);
-  for (const ChangeAsked& ask : asks) begin(ask, effects);
+  for (const ChangeRequest& ask : asks) begin(ask, effects);
 }
 
-void Mover::take(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects) {
-  for (const ChangeDone& ended : done) {
+void Mover::take(std::size_t proposer, const std::vector<ChangeOutcome>& done,
+                 StepEffects* effects) {
+  for (const ChangeOutcome& ended : done) {
     known_.adopt(ended.replicas);
     const bool isChosen = ended.result == ChangeResult::Chosen;
     if (isChosen) {
@@ -60,7 +61,7 @@
 void Mover::answer(const ReplicaAnswer& answer, StepEffects* effects) {
   for (std::size_t i = 0; i < kProposers; ++i) {
     if (proposerOf(answer.operation) != proposerId(i)) continue;
-    std::vector<ChangeDone> done;
+    std::vector<ChangeOutcome> done;
     effects->sends = proposers_[i].answer(answer, &done);
     known_.adopt(answer.replicas);
     take(i, done, effects);
@@ -68,13 +69,13 @@
 }
 
 void Mover::passPhase(std::size_t proposer, StepEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   effects->sends = proposers_[proposer].passPhase(known_.replicas(), &done);
   take(proposer, done, effects);
 }
 
 void Mover::passDeadline(std::size_t proposer, StepEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   proposers_[proposer].passDeadline(known_.replicas(), &done);
   take(proposer, done, effects);
 }
@@ -108,9 +109,9 @@
   return bytes;
 }
 
-std::string Mover::bytesHeardFrom(StoreId store) const {
+std::string Mover::bytesOfAnswersFrom(StoreId store) const {
   std::string bytes;
-  for (const TimedProposer& proposer : proposers_) bytes += proposer.bytesHeardFrom(store);
+  for (const TimedProposer& proposer : proposers_) bytes += proposer.bytesOfAnswersFrom(store);
   return bytes;
 }
 
--- a/src/model/mover.h
+++ b/src/model/mover.h
@@ -32,12 +32,12 @@
   std::string stateBytes() const;
   // The same in parts: what stands whoever answered, and what one replica answered.
   std::string sharedBytes() const;
-  std::string bytesHeardFrom(StoreId store) const;
+  std::string bytesOfAnswersFrom(StoreId store) const;
 
  private:
   std::string ownBytes() const;
-  void begin(const ChangeAsked& ask, StepEffects* effects);
-  void take(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects);
+  void begin(const ChangeRequest& ask, StepEffects* effects);
+  void take(std::size_t proposer, const std::vector<ChangeOutcome>& done, StepEffects* effects);
   std::uint64_t proposerId(std::size_t proposer) const;
   TimedProposer madeProposer(std::size_t proposer) const;
 
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -26,11 +26,11 @@
   }
 }
 
-void TimedProposer::end(const std::vector<ChangeDone>& done) {
+void TimedProposer::end(const std::vector<ChangeOutcome>& done) {
   if (!done.empty()) isBusy_ = false;
 }
 
-Sends TimedProposer::begin(ChangeAsked change, const ReplicaSet& replicas) {
+Sends TimedProposer::begin(ChangeRequest change, const ReplicaSet& replicas) {
   change.operation = OperationId{id_.value * kOperationsEach + ++operations_};
   change.writeId = WriteId{change.operation.value};
   change.due = kNever;
@@ -40,14 +40,14 @@
   return sends;
 }
 
-Sends TimedProposer::answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done) {
+Sends TimedProposer::answer(const ReplicaAnswer& answer, std::vector<ChangeOutcome>* done) {
   Sends sends = proposer_.onAnswer(answer, clock_, done);
   note(sends);
   end(*done);
   return sends;
 }
 
-Sends TimedProposer::passPhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
+Sends TimedProposer::passPhase(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
   clock_ += kLeap;
   Sends sends = proposer_.onTick(replicas, clock_, done);
   if (sends.empty() && done->empty()) {
@@ -59,7 +59,7 @@
   return sends;
 }
 
-void TimedProposer::passDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
+void TimedProposer::passDeadline(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
   proposer_.onTick(replicas, kNever, done);
   end(*done);
 }
--- a/src/model/timed_proposer.h
+++ b/src/model/timed_proposer.h
@@ -20,11 +20,11 @@
   explicit TimedProposer(ProposerId id);
 
   // The operation gets the next id of this proposer.
-  Sends begin(ChangeAsked change, const ReplicaSet& replicas);
-  Sends answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done);
+  Sends begin(ChangeRequest change, const ReplicaSet& replicas);
+  Sends answer(const ReplicaAnswer& answer, std::vector<ChangeOutcome>* done);
   // The time of the present phase has passed, and the rest before the next round too.
-  Sends passPhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
-  void passDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
+  Sends passPhase(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done);
+  void passDeadline(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done);
   bool isBusy() const { return isBusy_; }
   // Whether an answer to this request could still move the operation under way.
   bool awaits(const Ballot& ballot, bool accepting) const {
@@ -36,12 +36,14 @@
   std::string stateBytes() const;
   // The same in parts, as the product's proposer has them.
   std::string sharedBytes() const;
-  std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
+  std::string bytesOfAnswersFrom(StoreId store) const {
+    return proposer_.bytesOfAnswersFrom(store);
+  }
 
  private:
   std::string ownBytes() const;
   void note(const Sends& sends);
-  void end(const std::vector<ChangeDone>& done);
+  void end(const std::vector<ChangeOutcome>& done);
 
   Proposer proposer_;
   ProposerId id_;
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -64,10 +64,10 @@
 
 ChosenValue World::found(std::vector<Machine>* machines, const ReplicaSet& replicas) const {
   TimedProposer founder{ProposerId{kFounder}};
-  ChangeAsked ask;
+  ChangeRequest ask;
   ask.key = kReplicaSetKey;
   ask.body = encodeValue(replicas);
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   Sends sends = founder.begin(ask, replicas);
   while (!sends.empty()) {
     Sends next;
--- a/src/model/world_symmetry.cpp
+++ b/src/model/world_symmetry.cpp
@@ -41,7 +41,8 @@
   if (found != known->end()) return found->second;
   Parts parts;
   parts.shared = textOf(daemon.sharedBytes());
-  for (const StoreId& store : stores_) parts.heard.push_back(textOf(daemon.bytesHeardFrom(store)));
+  for (const StoreId& store : stores_)
+    parts.heard.push_back(textOf(daemon.bytesOfAnswersFrom(store)));
   return (*known)[id] = std::move(parts);
 }
 
--- a/src/register/epoch_sweep.cpp
+++ b/src/register/epoch_sweep.cpp
@@ -9,24 +9,27 @@
 constexpr Span kListSpan = 1s;
 constexpr Span kStepSpan = 2s;
 
-ChangeAsked readOf(const RegisterKey& key, Instant due) { return {{}, key, true, 0, {}, {}, due}; }
+ChangeRequest readOf(const RegisterKey& key, Instant due) {
+  return {{}, key, true, 0, {}, {}, due};
+}
 
-ChangeAsked changeTo(const ReplicaSet& replicas, std::uint64_t version, Instant due) {
+ChangeRequest changeTo(const ReplicaSet& replicas, std::uint64_t version, Instant due) {
   return {{}, kReplicaSetKey, false, version, encodeValue(replicas), {}, due};
 }
 }  // namespace
 
-std::vector<ChangeAsked> EpochSweep::next(const ReplicaSet& replicas, std::uint64_t version,
-                                          const std::optional<std::vector<RegisterKey>>& listed,
-                                          const std::optional<ReplicaSet>& following, Instant now) {
+std::vector<ChangeRequest> EpochSweep::next(const ReplicaSet& replicas, std::uint64_t version,
+                                            const std::optional<std::vector<RegisterKey>>& listed,
+                                            const std::optional<ReplicaSet>& following,
+                                            Instant now) {
   if (!replicas.settled) return sweep(replicas, version, listed, now);
   if (!following) return {};
   return {changeTo(*following, version, now + kStepSpan)};
 }
 
-std::vector<ChangeAsked> EpochSweep::sweep(const ReplicaSet& replicas, std::uint64_t version,
-                                           const std::optional<std::vector<RegisterKey>>& listed,
-                                           Instant now) {
+std::vector<ChangeRequest> EpochSweep::sweep(const ReplicaSet& replicas, std::uint64_t version,
+                                             const std::optional<std::vector<RegisterKey>>& listed,
+                                             Instant now) {
   if (epoch_ != replicas.epoch) {
     epoch_ = replicas.epoch;
     unswept_.clear();
@@ -42,7 +45,7 @@
     hasList_ = true;
     return {};
   }
-  std::vector<ChangeAsked> asks;
+  std::vector<ChangeRequest> asks;
   for (const RegisterKey& key : unswept_) asks.push_back(readOf(key, now + kStepSpan));
   if (!asks.empty()) return asks;
   ReplicaSet settled = replicas;
@@ -50,7 +53,7 @@
   return {changeTo(settled, version, now + kStepSpan)};
 }
 
-void EpochSweep::onReadDone(const ChangeDone& ended) {
+void EpochSweep::onReadDone(const ChangeOutcome& ended) {
   if (ended.result == ChangeResult::Chosen && ended.ballot.epoch == epoch_)
     unswept_.erase(ended.key);
 }
--- a/src/register/epoch_sweep.h
+++ b/src/register/epoch_sweep.h
@@ -17,18 +17,18 @@
   // value. `listed` has every key that a majority of `copies` holds between them, told from inside
   // its epoch, where that is known. `following` is the set to move to, if any: it is asked for only
   // where `copies` is settled. A key that has an operation under way need not be asked again.
-  std::vector<ChangeAsked> next(const ReplicaSet& replicas, std::uint64_t version,
-                                const std::optional<std::vector<RegisterKey>>& listed,
-                                const std::optional<ReplicaSet>& following, Instant now);
+  std::vector<ChangeRequest> next(const ReplicaSet& replicas, std::uint64_t version,
+                                  const std::optional<std::vector<RegisterKey>>& listed,
+                                  const std::optional<ReplicaSet>& following, Instant now);
   // A read has ended: one that was chosen under the epoch being swept has rewritten its key.
-  void onReadDone(const ChangeDone& ended);
+  void onReadDone(const ChangeOutcome& ended);
   // Every field as bytes: two of equal bytes behave alike from here on. For the model check.
   std::string stateBytes() const;
 
  private:
-  std::vector<ChangeAsked> sweep(const ReplicaSet& replicas, std::uint64_t version,
-                                 const std::optional<std::vector<RegisterKey>>& listed,
-                                 Instant now);
+  std::vector<ChangeRequest> sweep(const ReplicaSet& replicas, std::uint64_t version,
+                                   const std::optional<std::vector<RegisterKey>>& listed,
+                                   Instant now);
 
   Epoch epoch_;                    // being swept
   bool hasList_ = false;           // `unswept_` was filled for that epoch
--- a/src/register/proposer.cpp
+++ b/src/register/proposer.cpp
@@ -16,7 +16,7 @@
                                              write) != value.priorWrites.end();
 }
 
-RegisterValue ownValue(const ChangeAsked& change, const RegisterValue& current) {
+RegisterValue ownValue(const ChangeRequest& change, const RegisterValue& current) {
   RegisterValue own{current.version + 1, change.writeId, {}, change.body};
   own.priorWrites.push_back(current.writeId);
   for (const WriteId& prior : current.priorWrites) {
@@ -31,7 +31,7 @@
                      [&](const auto& entry) { return entry.second.change.key == key; });
 }
 
-Proposer::Sends Proposer::begin(const ChangeAsked& change, const ReplicaSet& replicas,
+Proposer::Sends Proposer::begin(const ChangeRequest& change, const ReplicaSet& replicas,
                                 Instant now) {
   Operation& operation = operations_[change.operation];
   operation.change = change;
@@ -51,7 +51,7 @@
 
 // The present phase's question, to the replicas that have not answered it.
 Proposer::Sends Proposer::ask(const Operation& operation) const {
-  const ChangeAsked& change = operation.change;
+  const ChangeRequest& change = operation.change;
   Sends sends;
   for (const ReplicaMember& member : operation.replicas.members) {
     if (operation.granted.contains(member.store) || operation.turnedAway.contains(member.store))
@@ -75,7 +75,7 @@
       current = answer.value;
     }
   }
-  const ChangeAsked& change = operation.change;
+  const ChangeRequest& change = operation.change;
   operation.proposesOwn = !change.isRead && !names(current, change.writeId) &&
                           current.version == change.expectedVersion;
   // What is found may stand on a minority. It is proposed again also where it is in the way: until
@@ -95,7 +95,7 @@
 // that its history covers and does not name can't be chosen any more; beyond that history nobody
 // can tell.
 ChangeResult Proposer::resultOf(const Operation& operation) {
-  const ChangeAsked& change = operation.change;
+  const ChangeRequest& change = operation.change;
   const RegisterValue& chosen = operation.proposal;
   if (change.isRead || names(chosen, change.writeId)) return ChangeResult::Chosen;
   const bool historyCovers =
@@ -110,14 +110,14 @@
 }
 
 void Proposer::finish(Operation& operation, ChangeResult result, const RegisterValue& value,
-                      std::vector<ChangeDone>* done) {
+                      std::vector<ChangeOutcome>* done) {
   done->push_back({operation.change.operation, operation.change.key, result, value,
                    operation.ballot, newestReplicas_});
   operations_.erase(operation.change.operation);
 }
 
 Proposer::Sends Proposer::onAnswer(const ReplicaAnswer& answer, Instant now,
-                                   std::vector<ChangeDone>* done) {
+                                   std::vector<ChangeOutcome>* done) {
   highestRound_ = std::max(highestRound_, answer.promised.round);
   if (answer.replicas.epoch > newestReplicas_.epoch) newestReplicas_ = answer.replicas;
   const auto entry = operations_.find(answer.operation);
@@ -142,7 +142,7 @@
 }
 
 Proposer::Sends Proposer::onTick(const ReplicaSet& replicas, Instant now,
-                                 std::vector<ChangeDone>* done) {
+                                 std::vector<ChangeOutcome>* done) {
   Sends sends;
   std::vector<OperationId> ids;
   for (const auto& [id, operation] : operations_) ids.push_back(id);
@@ -167,7 +167,7 @@
 }
 
 std::string Proposer::sharedBytesOf(const Operation& operation) {
-  const ChangeAsked& change = operation.change;
+  const ChangeRequest& change = operation.change;
   std::string bytes = encodeValue(change.operation) + encodeValue(change.key) +
                       encodeValue(change.expectedVersion) + encodeValue(change.body) +
                       encodeValue(change.writeId) + encodeValue(operation.replicas) +
@@ -179,7 +179,7 @@
   return bytes;
 }
 
-std::string Proposer::bytesHeardFrom(const Operation& operation, StoreId store) {
+std::string Proposer::bytesOfAnswersFrom(const Operation& operation, StoreId store) {
   if (operation.phase == Phase::Resting) return "";  // the next round forgets the answers
   if (operation.turnedAway.contains(store)) return "no";
   const auto answer = operation.granted.find(store);
@@ -195,10 +195,10 @@
   return bytes;
 }
 
-std::string Proposer::bytesHeardFrom(StoreId store) const {
+std::string Proposer::bytesOfAnswersFrom(StoreId store) const {
   std::string bytes;
   for (const auto& [id, operation] : operations_) {
-    const std::string heard = bytesHeardFrom(operation, store);
+    const std::string heard = bytesOfAnswersFrom(operation, store);
     if (!heard.empty()) bytes += encodeValue(id) + heard;
   }
   return bytes;
@@ -212,7 +212,7 @@
   }
   std::string bytes = sharedBytes();
   for (const StoreId& store : stores) {
-    const std::string heard = bytesHeardFrom(store);
+    const std::string heard = bytesOfAnswersFrom(store);
     if (!heard.empty()) bytes += encodeValue(store) + heard;
   }
   return bytes;
--- a/src/register/proposer.h
+++ b/src/register/proposer.h
@@ -12,7 +12,7 @@
 
 // What an operation is for. A read proposes the value it finds again, which settles a value that
 // a lost proposer left behind on a minority.
-struct ChangeAsked {
+struct ChangeRequest {
   OperationId operation;
   RegisterKey key;
   bool isRead = false;
@@ -29,7 +29,7 @@
   Unknown,   // some copy may hold it: a read settles it
 };
 
-struct ChangeDone {
+struct ChangeOutcome {
   OperationId operation;
   RegisterKey key;
   ChangeResult result{};
@@ -42,12 +42,12 @@
  public:
   Proposer(ProposerId id, std::uint64_t seed) : id_(id), random_(seed) {}
 
-  std::vector<std::pair<ReplicaMember, Message>> begin(const ChangeAsked& change,
+  std::vector<std::pair<ReplicaMember, Message>> begin(const ChangeRequest& change,
                                                        const ReplicaSet& replicas, Instant now);
   std::vector<std::pair<ReplicaMember, Message>> onAnswer(const ReplicaAnswer& answer, Instant now,
-                                                          std::vector<ChangeDone>* done);
+                                                          std::vector<ChangeOutcome>* done);
   std::vector<std::pair<ReplicaMember, Message>> onTick(const ReplicaSet& replicas, Instant now,
-                                                        std::vector<ChangeDone>* done);
+                                                        std::vector<ChangeOutcome>* done);
   bool isBusy(const RegisterKey& key) const;
   // The state but for deadlines and jitter, as bytes: two of equal bytes take the same steps from
   // here on, if perhaps at other times. For the model check.
@@ -55,7 +55,7 @@
   // The same in parts: what stands whoever answered, and what one replica answered in the rounds
   // under way.
   std::string sharedBytes() const;
-  std::string bytesHeardFrom(StoreId store) const;
+  std::string bytesOfAnswersFrom(StoreId store) const;
 
  private:
   enum class Phase { Preparing, Accepting, Resting };
@@ -63,7 +63,7 @@
   // accept one, only a chosen value that names this write, or one that rules it out, can end the
   // operation as anything but Unknown.
   struct Operation {
-    ChangeAsked change;
+    ChangeRequest change;
     ReplicaSet replicas;
     Ballot ballot;
     Phase phase = Phase::Preparing;
@@ -77,14 +77,14 @@
   };
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   static std::string sharedBytesOf(const Operation& operation);
-  static std::string bytesHeardFrom(const Operation& operation, StoreId store);
+  static std::string bytesOfAnswersFrom(const Operation& operation, StoreId store);
   Sends startRound(Operation& operation, Instant now);
   Sends ask(const Operation& operation) const;
   Sends startAccept(Operation& operation, Instant now);
   static ChangeResult resultOf(const Operation& operation);
   void rest(Operation& operation, Instant now);
   void finish(Operation& operation, ChangeResult result, const RegisterValue& value,
-              std::vector<ChangeDone>* done);
+              std::vector<ChangeOutcome>* done);
 
   ProposerId id_;
   std::mt19937_64 random_;
--- a/src/register/replica.cpp
+++ b/src/register/replica.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 std::size_t majorityOf(const ReplicaSet& replicas) { return replicas.members.size() / 2 + 1; }
-std::size_t meetsEveryMajority(const ReplicaSet& replicas) {
+std::size_t readQuorumOf(const ReplicaSet& replicas) {
   return replicas.members.size() - majorityOf(replicas) + 1;
 }
 
@@ -167,7 +167,8 @@
       held.acceptedAt = slot->second.acceptedAt;
       if (held.acceptedAt > known) held.value = slot->second.value;
     }
-    if (!message.wantsBodies && key == kConfigurationKey && held.value.body.size() > kSmallBody) {
+    if (!message.wantsBodies && key == kConfigurationKey &&
+        held.value.body.size() > kMaxInlineBodyBytes) {
       held.value.body.clear();
       answer.withoutBody.push_back(key);
     }
--- a/src/register/replica.h
+++ b/src/register/replica.h
@@ -13,7 +13,7 @@
 inline const RegisterKey kReplicaSetKey{"copies"};
 inline const RegisterKey kConfigurationKey{"spec"};
 // Ours: a body up to this many bytes goes along with each answer.
-inline constexpr std::size_t kSmallBody = 4096;
+inline constexpr std::size_t kMaxInlineBodyBytes = 4096;
 
 struct DiskWrite {
   std::string key;
@@ -82,6 +82,6 @@
 
 // The number of replicas that every round needs, and the number that meets every such round.
 std::size_t majorityOf(const ReplicaSet& replicas);
-std::size_t meetsEveryMajority(const ReplicaSet& replicas);
+std::size_t readQuorumOf(const ReplicaSet& replicas);
 
 }  // namespace quayrill
--- a/src/register/replica_plan.cpp
+++ b/src/register/replica_plan.cpp
@@ -24,7 +24,7 @@
   return row == regionOfZone.end() ? zone : row->second;
 }
 
-std::size_t replicasWanted(const LossesToBear& losses, const Topology& topology) {
+std::size_t replicasWanted(const LossTolerance& losses, const Topology& topology) {
   std::set<std::string> regions;
   for (const auto& [zone, region] : topology.regionOfZone) regions.insert(region);
   std::size_t members = std::clamp(2 * losses.machines + 1, kFewest, kMost);
@@ -34,7 +34,7 @@
   return members;
 }
 
-int lossesBorne(std::size_t members, std::size_t live) {
+int lossesTolerated(std::size_t members, std::size_t live) {
   return static_cast<int>(live) - static_cast<int>(majorityFor(members));
 }
 
--- a/src/register/replica_plan.h
+++ b/src/register/replica_plan.h
@@ -9,7 +9,7 @@
 
 // What may be lost at once while a majority of the replicas must live: so many machines, or whole
 // zones, or whole regions.
-struct LossesToBear {
+struct LossTolerance {
   std::size_t machines = 1;
   std::size_t zones = 0;
   std::size_t regions = 0;
@@ -30,10 +30,10 @@
 // The least odd number of replicas, from 3 to 9, that bears the losses if they are spread evenly
 // over the zones and regions of `topology`. Losses of zones or regions that no number can bear
 // there (half of them or more) add nothing.
-std::size_t replicasWanted(const LossesToBear& losses, const Topology& topology);
+std::size_t replicasWanted(const LossTolerance& losses, const Topology& topology);
 
 // How many of `live` members may still be lost before a set of `members` has no majority; negative
 // where it has none.
-int lossesBorne(std::size_t members, std::size_t live);
+int lossesTolerated(std::size_t members, std::size_t live);
 
 }  // namespace quayrill
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -17,20 +17,20 @@
   done_ = UpdateDone{result, std::move(message)};
 }
 
-std::optional<ChangeAsked> UpdateOperation::next(Instant now) {
+std::optional<ChangeRequest> UpdateOperation::next(Instant now) {
   if (done_) return std::nullopt;
-  if (step_ == Step::Settling) return ChangeAsked{{}, kConfigurationKey, true, 0, {}, {}, due_};
+  if (step_ == Step::Settling) return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, due_};
   const Instant due = due_ - (step_ == Step::Reading ? kChangeShare : kSettleShare);
   // Whatever was proposed before is ruled out here: by its own result, or by a settled read.
   if (now >= due) {
     finish(UpdateResult::NotTaken, "no time is left to change the register");
     return std::nullopt;
   }
-  if (step_ == Step::Reading) return ChangeAsked{{}, kConfigurationKey, true, 0, {}, {}, due};
-  return ChangeAsked{{}, kConfigurationKey, false, proposed_.version, proposed_.body, {}, due};
+  if (step_ == Step::Reading) return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, due};
+  return ChangeRequest{{}, kConfigurationKey, false, proposed_.version, proposed_.body, {}, due};
 }
 
-void UpdateOperation::onAnswer(const ChangeDone& answer) {
+void UpdateOperation::onAnswer(const ChangeOutcome& answer) {
   const bool chosen = answer.result == ChangeResult::Chosen;
   if (step_ != Step::Proposing) {
     if (chosen)
--- a/src/register/update_operation.h
+++ b/src/register/update_operation.h
@@ -13,8 +13,8 @@
   UpdateOperation(Update change, std::size_t bodyLimit, Instant due);
 
   // What to ask of the register next; nothing once `done` is there.
-  std::optional<ChangeAsked> next(Instant now);
-  void onAnswer(const ChangeDone& answer);
+  std::optional<ChangeRequest> next(Instant now);
+  void onAnswer(const ChangeOutcome& answer);
   const std::optional<UpdateDone>& done() const { return done_; }
   // The state but for the deadline and the update, which never change, as bytes: two of equal
   // bytes and the same update take the same steps from here on. For the model check.
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -31,7 +31,7 @@
   std::size_t replicasWanted = 4;
   // Losses to bear: what may be lost at once while the register must go on. replicasWanted is
   // enough for them.
-  LossesToBear losses;
+  LossTolerance losses;
   Topology topology;  // zones and their regions; needed where losses of these are to be borne
   // A machine that was lost, or its successor, is whole again after so long, so the next loss may
   // come then: repairs of the register must be done by that time. 0: no such bound is promised.
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -189,7 +189,7 @@
     machine.diskQueue.push_back(std::move(work));
   }
   startSync(index);
-  for (const ChangeDone& done : effects.done) {
+  for (const ChangeOutcome& done : effects.done) {
     const auto row = pending_.find({index, done.operation});
     if (row == pending_.end()) continue;
     Asked& asked = asked_[row->second - 1];
@@ -293,7 +293,7 @@
   return made;
 }
 
-std::uint64_t World::ask(std::size_t index, ChangeAsked change) {
+std::uint64_t World::ask(std::size_t index, ChangeRequest change) {
   Machine& machine = machines_[index];
   if (!machine.core || now_ < machine.frozenUntil) return 0;
   change.writeId = WriteId{random_() | 1};
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -19,7 +19,7 @@
   std::size_t diskMachines = 4;
   std::size_t edgeMachines = 9;
   std::size_t replicasWanted = 0;  // 0: as many as there are disks
-  LossesToBear losses{};
+  LossTolerance losses{};
   Span catchUpSpan{};
   std::size_t reserveMachines = 0;  // empty disks that join later; their indices come last
   // Only the first start of all is told that it may found, and need not wait; every later start is
@@ -46,10 +46,10 @@
 struct Asked {
   std::uint64_t id = 0;
   std::size_t machine = 0;
-  ChangeAsked change;
+  ChangeRequest change;
   Instant askedAt;
   std::optional<Instant> doneAt;
-  std::optional<ChangeDone> done;
+  std::optional<ChangeOutcome> done;
 };
 
 struct Tally {
@@ -164,7 +164,7 @@
   }
   void schedule(Event event);
   void apply(std::size_t machine, AgentEffects effects);
-  std::uint64_t ask(std::size_t machine, ChangeAsked change);
+  std::uint64_t ask(std::size_t machine, ChangeRequest change);
   void startSync(std::size_t machine);
   void finishSync(std::size_t machine, const std::vector<ReplicaWork>& batch);
   void transmit(std::size_t from, const Envelope& envelope);
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -153,7 +153,7 @@
 struct LeaseScript {
   RegisterKey role{"hold/x"};
   RegisterValue value;
-  ChangeDone answer(const ChangeAsked& asked) {
+  ChangeOutcome answer(const ChangeRequest& asked) {
     if (asked.isRead) return {{}, role, ChangeResult::Chosen, value, {}, {}};
     if (asked.expectedVersion != value.version)
       return {{}, role, ChangeResult::Conflict, value, {}, {}};
--- a/tests/epoch_sweep_tests.cpp
+++ b/tests/epoch_sweep_tests.cpp
@@ -20,7 +20,7 @@
   ReplicaSet replicas = setOf(2, {1, 2, 3, 4});
   const ReplicaSet following = setOf(3, {1, 2, 3});
   const auto ended = [](const RegisterKey& key, std::uint64_t epoch, ChangeResult result) {
-    ChangeDone done;
+    ChangeOutcome done;
     done.key = key;
     done.ballot.epoch = Epoch{epoch};
     done.result = result;
--- a/tests/register_tests.cpp
+++ b/tests/register_tests.cpp
@@ -33,9 +33,9 @@
   }
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   // Delivers to the replicas in `reach` and the answers back, until nothing moves.
-  std::vector<ChangeDone> carry(Proposer& proposer, Sends sends,
-                                const std::vector<std::size_t>& reach) {
-    std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> carry(Proposer& proposer, Sends sends,
+                                   const std::vector<std::size_t>& reach) {
+    std::vector<ChangeOutcome> done;
     while (!sends.empty()) {
       Sends next;
       for (const auto& [member, message] : sends) {
@@ -49,11 +49,11 @@
     }
     return done;
   }
-  ChangeAsked change(std::uint64_t id, std::uint64_t expected, const std::string& body) {
+  ChangeRequest change(std::uint64_t id, std::uint64_t expected, const std::string& body) {
     return {OperationId{id},    kConfigurationKey, false, expected, body,
             WriteId{1000 + id}, now + 3s};
   }
-  ChangeAsked read(std::uint64_t id) {
+  ChangeRequest read(std::uint64_t id) {
     return {OperationId{id}, kConfigurationKey, true, 0, {}, WriteId{1000 + id}, now + 3s};
   }
 };
@@ -73,7 +73,7 @@
   CHECK(done[0].result == ChangeResult::Conflict);
   CHECK(done[0].value.body == "a");
   CHECK(majorityOf(bench.set) == 3);
-  CHECK(meetsEveryMajority(bench.set) == 2);
+  CHECK(readQuorumOf(bench.set) == 2);
 }
 
 TEST_CASE("register: half of the replicas choose nothing, and unsent is told from unknown") {
@@ -118,7 +118,7 @@
 TEST_CASE("register: a conflict is told only once what stands in the way is chosen") {
   Bench bench(3);
   Proposer mine(ProposerId{1}, 1), rival(ProposerId{2}, 2), reader(ProposerId{3}, 3);
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   const auto promised = [&](Proposer& proposer, const Bench::Sends& prepares,
                             const std::vector<std::size_t>& reach) {
     Bench::Sends accepts;
@@ -173,7 +173,7 @@
     CHECK(done[0].value.body == "b");
     for (const std::vector<std::size_t>& reach : {std::vector<std::size_t>{0, 2}, {1, 2}}) {
       Proposer each(ProposerId{4 + reach[0]}, 1);
-      std::vector<ChangeDone> ended;
+      std::vector<ChangeOutcome> ended;
       auto sends = each.begin(bench.read(10 + reach[0]), bench.set, bench.now);
       for (int round = 0; ended.empty() && round < 10; ++round) {
         ended = bench.carry(each, sends, reach);
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -75,11 +75,11 @@
   CHECK(replicasWanted({1, 0, 1}, zonesIn(6, 3)) == 3);
   CHECK(replicasWanted({1, 0, 2}, zonesIn(10, 5)) == 5);
   CHECK(replicasWanted({9, 0, 0}, {}) == 9);
-  CHECK(lossesBorne(3, 3) == 1);
-  CHECK(lossesBorne(4, 4) == 1);
-  CHECK(lossesBorne(5, 5) == 2);
-  CHECK(lossesBorne(6, 4) == 0);
-  CHECK(lossesBorne(5, 2) == -1);
+  CHECK(lossesTolerated(3, 3) == 1);
+  CHECK(lossesTolerated(4, 4) == 1);
+  CHECK(lossesTolerated(5, 5) == 2);
+  CHECK(lossesTolerated(6, 4) == 0);
+  CHECK(lossesTolerated(5, 2) == -1);
 }
 
 TEST_CASE("platform settings: tolerate and catchupS give the replicas and the span of a repair") {
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -35,7 +35,7 @@
   std::size_t reads = 0, changes = 0;
   Instant now{100s};
 
-  ChangeDone answer(const ChangeAsked& asked) {
+  ChangeOutcome answer(const ChangeRequest& asked) {
     if (asked.isRead) {
       ++reads;
       now += readable ? 1ms : asked.due - now;
