--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -87,7 +87,7 @@
 void Agent::takeDisk(Disk::Rows rows) {
   asio::post(io_, [this, rows = std::move(rows)] {
     AgentEffects effects;
-    if (!core_->onDiskReadAnew(rows, &effects)) {
+    if (!core_->onDiskReloaded(rows, &effects)) {
       LOG(ERROR) << "the data folder is not understood: start with an empty one";
       return;
     }
@@ -277,7 +277,8 @@
   state.leaving = row.listed.leaving;
   // How old a told row may be is for the reader of listedAgoMicros to say.
   state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kHealthySpan);
-  const ServerKnown known = core_->notes().over(state.name, state.identity, state.weights, now);
+  const ServerWeightsState known =
+      core_->notes().over(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
   state.switching = known.switching;
   if (row.listed.told && configuration_) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -80,7 +80,7 @@
   std::string orderOwner() const;
   // `decidedAt` is when the lease was last seen to outlast the order.
   awaitable<void> orderServer(ModelName model, WeightsOrder order, Instant decidedAt);
-  awaitable<void> askReport(ModelName model, ReportAsk asked);
+  awaitable<void> askReport(ModelName model, ReportRequest asked);
   void takeConfiguration();
 
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -62,7 +62,7 @@
   if (replica_) replica_->stopVoting();
 }
 
-bool AgentCore::onDiskReadAnew(const std::map<std::string, std::string>& disk,
+bool AgentCore::onDiskReloaded(const std::map<std::string, std::string>& disk,
                                AgentEffects* effects) {
   if (replica_ && replica_->isVoting()) return true;
   RegisterReplica read(StoreId{random_() | 1});
@@ -148,7 +148,7 @@
   } else if (const auto* confirmed = std::get_if<ConfirmAnswer>(&envelope.body)) {
     noteContact(envelope.from, *confirmed, now);
     freshness_.onAnswer(*confirmed, now);
-    sendAll(freshness_.widen(now), effects);
+    sendAll(freshness_.widenRound(now), effects);
     keepReplicaSet(effects);
   } else if (std::holds_alternative<Prepare>(envelope.body) ||
              std::holds_alternative<Accept>(envelope.body) ||
@@ -174,7 +174,7 @@
   sendAll(proposer_.begin(change, freshness_.replicas(), now), effects);
 }
 
-OperationId AgentCore::askChange(ChangeRequest change, Instant now, AgentEffects* effects) {
+OperationId AgentCore::requestChange(ChangeRequest change, Instant now, AgentEffects* effects) {
   change.operation = OperationId{++operationCounter_};
   begin(change, Purpose::Outside, now, effects);
   return change.operation;
@@ -215,19 +215,20 @@
   return live;
 }
 
-bool AgentCore::isMine(const std::string& role, Instant now) const {
+bool AgentCore::ownsRole(const std::string& role, Instant now) const {
   return replica_ && rendezvousOwner(role, staying(now)) == settings_.self;
 }
 
-bool AgentCore::mayStepIn(const std::string& role, Span overdue, Instant now) const {
+bool AgentCore::mayTakeOverRole(const std::string& role, Span overdue, Instant now) const {
   const std::vector<Address> live = staying(now);
   const auto rank = static_cast<int>(rendezvousRank(role, live, settings_.self));
   return !leaving_ && replica_ && !live.empty() && overdue >= rank * kStepInAfter;
 }
 
-void AgentCore::pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
+void AgentCore::tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
   const Fence floor{freshness_.replicas().epoch.value << 20};
-  if (auto change = leases_.pursue(role, now, floor)) begin(*change, Purpose::Lease, now, effects);
+  if (auto change = leases_.tryAcquire(role, now, floor))
+    begin(*change, Purpose::Lease, now, effects);
 }
 
 void AgentCore::releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
@@ -253,7 +254,7 @@
     listPeers_.order = rendezvousOrder("list", {first.begin(), first.end()});
     const auto rest = rendezvousOrder("list", {then.begin(), then.end()});
     listPeers_.order.insert(listPeers_.order.end(), rest.begin(), rest.end());
-    listPeers_.mostKnown = std::max(listPeers_.mostKnown, live.size());
+    listPeers_.peakPeerCount = std::max(listPeers_.peakPeerCount, live.size());
     notes_.forgetUnlisted(list_.rows(), now);
   }
   effects->readList = list_.onTick(listPeers_, now, &effects->sends);
@@ -274,7 +275,7 @@
   }
 }
 
-void AgentCore::tellNote(const ServerNote& note, Instant now, AgentEffects* effects) {
+void AgentCore::broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects) {
   notes_.take(note, now);
   for (const NewsItem& item : news_.live(now)) {
     if (item.source != settings_.self)
@@ -286,9 +287,9 @@
 void AgentCore::tickSweep(Instant now, AgentEffects* effects) {
   if (now < nextSweep_ || !freshness_.replicas().settled) return;
   nextSweep_ = now + 10s + std::chrono::milliseconds(random_() % 1000);
-  if (now - startedAt_ < 5s || !isMine("sweep", now)) return;
+  if (now - startedAt_ < 5s || !ownsRole("sweep", now)) return;
   const RegisterKey role{"hold/sweep"};
-  pursueLease(role, now, effects);
+  tryAcquireLease(role, now, effects);
   if (!leases_.held(role, 500ms, now)) {
     nextSweep_ = now + 500ms;
     return;
@@ -305,7 +306,7 @@
   const ReplicaSet& replicas = freshness_.replicas();
   if (replicas.epoch.value == 0) return;
   if (!replicas.settled) nextConfirm_ = std::min(nextConfirm_, now + kConfirmEveryUnsettled);
-  if (now < nextConfirm_) return sendAll(freshness_.widen(now), effects);
+  if (now < nextConfirm_) return sendAll(freshness_.widenRound(now), effects);
   nextConfirm_ = now + (replicas.settled ? kConfirmEvery : kConfirmEveryUnsettled);
   const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
   sendAll(freshness_.begin(now, replica_.has_value(), wantsKeys), effects);
@@ -336,7 +337,7 @@
   own.configurationInForce = ConfigurationVersion{freshness_.configuration().value.version};
   own.leaving = leaving_;
   own.fleet = replica_ ? replica_->replicas().fleet : 0;
-  news_.describeSelf(own);
+  news_.setOwnState(own);
   news_.beat(now);
   if (isUrgent && replica_) tellStoreHolders(now, effects);
 }
@@ -367,7 +368,7 @@
   tickConfirm(now, effects);
   // Machines that keep a store settle a value first: the others are many.
   const Span patience = replica_ ? settlePatience_ : settlePatience_ + kSettleLater;
-  if (const auto key = freshness_.wantsSettling(now, patience); key && !proposer_.isBusy(*key)) {
+  if (const auto key = freshness_.keyToSettle(now, patience); key && !proposer_.isBusy(*key)) {
     settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
   }
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -64,11 +64,11 @@
 
   void onMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onTick(Instant now, AgentEffects* effects);
-  OperationId askChange(ChangeRequest change, Instant now, AgentEffects* effects);
+  OperationId requestChange(ChangeRequest change, Instant now, AgentEffects* effects);
   void onDiskError();
   // The data folder was opened and read anew after a error, or late: the replica votes again by
   // what is really there. False where the rows can't be understood.
-  bool onDiskReadAnew(const std::map<std::string, std::string>& disk, AgentEffects* effects);
+  bool onDiskReloaded(const std::map<std::string, std::string>& disk, AgentEffects* effects);
   // The operator gives the present register up, its majority being lost, and founds a new one on
   // this machine's disk. `given` is a saved configuration that was in force as `givenVersion`; else
   // the newest that this daemon knows is kept. Turned away while the register may still live.
@@ -90,12 +90,12 @@
   // True where `duty` falls to this daemon among the live ones. Leader roles fall to machines that
   // keep a store only: a lease needs a majority of these, so where none of them lives nobody could
   // hold one.
-  bool isMine(const std::string& role, Instant now) const;
+  bool ownsRole(const std::string& role, Instant now) const;
   // For a leader role that should long be done: its owner may be gone and not missed yet, so the
   // next in order may pursue the lease after a while, and the one after it later. The lease alone
   // gives the right, so more who pursue it cost messages and nothing else.
-  bool mayStepIn(const std::string& role, Span overdue, Instant now) const;
-  void pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects);
+  bool mayTakeOverRole(const std::string& role, Span overdue, Instant now) const;
+  void tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const {
     return leases_.held(role, needed, now);
@@ -108,7 +108,7 @@
   }
   const ServerList& list() const { return list_; }
   // What this daemon learned of a server whose weights it orders, told to all that live.
-  void tellNote(const ServerNote& note, Instant now, AgentEffects* effects);
+  void broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects);
   const ServerNotes& notes() const { return notes_; }
   // The configuration in force names these weights. `confirmedAt`: when the one before it was
   // certainly still the newest.
@@ -120,7 +120,7 @@
   void forgetWeightsBefore(Instant before) { weights_.forgetBefore(before); }
   const WeightsHistories& weights() const { return weights_; }
   // What the data plane of this daemon observed since its last report.
-  void takePlaneReport(PlaneReport report) { exchange_.takeOwn(std::move(report)); }
+  void takePlaneReport(PlaneReport report) { exchange_.addOwnReport(std::move(report)); }
   // What the fleet's data planes observed, for the data plane of this daemon.
   std::vector<PlaneDigest> takePlaneDigests() { return exchange_.takeDigests(); }
   // Those whose cache events this daemon reads for the fleet. None until it has had time to hear of
@@ -205,7 +205,7 @@
   std::mt19937_64 random_;
   std::optional<RegisterReplica> replica_;
   Membership membership_;
-  News news_;
+  Gossip news_;
   Freshness freshness_;
   Proposer proposer_;
   Leases leases_;
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -81,7 +81,7 @@
   return sends;
 }
 
-Freshness::Sends Freshness::widen(Instant now) {
+Freshness::Sends Freshness::widenRound(Instant now) {
   Sends sends;
   if (rounds_.empty()) return sends;
   askBody(now, &sends);
@@ -211,7 +211,7 @@
   if (!confirmedAt_ || *confirmedAt_ < sentAt) confirmedAt_ = sentAt;
 }
 
-std::optional<std::vector<RegisterKey>> Freshness::keysOfMajority() const {
+std::optional<std::vector<RegisterKey>> Freshness::majorityKeys() const {
   for (const auto& [sequence, round] : rounds_) {
     std::vector<RegisterKey> keys;
     std::size_t inEpoch = 0;
@@ -225,7 +225,7 @@
   return std::nullopt;
 }
 
-std::optional<RegisterKey> Freshness::wantsSettling(Instant now, Span patience) const {
+std::optional<RegisterKey> Freshness::keyToSettle(Instant now, Span patience) const {
   for (const auto& [key, since] : unsettledSince_) {
     if (now - since >= patience) return key;
   }
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -28,7 +28,7 @@
   const std::vector<RegisterKey>& knownKeys() const { return knownKeys_; }
   std::uint64_t replicaSetVersion() const { return replicaSetValue_.value.version; }
   // Every key that a majority holds between them, once so many answered from inside this epoch.
-  std::optional<std::vector<RegisterKey>> keysOfMajority() const;
+  std::optional<std::vector<RegisterKey>> majorityKeys() const;
 
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   // Asks as many replicas as meet every majority, those first that answer fastest; all of them
@@ -36,13 +36,13 @@
   Sends begin(Instant now, bool askAll, bool wantsKeys);
   // The rest of the newest round's replicas, once an answer is overdue or shows something newer,
   // and one replica for a body that is lacking.
-  Sends widen(Instant now);
+  Sends widenRound(Instant now);
   Confirm question(StoreId store, bool wantsKeys) const;
   void onAnswer(const ConfirmAnswer& answer, Instant now);
   // A value that a round of this daemon's own proposer proved chosen.
   void learnChosen(const RegisterKey& key, const ChosenValue& chosen);
   // The key that needs a read to settle it, once it has stayed unsettled for a while.
-  std::optional<RegisterKey> wantsSettling(Instant now, Span patience) const;
+  std::optional<RegisterKey> keyToSettle(Instant now, Span patience) const;
 
  private:
   struct Round {
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -38,7 +38,7 @@
   return {{}, role, isRead, row.version, encodeLease(body), {}, now + 1500ms};
 }
 
-std::optional<ChangeRequest> Leases::pursue(const RegisterKey& role, Instant now, Fence floor) {
+std::optional<ChangeRequest> Leases::tryAcquire(const RegisterKey& role, Instant now, Fence floor) {
   Row& row = rows_[role];
   if (row.busy || now < row.retryAt) return std::nullopt;
   const bool mine = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -28,7 +28,7 @@
   // The register change that brings this daemon nearer to holding the leader role, if one is due
   // now. A fence newly taken is at least `floor`, so that it rises even where the register was
   // founded again and the holds in it are lost.
-  std::optional<ChangeRequest> pursue(const RegisterKey& role, Instant now, Fence floor = {});
+  std::optional<ChangeRequest> tryAcquire(const RegisterKey& role, Instant now, Fence floor = {});
   std::optional<ChangeRequest> release(const RegisterKey& role, Instant now);
   void onDone(const ChangeOutcome& done, Instant now);
   // The fence, while the lease is sure to last for `needed` more.
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/news.cpp
@@ -11,13 +11,13 @@
 constexpr Span kKeepSpan = 10min;
 }  // namespace
 
-News::News(Address self, std::uint64_t nonce) : self_(std::move(self)) {
+Gossip::Gossip(Address self, std::uint64_t nonce) : self_(std::move(self)) {
   own_.source = self_;
   own_.nonce = nonce;
   own_.version.incarnation = Incarnation{1};
 }
 
-void News::describeSelf(const NewsItem& item) {
+void Gossip::setOwnState(const NewsItem& item) {
   const NewsVersion version = own_.version;
   const std::uint64_t nonce = own_.nonce;
   own_ = item;
@@ -26,28 +26,28 @@
   own_.nonce = nonce;
 }
 
-void News::beat(Instant now) {
+void Gossip::beat(Instant now) {
   ++own_.version.counter;
   std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kKeepSpan; });
 }
 
 // An earlier life of this address had a higher version: outlive it.
-void News::meetOwn(const NewsVersion& version) {
+void Gossip::supersedeEarlierRun(const NewsVersion& version) {
   if (version > own_.version)
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
 
-NewsAsk News::ask() const {
+NewsAsk Gossip::ask() const {
   NewsAsk ask;
   ask.known.emplace_back(self_, own_.version);
   for (const auto& [source, row] : rows_) ask.known.emplace_back(source, row.item.version);
   return ask;
 }
 
-NewsAnswer News::answer(const NewsAsk& ask) {
+NewsAnswer Gossip::answer(const NewsAsk& ask) {
   std::map<Address, NewsVersion> known(ask.known.begin(), ask.known.end());
   NewsAnswer answer;
-  if (const auto mine = known.find(self_); mine != known.end()) meetOwn(mine->second);
+  if (const auto mine = known.find(self_); mine != known.end()) supersedeEarlierRun(mine->second);
   if (own_.version > known[self_]) answer.items.push_back(own_);
   for (const auto& [source, row] : rows_) {
     if (row.item.version > known[source]) answer.items.push_back(row.item);
@@ -55,10 +55,10 @@
   return answer;
 }
 
-void News::take(const NewsAnswer& answer, Instant now) {
+void Gossip::take(const NewsAnswer& answer, Instant now) {
   for (const NewsItem& item : answer.items) {
     if (item.source == self_) {
-      if (item.nonce != own_.nonce) meetOwn(item.version);
+      if (item.nonce != own_.nonce) supersedeEarlierRun(item.version);
       continue;
     }
     Row& row = rows_[item.source];
@@ -66,13 +66,13 @@
   }
 }
 
-bool News::isLive(const Address& source, Instant now) const {
+bool Gossip::isLive(const Address& source, Instant now) const {
   if (source == self_) return true;
   const auto row = rows_.find(source);
   return row != rows_.end() && now - row->second.advancedAt < kLiveSpan;
 }
 
-std::vector<NewsItem> News::live(Instant now) const {
+std::vector<NewsItem> Gossip::live(Instant now) const {
   std::vector<NewsItem> items{own_};
   for (const auto& [source, row] : rows_) {
     if (isLive(source, now)) items.push_back(row.item);
@@ -82,7 +82,7 @@
   return items;
 }
 
-std::optional<NewsItem> News::item(const Address& source) const {
+std::optional<NewsItem> Gossip::item(const Address& source) const {
   if (source == self_) return own_;
   const auto row = rows_.find(source);
   if (row == rows_.end()) return std::nullopt;
--- a/src/agent/core/news.h
+++ b/src/agent/core/news.h
@@ -10,12 +10,12 @@
 
 namespace quayrill {
 
-class News {
+class Gossip {
  public:
-  News(Address self, std::uint64_t nonce);
+  Gossip(Address self, std::uint64_t nonce);
 
   // The own item's fields but for its version, which only this class moves.
-  void describeSelf(const NewsItem& item);
+  void setOwnState(const NewsItem& item);
   void beat(Instant now);
   NewsAsk ask() const;
   NewsAnswer answer(const NewsAsk& ask);
@@ -31,7 +31,7 @@
     NewsItem item;
     Instant advancedAt;
   };
-  void meetOwn(const NewsVersion& version);
+  void supersedeEarlierRun(const NewsVersion& version);
 
   Address self_;
   NewsItem own_;
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -56,7 +56,7 @@
   return rendezvousOwner("aggregate/" + zone, idle.empty() ? all : idle);
 }
 
-void PlaneExchange::takeOwn(PlaneReport report) {
+void PlaneExchange::addOwnReport(PlaneReport report) {
   hasOwn_ = true;
   own_.outstanding = std::move(report.outstanding);
   append(&own_.batches, std::move(report.batches));
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -22,7 +22,7 @@
   PlaneExchange(Address self, std::string zone) : self_(std::move(self)), zone_(std::move(zone)) {}
 
   // What this daemon's data plane observed since it last reported.
-  void takeOwn(PlaneReport report);
+  void addOwnReport(PlaneReport report);
   void onReport(const Address& from, const PlaneReport& report, Instant now);
   void onDigest(const PlaneDigest& digest, Instant now);
   bool isDue(Instant now) const { return now >= nextTick_; }
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -140,7 +140,7 @@
 void AgentCore::tickEpoch(Instant now, AgentEffects* effects) {
   const ReplicaSet& replicas = freshness_.replicas();
   const auto following = replicas.settled ? nextReplicaSet(now) : std::nullopt;
-  const auto listed = replicas.settled ? std::nullopt : freshness_.keysOfMajority();
+  const auto listed = replicas.settled ? std::nullopt : freshness_.majorityKeys();
   const auto asks =
       epochSweep_.next(replicas, freshness_.replicaSetVersion(), listed, following, now);
   for (const ChangeRequest& ask : asks) {
--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -230,7 +230,7 @@
   row.isUnclear = answer == OrderAnswer::Unclear;
   row.answeredAt = now;
   row.nextQuestion = now + kQuestionEvery;
-  if (answer != OrderAnswer::NotKnown) row.notKnown = 0;
+  if (answer != OrderAnswer::UnknownVersion) row.notKnown = 0;
   switch (answer) {
     case OrderAnswer::Taken:
       // Questions are priced: the first comes no sooner than the new weights could be there.
@@ -247,7 +247,7 @@
     case OrderAnswer::Refused:
       row.refused = order.weights;
       break;
-    case OrderAnswer::NotKnown:
+    case OrderAnswer::UnknownVersion:
       row.nextOrder =
           now + std::min(kNotKnownLongest, kOrderAgain * (1 << std::min(row.notKnown, 8U)));
       ++row.notKnown;
@@ -261,7 +261,7 @@
   note(order.server, row, {}, now, effects);
 }
 
-void Rollout::onReport(const ReportAsk& asked, const std::optional<WeightsReport>& report,
+void Rollout::onReport(const ReportRequest& asked, const std::optional<WeightsReport>& report,
                        Instant askedAt, Instant now, RolloutEffects* effects) {
   const auto entry = rows_.find(asked.server);
   if (entry == rows_.end() || entry->second.identity != asked.identity) return;
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -16,13 +16,13 @@
 
 // What became of an order, as far as its answer tells.
 enum class OrderAnswer {
-  Taken,         // it is being done
-  AlreadyHolds,  // the version was there before
-  Busy,          // another is under way
-  Fenced,        // a higher fence was seen there
-  Refused,       // it will not be done: another server is there
-  NotKnown,      // the server knows no such version now; it may learn of it
-  Unclear,       // no answer; it may have been taken
+  Taken,           // it is being done
+  AlreadyHolds,    // the version was there before
+  Busy,            // another is under way
+  Fenced,          // a higher fence was seen there
+  Refused,         // it will not be done: another server is there
+  UnknownVersion,  // the server knows no such version now; it may learn of it
+  Unclear,         // no answer; it may have been taken
 };
 const char* orderAnswerName(OrderAnswer answer);
 
@@ -59,15 +59,15 @@
   Fence fence;
 };
 
-struct ReportAsk {
+struct ReportRequest {
   ServerName server;
   ServerIdentity identity;
 };
 
 struct RolloutEffects {
-  std::vector<WeightsOrder> orders;  // each is answered through onOrderAnswer, in any time
-  std::vector<ReportAsk> questions;  // each is answered through onReport
-  std::vector<ServerNote> notes;     // for all daemons, this one among them
+  std::vector<WeightsOrder> orders;      // each is answered through onOrderAnswer, in any time
+  std::vector<ReportRequest> questions;  // each is answered through onReport
+  std::vector<ServerNote> notes;         // for all daemons, this one among them
 };
 
 class Rollout {
@@ -79,8 +79,8 @@
   void onOrderAnswer(const WeightsOrder& order, OrderAnswer answer, Instant now,
                      RolloutEffects* effects);
   // nullopt: the server gave none.
-  void onReport(const ReportAsk& asked, const std::optional<WeightsReport>& report, Instant askedAt,
-                Instant now, RolloutEffects* effects);
+  void onReport(const ReportRequest& asked, const std::optional<WeightsReport>& report,
+                Instant askedAt, Instant now, RolloutEffects* effects);
 
   // Servers are behind that may be ordered.
   bool wantsLease(const RolloutView& view) const;
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -63,7 +63,7 @@
   reading_ = true;
   const double share =
       settings_.callsPerS /
-      static_cast<double>(std::max<std::size_t>({1, peers.mostKnown, peers.order.size()}));
+      static_cast<double>(std::max<std::size_t>({1, peers.peakPeerCount, peers.order.size()}));
   const auto least = std::chrono::duration<double>(static_cast<double>(callsEach_) / share);
   // Where readings fail, each tries as seldom as its place in the order says.
   nextRead_ =
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -21,7 +21,7 @@
 // known to live at once: cut off from the others, each still keeps to its share of the rate.
 struct ListPeers {
   std::vector<Address> order;
-  std::size_t mostKnown = 1;
+  std::size_t peakPeerCount = 1;
 };
 
 class ServerList {
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -28,8 +28,8 @@
   row.reachedAt = now;
 }
 
-ServerKnown ServerNotes::over(const ServerName& server, const ServerIdentity& identity,
-                              const WeightsVersion& shown, Instant now) const {
+ServerWeightsState ServerNotes::over(const ServerName& server, const ServerIdentity& identity,
+                                     const WeightsVersion& shown, Instant now) const {
   const auto entry = rows_.find(server);
   if (entry == rows_.end() || entry->second.note.identity != identity) return {shown, false};
   const Row& row = entry->second;
@@ -47,7 +47,7 @@
   });
 }
 
-std::optional<Instant> ServerNotes::lastSign(const ModelName& model) const {
+std::optional<Instant> ServerNotes::lastActivity(const ModelName& model) const {
   const auto sign = signs_.find(model);
   if (sign == signs_.end()) return std::nullopt;
   return sign->second;
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -11,7 +11,7 @@
 
 namespace quayrill {
 
-struct ServerKnown {
+struct ServerWeightsState {
   WeightsVersion weights;
   bool switching = false;  // it takes nothing until its weights are there
 };
@@ -20,12 +20,12 @@
  public:
   void take(const ServerNote& note, Instant now);
   // `shown` is what the server's own list row or report says, which may be older than a note.
-  ServerKnown over(const ServerName& server, const ServerIdentity& identity,
-                   const WeightsVersion& shown, Instant now) const;
+  ServerWeightsState over(const ServerName& server, const ServerIdentity& identity,
+                          const WeightsVersion& shown, Instant now) const;
   // Forgets servers that are gone; notes of a life that the list does not show are kept a while.
   void forgetUnlisted(const std::vector<ListRow>& rows, Instant now);
   // The last sign of somebody who orders this model's weights; nullopt: none yet.
-  std::optional<Instant> lastSign(const ModelName& model) const;
+  std::optional<Instant> lastActivity(const ModelName& model) const;
 
  private:
   // The newest note of a server by (fence, sequence): a holder's later one, or a later holder's.
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -22,7 +22,7 @@
   auto result = std::make_shared<std::optional<ChangeOutcome>>();
   timer->expires_at(std::chrono::steady_clock::time_point::max());
   AgentEffects effects;
-  const OperationId operation = core_->askChange(change, BootClock::now(), &effects);
+  const OperationId operation = core_->requestChange(change, BootClock::now(), &effects);
   waiters_[operation] = [timer, result](const ChangeOutcome& done) {
     *result = done;
     timer->cancel();
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -58,9 +58,9 @@
     } else if (rollout.wantsLease(view)) {
       Instant& since = behindSince_.try_emplace(model, now).first->second;
       // As long as somebody tells of its orders, nothing is overdue.
-      const Instant sign = std::max(since, core_->notes().lastSign(model).value_or(since));
-      if (held || core_->mayStepIn(roleOf(model), now - sign, now))
-        core_->pursueLease(key, now, &effects);
+      const Instant sign = std::max(since, core_->notes().lastActivity(model).value_or(since));
+      if (held || core_->mayTakeOverRole(roleOf(model), now - sign, now))
+        core_->tryAcquireLease(key, now, &effects);
     } else {
       behindSince_.erase(model);
       if (held && rollout.isIdle()) core_->releaseLease(key, now, &effects);
@@ -74,11 +74,11 @@
 
 void Agent::applyRollout(const ModelName& model, const RolloutEffects& made, Instant now) {
   AgentEffects effects;
-  for (const ServerNote& note : made.notes) core_->tellNote(note, now, &effects);
+  for (const ServerNote& note : made.notes) core_->broadcastNote(note, now, &effects);
   apply(std::move(effects));
   for (const WeightsOrder& order : made.orders)
     asio::co_spawn(io_, orderServer(model, order, now), asio::detached);
-  for (const ReportAsk& asked : made.questions)
+  for (const ReportRequest& asked : made.questions)
     asio::co_spawn(io_, askReport(model, asked), asio::detached);
 }
 
@@ -110,7 +110,7 @@
   applyRollout(model, made, now);
 }
 
-awaitable<void> Agent::askReport(ModelName model, ReportAsk asked) {
+awaitable<void> Agent::askReport(ModelName model, ReportRequest asked) {
   const Instant askedAt = BootClock::now();
   const Address address{asked.server.value};
   const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportDue);
--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -235,7 +235,7 @@
   }
 
   void step() {
-    askChange();
+    requestChange();
     world_.run(kStep);
     for (Loss& loss : losses_) follow(loss);
     const bool repaired = isRepaired();
@@ -256,7 +256,7 @@
   }
 
   // One operator who asks an edge for the next change as soon as the last one was answered.
-  void askChange() {
+  void requestChange() {
     if (asked_ != 0 && !world_.asked(asked_).done) return;
     if (asked_ != 0 && world_.asked(asked_).done->result == ChangeResult::Chosen) {
       const Span at = world_.asked(asked_).doneAt->time_since_epoch();
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -271,7 +271,7 @@
   ++machine.diskLife;
   machine.diskBusy = false;
   AgentEffects effects;
-  if (!machine.core->onDiskReadAnew(machine.synced, &effects))
+  if (!machine.core->onDiskReloaded(machine.synced, &effects))
     violate("a mended disk could not be read anew");
   apply(index, std::move(effects));
 }
@@ -301,7 +301,7 @@
   asked_.push_back({asked_.size() + 1, index, change, now_, {}, {}});
   const std::uint64_t id = asked_.size();
   AgentEffects effects;
-  const OperationId operation = machine.core->askChange(change, local(machine), &effects);
+  const OperationId operation = machine.core->requestChange(change, local(machine), &effects);
   pending_[{index, operation}] = id;
   apply(index, std::move(effects));
   return id;
@@ -325,8 +325,8 @@
     case Kind::Tick: {
       machine.core->onTick(local(machine), &effects);
       for (const std::string& role : roles_) {
-        if (machine.core->isMine(role, local(machine)))
-          machine.core->pursueLease(RegisterKey{"hold/" + role}, local(machine), &effects);
+        if (machine.core->ownsRole(role, local(machine)))
+          machine.core->tryAcquireLease(RegisterKey{"hold/" + role}, local(machine), &effects);
       }
       schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.life, {}, {}});
       break;
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("news: a source is live while its version rises, and an echo revives nobody") {
-  News news(kSelf, 1);
+  Gossip news(kSelf, 1);
   Instant now{1s};
   news.take({{newsOf(member(2), 1, 5)}}, now);
   CHECK(news.isLive(member(2), now + 5s));
@@ -111,7 +111,7 @@
 }
 
 TEST_CASE("news: only what is lacked is pulled") {
-  News news(kSelf, 1);
+  Gossip news(kSelf, 1);
   news.take({{newsOf(member(2), 1, 5), newsOf(member(3), 2, 1)}}, Instant{1s});
   NewsAsk ask;
   ask.known = {{member(2), {Incarnation{1}, 5}}, {member(3), {Incarnation{1}, 99}}};
@@ -122,7 +122,7 @@
 }
 
 TEST_CASE("news: a restarted daemon outlives the version of its former life") {
-  News news(kSelf, 2);
+  Gossip news(kSelf, 2);
   news.beat(Instant{1s});
   news.take({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
   const auto own = news.item(kSelf);
@@ -161,7 +161,7 @@
     return {{}, role, ChangeResult::Chosen, value, {}, {}};
   }
   void step(Leases& holds, Instant now) {
-    if (const auto asked = holds.pursue(role, now)) holds.onDone(answer(*asked), now);
+    if (const auto asked = holds.tryAcquire(role, now)) holds.onDone(answer(*asked), now);
   }
 };
 }  // namespace
@@ -209,7 +209,7 @@
   step(second);
   CHECK(second.held(script.role, 0s, now) == Fence{2});
   now += 2s;
-  const auto renewal = second.pursue(script.role, now);
+  const auto renewal = second.tryAcquire(script.role, now);
   REQUIRE(renewal);
   second.onDone({{}, script.role, ChangeResult::Unknown, {}, {}, {}}, now);
   CHECK(second.held(script.role, 0s, now));  // the old term still runs
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -199,7 +199,7 @@
 TEST_CASE("capacity: news of daemons", "[.][capacity]") {
   for (const std::size_t count : {13U, 100U, 340U}) {
     const std::size_t before = heapBytes();
-    auto news = std::make_unique<News>(Address{"10.0.0.1:7100"}, 1);
+    auto news = std::make_unique<Gossip>(Address{"10.0.0.1:7100"}, 1);
     NewsAnswer answer;
     for (std::size_t i = 1; i < count; ++i) {
       NewsItem item;
--- a/tests/freshness_tests.cpp
+++ b/tests/freshness_tests.cpp
@@ -52,7 +52,7 @@
   void round(const std::set<StoreId>& mute = {}) {
     deliver(freshness.begin(now, false, false), mute);
     for (int i = 0; i < 4; ++i) {
-      deliver(freshness.widen(now), mute);
+      deliver(freshness.widenRound(now), mute);
       now += 50ms;
     }
     now += 50ms;
@@ -82,7 +82,7 @@
   for (int i = 0; i < 20; ++i) fleet.round();
   CHECK(fleet.freshness.configuration().value.version == 1);
   CHECK(fleet.bodies == 1);
-  CHECK(fleet.freshness.wantsSettling(fleet.now, 500ms) == kConfigurationKey);
+  CHECK(fleet.freshness.keyToSettle(fleet.now, 500ms) == kConfigurationKey);
 }
 
 TEST_CASE("freshness: a body that does not come is asked of the others") {
@@ -94,7 +94,7 @@
   while (fleet.now - began < 4s && fleet.freshness.configuration().value.version == 0) {
     fleet.deliver(fleet.freshness.begin(fleet.now, false, false));
     for (int i = 0; i < 4; ++i) {
-      Freshness::Sends sends = fleet.freshness.widen(fleet.now);
+      Freshness::Sends sends = fleet.freshness.widenRound(fleet.now);
       std::erase_if(sends, [&](const auto& send) {
         const auto& confirm = std::get<Confirm>(send.second);
         if (confirm.wantsBodies) asked.insert(confirm.store);
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -70,7 +70,7 @@
     for (int i = 0; i < rounds; ++i) {
       for (const NewsItem& item : live) {
         if (!item.proxyAddress.empty() && !dead.contains(item.source))
-          at(item.source.value).takeOwn({{{ServerName{"m"}, requests, 100}}, {}});
+          at(item.source.value).addOwnReport({{{ServerName{"m"}, requests, 100}}, {}});
       }
       round();
     }
@@ -127,8 +127,8 @@
 TEST_CASE("exchange: cache events reach every data plane once") {
   Fleet fleet;
   fleet.reportedRounds(3, 1);
-  fleet.at("s2").takeOwn({{}, {batchOf("a", 5, 9)}});
-  fleet.at("n1").takeOwn({{}, {batchOf("b", 0, 3)}});
+  fleet.at("s2").addOwnReport({{}, {batchOf("a", 5, 9)}});
+  fleet.at("n1").addOwnReport({{}, {batchOf("b", 0, 3)}});
   fleet.reportedRounds(6, 1);
   for (const char* edge : {"n1", "n2", "n3", "s1", "s2", "s3"}) {
     CHECK(fleet.batchesTold(edge, "a") == 1);
@@ -162,7 +162,7 @@
   PlaneExchange exchange(Address{"n1"}, "north");
   const Instant now{100s};
   for (int i = 0; i < 5000; ++i) {
-    exchange.takeOwn({{}, {batchOf("a", 0, 1)}});
+    exchange.addOwnReport({{}, {batchOf("a", 0, 1)}});
     exchange.onReport(Address{"n2"}, {{}, {batchOf("b", 0, 1)}}, now);
     exchange.onDigest({"south", 0, {}, {batchOf("c", 0, 1)}}, now);
     exchange.onDigest({"", 0, {}, {}}, now);
--- a/tests/platform_servers_tests.cpp
+++ b/tests/platform_servers_tests.cpp
@@ -112,7 +112,7 @@
   CHECK(platform::readOrderAnswer(200) == OrderAnswer::AlreadyHolds);
   CHECK(platform::readOrderAnswer(409) == OrderAnswer::Busy);
   CHECK(platform::readOrderAnswer(412) == OrderAnswer::Fenced);
-  CHECK(platform::readOrderAnswer(400) == OrderAnswer::NotKnown);
+  CHECK(platform::readOrderAnswer(400) == OrderAnswer::UnknownVersion);
   CHECK(platform::readOrderAnswer(421) == OrderAnswer::Refused);
   for (const unsigned status : {404U, 429U, 500U, 502U, 503U, 504U})
     CHECK(platform::readOrderAnswer(status) == OrderAnswer::Unclear);
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -206,8 +206,8 @@
     const std::size_t first = holder();
     REQUIRE(first < 4);
     for (std::size_t edge = 4; edge < world.size(); ++edge) {
-      CHECK_FALSE(world.core(edge).isMine("orders/x", world.localNow(edge)));
-      CHECK_FALSE(world.core(edge).mayStepIn("orders/x", 60s, world.localNow(edge)));
+      CHECK_FALSE(world.core(edge).ownsRole("orders/x", world.localNow(edge)));
+      CHECK_FALSE(world.core(edge).mayTakeOverRole("orders/x", 60s, world.localNow(edge)));
     }
     for (std::size_t edge = 4; edge < 10; ++edge) {
       world.crash(edge, false);
--- a/tests/rollout_order_tests.cpp
+++ b/tests/rollout_order_tests.cpp
@@ -110,7 +110,7 @@
     rollout.onTick(view, now, &made);
     if (made.orders.empty()) continue;
     ordered.push_back(now);
-    rollout.onOrderAnswer(made.orders[0], OrderAnswer::NotKnown, now, &made);
+    rollout.onOrderAnswer(made.orders[0], OrderAnswer::UnknownVersion, now, &made);
     CHECK(rollout.isIdle());
     CHECK(rollout.wantsLease(view));
   }
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -42,8 +42,8 @@
   ServerNotes notes;
   std::optional<Fence> fence;
   bool up = true;
-  std::vector<std::pair<Instant, WeightsOrder>> calls;                  // open orders
-  std::vector<std::pair<Instant, std::pair<ReportAsk, Instant>>> asks;  // open questions
+  std::vector<std::pair<Instant, WeightsOrder>> calls;                      // open orders
+  std::vector<std::pair<Instant, std::pair<ReportRequest, Instant>>> asks;  // open questions
 };
 
 struct Bench {
@@ -106,7 +106,7 @@
   void apply(Holder& holder, const RolloutEffects& made) {
     for (const WeightsOrder& order : made.orders)
       holder.calls.push_back({now + (at(order.server).mute ? kOrderDue : 5ms), order});
-    for (const ReportAsk& ask : made.questions) {
+    for (const ReportRequest& ask : made.questions) {
       holder.asks.push_back({now + 5ms, {ask, now}});
       ++questions;
     }
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -30,7 +30,7 @@
   CHECK(notes.over(server, life, one, now + 2s).weights == two);
   CHECK(notes.over(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
   CHECK_FALSE(notes.over(server, ServerIdentity{"next"}, one, now + 2s).switching);
-  CHECK(notes.lastSign(kModel) == now + 2s);
+  CHECK(notes.lastActivity(kModel) == now + 2s);
 }
 
 TEST_CASE("notes: versions without an order are believed only until the list must show them") {
