--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -179,7 +179,7 @@
     sources.push_back({ServerName{store.address.value}, store.zone});
   }
   const bool isShared = settings_.mechanisms.has(Mechanism::SharedEvents);
-  eventSources_ = isShared ? core_->eventSources(sources, now) : allOf(sources);
+  eventSources_ = isShared ? core_->eventSources(sources, now) : namesOf(sources);
 }
 
 awaitable<void> Agent::tickLoop() {
--- a/src/agent/core/event_sources.cpp
+++ b/src/agent/core/event_sources.cpp
@@ -25,7 +25,7 @@
   return own;
 }
 
-std::vector<ServerName> allOf(const std::vector<EventSource>& sources) {
+std::vector<ServerName> namesOf(const std::vector<EventSource>& sources) {
   std::vector<ServerName> names;
   for (const EventSource& source : sources) names.push_back(source.name);
   return names;
--- a/src/agent/core/event_sources.h
+++ b/src/agent/core/event_sources.h
@@ -19,6 +19,6 @@
 // ones may both read a source, or neither, until they agree.
 std::vector<ServerName> sourcesOf(const Address& self, const std::vector<NewsItem>& live,
                                   const std::vector<EventSource>& sources);
-std::vector<ServerName> allOf(const std::vector<EventSource>& sources);
+std::vector<ServerName> namesOf(const std::vector<EventSource>& sources);
 
 }  // namespace quayrill
