--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -203,7 +203,7 @@
 std::vector<ServerName> AgentCore::eventSources(const std::vector<EventSource>& sources,
                                                 Instant now) const {
   if (!hasHeardOfOthers(now)) return {};
-  return sourcesOf(settings_.self, news_.live(now), sources);
+  return assignedEventSources(settings_.self, news_.live(now), sources);
 }
 
 std::vector<Address> AgentCore::staying(Instant now) const {
--- a/src/agent/core/event_sources.cpp
+++ b/src/agent/core/event_sources.cpp
@@ -6,8 +6,8 @@
 
 namespace quayrill {
 
-std::vector<ServerName> sourcesOf(const Address& self, const std::vector<NewsItem>& live,
-                                  const std::vector<EventSource>& sources) {
+std::vector<ServerName> assignedEventSources(const Address& self, const std::vector<NewsItem>& live,
+                                             const std::vector<EventSource>& sources) {
   std::map<std::string, std::vector<Address>> readersOfZone;
   std::vector<Address> readers;
   for (const NewsItem& item : live) {
--- a/src/agent/core/event_sources.h
+++ b/src/agent/core/event_sources.h
@@ -17,8 +17,8 @@
 // Those that fall to `self` by rendezvous over the live daemons with a data plane: the ones in the
 // source's zone, else all. Daemons that leave read nothing. Two daemons that know different live
 // ones may both read a source, or neither, until they agree.
-std::vector<ServerName> sourcesOf(const Address& self, const std::vector<NewsItem>& live,
-                                  const std::vector<EventSource>& sources);
+std::vector<ServerName> assignedEventSources(const Address& self, const std::vector<NewsItem>& live,
+                                             const std::vector<EventSource>& sources);
 std::vector<ServerName> namesOf(const std::vector<EventSource>& sources);
 
 }  // namespace quayrill
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -184,7 +184,7 @@
                                                                          : "west"});
   std::map<ServerName, std::vector<std::string>> readers;
   for (const NewsItem& item : fleet.live) {
-    for (const ServerName& source : sourcesOf(item.source, fleet.live, sources))
+    for (const ServerName& source : assignedEventSources(item.source, fleet.live, sources))
       readers[source].push_back(item.source.value);
   }
   CHECK(readers.size() == sources.size());
@@ -204,6 +204,6 @@
                                          {ServerName{"m4"}, "south"}};
   for (NewsItem& item : fleet.live) item.leaving = item.source.value == "s1";
   std::erase_if(fleet.live, [](const NewsItem& item) { return item.source.value == "s2"; });
-  CHECK(sourcesOf(Address{"s3"}, fleet.live, sources).size() == 4);
-  CHECK(sourcesOf(Address{"s1"}, fleet.live, sources).empty());
+  CHECK(assignedEventSources(Address{"s3"}, fleet.live, sources).size() == 4);
+  CHECK(assignedEventSources(Address{"s1"}, fleet.live, sources).empty());
 }
