--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -317,7 +317,7 @@
                     [&](const ReplicaMember& member) { return member.store == item.store; });
     if (item.store.value != 0 && !isIn)
       effects->sends.push_back(
-          {settings_.self, item.source, freshness_.question(item.store, false)});
+          {settings_.self, item.source, freshness_.confirmRequest(item.store, false)});
   }
 }
 
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -50,7 +50,7 @@
   }
 }
 
-Confirm Freshness::question(StoreId store, bool wantsKeys) const {
+Confirm Freshness::confirmRequest(StoreId store, bool wantsKeys) const {
   return {sequence_,
           store,
           {{kReplicaSetKey, replicaSetValue_.ballot}, {kConfigurationKey, configuration_.ballot}},
@@ -76,7 +76,7 @@
   Sends sends;
   for (const ReplicaMember& member : order) {
     round.asked.insert(member.store);
-    sends.emplace_back(member, question(member.store, round.wantsKeys));
+    sends.emplace_back(member, confirmRequest(member.store, round.wantsKeys));
   }
   return sends;
 }
@@ -95,7 +95,7 @@
   }
   for (const ReplicaMember& member : replicas_.members) {
     if (round.asked.insert(member.store).second)
-      sends.emplace_back(member, question(member.store, round.wantsKeys));
+      sends.emplace_back(member, confirmRequest(member.store, round.wantsKeys));
   }
   return sends;
 }
@@ -162,7 +162,7 @@
   bodyHolders_.clear();
   for (const ReplicaMember& member : replicas_.members) {
     if (member.store != chosen) continue;
-    Confirm asked = question(member.store, false);
+    Confirm asked = confirmRequest(member.store, false);
     asked.wantsBodies = true;
     sends->emplace_back(member, asked);
   }
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -37,7 +37,7 @@
   // The rest of the newest round's replicas, once an answer is overdue or shows something newer,
   // and one replica for a body that is lacking.
   Sends widenRound(Instant now);
-  Confirm question(StoreId store, bool wantsKeys) const;
+  Confirm confirmRequest(StoreId store, bool wantsKeys) const;
   void onAnswer(const ConfirmAnswer& answer, Instant now);
   // A value that a round of this daemon's own proposer proved chosen.
   void learnChosen(const RegisterKey& key, const ChosenValue& chosen);
