--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -140,7 +140,8 @@
                              << ": upgrade this daemon";
     return;
   }
-  core_->nameWeights(parsed->weights, configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
+  core_->onWeightsConfigured(parsed->weights,
+                             configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
   configuration_ = std::move(*parsed);
   configurationVersion_ = value.version;
   ++counters_.configurationChanges;
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -112,8 +112,8 @@
   const ServerNotes& notes() const { return notes_; }
   // The configuration in force names these weights. `confirmedAt`: when the one before it was
   // certainly still the newest.
-  void nameWeights(const std::map<ModelName, WeightsVersion>& weights,
-                   std::optional<Instant> confirmedAt) {
+  void onWeightsConfigured(const std::map<ModelName, WeightsVersion>& weights,
+                           std::optional<Instant> confirmedAt) {
     weights_.onConfiguration(weights, confirmedAt);
   }
   // Weights that were superseded before `before` are used no more.
