--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -338,7 +338,7 @@
   own.leaving = leaving_;
   own.fleet = replica_ ? replica_->replicas().fleet : 0;
   news_.setOwnState(own);
-  news_.beat(now);
+  news_.advanceHeartbeat(now);
   if (isUrgent && replica_) tellStoreHolders(now, effects);
 }
 
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/news.cpp
@@ -26,7 +26,7 @@
   own_.nonce = nonce;
 }
 
-void Gossip::beat(Instant now) {
+void Gossip::advanceHeartbeat(Instant now) {
   ++own_.version.counter;
   std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kKeepSpan; });
 }
--- a/src/agent/core/news.h
+++ b/src/agent/core/news.h
@@ -16,7 +16,7 @@
 
   // The own item's fields but for its version, which only this class moves.
   void setOwnState(const NewsItem& item);
-  void beat(Instant now);
+  void advanceHeartbeat(Instant now);
   NewsAsk ask() const;
   NewsAnswer answer(const NewsAsk& ask);
   void take(const NewsAnswer& answer, Instant now);
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -123,7 +123,7 @@
 
 TEST_CASE("news: a restarted daemon outlives the version of its former life") {
   Gossip news(kSelf, 2);
-  news.beat(Instant{1s});
+  news.advanceHeartbeat(Instant{1s});
   news.take({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
   const auto own = news.item(kSelf);
   CHECK(own->version > NewsVersion{Incarnation{3}, 400});
