--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -279,7 +279,7 @@
   // How old a told row may be is for the reader of listedAgoMicros to say.
   state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kHealthySpan);
   const ServerWeightsState known =
-      core_->notes().over(state.name, state.identity, state.weights, now);
+      core_->notes().overlay(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
   state.switching = known.switching;
   if (row.listed.told && configuration_) {
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -28,8 +28,8 @@
   row.reachedAt = now;
 }
 
-ServerWeightsState ServerNotes::over(const ServerName& server, const ServerIdentity& identity,
-                                     const WeightsVersion& shown, Instant now) const {
+ServerWeightsState ServerNotes::overlay(const ServerName& server, const ServerIdentity& identity,
+                                        const WeightsVersion& shown, Instant now) const {
   const auto entry = rows_.find(server);
   if (entry == rows_.end() || entry->second.note.identity != identity) return {shown, false};
   const Row& row = entry->second;
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -20,8 +20,8 @@
  public:
   void take(const ServerNote& note, Instant now);
   // `shown` is what the server's own list row or report says, which may be older than a note.
-  ServerWeightsState over(const ServerName& server, const ServerIdentity& identity,
-                          const WeightsVersion& shown, Instant now) const;
+  ServerWeightsState overlay(const ServerName& server, const ServerIdentity& identity,
+                             const WeightsVersion& shown, Instant now) const;
   // Forgets servers that are gone; notes of a life that the list does not show are kept a while.
   void forgetUnlisted(const std::vector<ListRow>& rows, Instant now);
   // The last sign of somebody who orders this model's weights; nullopt: none yet.
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -124,7 +124,7 @@
       for (const Played& server : servers) {
         const auto shown = std::to_string(server.asOf(now - kListLag).first);
         const auto known =
-            holder.notes.over(server.name, server.identity, WeightsVersion{shown}, now);
+            holder.notes.overlay(server.name, server.identity, WeightsVersion{shown}, now);
         view.servers.push_back(
             {server.name, server.identity, known.weights, !server.leaving, known.switching});
       }
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -17,19 +17,19 @@
   const ServerIdentity life{"i"};
   const WeightsVersion one{"1"}, two{"2"}, ten{"10"};
   notes.take({server, life, kModel, {}, true, Fence{3}, 1}, now);
-  CHECK(notes.over(server, life, one, now).switching);
-  CHECK(notes.over(server, life, one, now).weights == one);
-  CHECK_FALSE(notes.over(server, life, one, now + 3s).switching);
+  CHECK(notes.overlay(server, life, one, now).switching);
+  CHECK(notes.overlay(server, life, one, now).weights == one);
+  CHECK_FALSE(notes.overlay(server, life, one, now + 3s).switching);
   notes.take({server, life, kModel, two, false, Fence{3}, 2}, now + 1s);
   notes.take({server, life, kModel, {}, true, Fence{3}, 1}, now + 1s);  // late
-  CHECK_FALSE(notes.over(server, life, one, now + 1s).switching);
-  CHECK(notes.over(server, life, one, now + 30s).weights == two);
-  CHECK(notes.over(server, life, ten, now + 30s).weights == ten);
+  CHECK_FALSE(notes.overlay(server, life, one, now + 1s).switching);
+  CHECK(notes.overlay(server, life, one, now + 30s).weights == two);
+  CHECK(notes.overlay(server, life, ten, now + 30s).weights == ten);
   // The next order says nothing of its weights, so those reached before stay known.
   notes.take({server, life, kModel, {}, true, Fence{4}, 1}, now + 2s);
-  CHECK(notes.over(server, life, one, now + 2s).weights == two);
-  CHECK(notes.over(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
-  CHECK_FALSE(notes.over(server, ServerIdentity{"next"}, one, now + 2s).switching);
+  CHECK(notes.overlay(server, life, one, now + 2s).weights == two);
+  CHECK(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
+  CHECK_FALSE(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).switching);
   CHECK(notes.lastActivity(kModel) == now + 2s);
 }
 
@@ -43,7 +43,7 @@
       {ServerName{"s"}, ServerIdentity{"i"}, kModel, WeightsVersion{"w1"}, false, Fence{3}, 1},
       now);
   const auto weights = [&](Span later) {
-    return notes.over(ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"w0"}, now + later)
+    return notes.overlay(ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"w0"}, now + later)
         .weights;
   };
   CHECK(weights(1s) == WeightsVersion{"w1"});
