--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -171,7 +171,7 @@
   if (!row.open && !row.asking && !row.again && now >= row.nextQuestion) {
     row.asking = true;
     row.nextQuestion = now + kQuestionEvery;
-    effects->questions.push_back({server.name, row.identity});
+    effects->reportRequests.push_back({server.name, row.identity});
   }
 }
 
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -65,9 +65,9 @@
 };
 
 struct RolloutEffects {
-  std::vector<WeightsOrder> orders;      // each is answered through onOrderAnswer, in any time
-  std::vector<ReportRequest> questions;  // each is answered through onReport
-  std::vector<ServerNote> notes;         // for all daemons, this one among them
+  std::vector<WeightsOrder> orders;           // each is answered through onOrderAnswer, in any time
+  std::vector<ReportRequest> reportRequests;  // each is answered through onReport
+  std::vector<ServerNote> notes;              // for all daemons, this one among them
 };
 
 class Rollout {
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -78,7 +78,7 @@
   apply(std::move(effects));
   for (const WeightsOrder& order : made.orders)
     asio::co_spawn(io_, orderServer(model, order, now), asio::detached);
-  for (const ReportRequest& asked : made.questions)
+  for (const ReportRequest& asked : made.reportRequests)
     asio::co_spawn(io_, askReport(model, asked), asio::detached);
 }
 
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -106,9 +106,9 @@
   void apply(Holder& holder, const RolloutEffects& made) {
     for (const WeightsOrder& order : made.orders)
       holder.calls.push_back({now + (at(order.server).mute ? kOrderDue : 5ms), order});
-    for (const ReportRequest& ask : made.questions) {
+    for (const ReportRequest& ask : made.reportRequests) {
       holder.asks.push_back({now + 5ms, {ask, now}});
-      ++questions;
+      ++reportRequests;
     }
     for (const ServerNote& note : made.notes) {
       for (Holder& other : holders) other.notes.take(note, now);
@@ -200,7 +200,7 @@
   std::deque<Holder> holders;
   std::vector<std::pair<Instant, Fence>> arrivals;
   std::vector<OrderAnswer> answers;
-  std::size_t mostSwitching = 0, orders = 0, questions = 0, noteCount = 0;
+  std::size_t mostSwitching = 0, orders = 0, reportRequests = 0, noteCount = 0;
   int losesOrder = 0, losesAnswer = 0, refusals = 0;
   bool refusesReports = false;
 };
--- a/tests/rollout_tests.cpp
+++ b/tests/rollout_tests.cpp
@@ -18,7 +18,7 @@
     bench.run(5s);
     CHECK(bench.orders == 18);
     CHECK(bench.holders[0].rollout.isIdle());
-    CHECK(bench.questions <= 18 * 14);
+    CHECK(bench.reportRequests <= 18 * 14);
   }
 }
 
