--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -26,7 +26,7 @@
       firstSeeds_(settings_.seeds),
       random_(settings_.nonce),
       membership_(settings_.self, settings_.seeds, settings_.nonce + 1),
-      news_(settings_.self, settings_.nonce),
+      gossip_(settings_.self, settings_.nonce),
       freshness_(settings_.nonce),
       proposer_(ProposerId{settings_.nonce}, settings_.nonce + 2),
       leases_(settings_.self, settings_.nonce, settings_.leaseSpan),
@@ -124,9 +124,9 @@
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
   std::vector<ChangeOutcome> done;
   if (const auto* ask = std::get_if<NewsAsk>(&envelope.body)) {
-    effects->sends.push_back({settings_.self, envelope.from, news_.answer(*ask)});
+    effects->sends.push_back({settings_.self, envelope.from, gossip_.answer(*ask)});
   } else if (const auto* answer = std::get_if<NewsAnswer>(&envelope.body)) {
-    news_.take(*answer, now);
+    gossip_.take(*answer, now);
   } else if (const auto* listAsk = std::get_if<ListAsk>(&envelope.body)) {
     std::vector<Envelope> sends;
     list_.onAsk(envelope.from, *listAsk, now, &sends);
@@ -203,13 +203,13 @@
 std::vector<ServerName> AgentCore::eventSources(const std::vector<EventSource>& sources,
                                                 Instant now) const {
   if (!hasHeardOfOthers(now)) return {};
-  return assignedEventSources(settings_.self, news_.live(now), sources);
+  return assignedEventSources(settings_.self, gossip_.live(now), sources);
 }
 
 std::vector<Address> AgentCore::staying(Instant now) const {
   std::vector<Address> live;
   if (!hasHeardOfOthers(now)) return live;
-  for (const NewsItem& item : news_.live(now)) {
+  for (const NewsItem& item : gossip_.live(now)) {
     if (!item.leaving && item.store.value != 0) live.push_back(item.source);
   }
   return live;
@@ -241,15 +241,15 @@
   if (now >= nextListPeers_) {
     nextListPeers_ = now + 400ms;
     std::set<Address> first(settings_.seeds.begin(), settings_.seeds.end()), then;
-    const std::vector<NewsItem> live = news_.live(now);
+    const std::vector<NewsItem> live = gossip_.live(now);
     for (const NewsItem& item : live) {
       first.erase(item.source);
       if (item.leaving) continue;
       (item.store.value != 0 ? first : then).insert(item.source);
     }
     for (const Address& seed : settings_.seeds) {
-      const auto item = news_.item(seed);
-      if (item && !news_.isLive(seed, now)) first.erase(seed);  // it was known, and is gone
+      const auto item = gossip_.item(seed);
+      if (item && !gossip_.isLive(seed, now)) first.erase(seed);  // it was known, and is gone
     }
     listPeers_.order = rendezvousOrder("list", {first.begin(), first.end()});
     const auto rest = rendezvousOrder("list", {then.begin(), then.end()});
@@ -277,7 +277,7 @@
 
 void AgentCore::broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects) {
   notes_.take(note, now);
-  for (const NewsItem& item : news_.live(now)) {
+  for (const NewsItem& item : gossip_.live(now)) {
     if (item.source != settings_.self)
       effects->sends.push_back({settings_.self, item.source, note});
   }
@@ -311,7 +311,7 @@
   const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
   sendAll(freshness_.begin(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
-  for (const NewsItem& item : news_.live(now)) {
+  for (const NewsItem& item : gossip_.live(now)) {
     const bool isIn =
         std::any_of(replicas.members.begin(), replicas.members.end(),
                     [&](const ReplicaMember& member) { return member.store == item.store; });
@@ -325,7 +325,7 @@
 // an earlier life of its own.
 void AgentCore::tickNews(Instant now, AgentEffects* effects) {
   const StoreId store = replica_ && replica_->isVoting() ? replica_->store() : StoreId{};
-  const Told told{leaving_, store, news_.item(settings_.self)->version.incarnation};
+  const Told told{leaving_, store, gossip_.item(settings_.self)->version.incarnation};
   const bool isUrgent = told != told_;
   if (now < nextBeat_ && !isUrgent) return;
   nextBeat_ = now + 1s;
@@ -337,19 +337,19 @@
   own.configurationInForce = ConfigurationVersion{freshness_.configuration().value.version};
   own.leaving = leaving_;
   own.fleet = replica_ ? replica_->replicas().fleet : 0;
-  news_.setOwnState(own);
-  news_.advanceHeartbeat(now);
+  gossip_.setOwnState(own);
+  gossip_.advanceHeartbeat(now);
   if (isUrgent && replica_) tellStoreHolders(now, effects);
 }
 
 void AgentCore::tellStoreHolders(Instant now, AgentEffects* effects) {
   std::set<Address> holders(settings_.seeds.begin(), settings_.seeds.end());
   for (const ReplicaMember& member : freshness_.replicas().members) holders.insert(member.address);
-  for (const NewsItem& item : news_.live(now)) {
+  for (const NewsItem& item : gossip_.live(now)) {
     if (item.store.value != 0) holders.insert(item.source);
   }
   holders.erase(settings_.self);
-  const NewsAnswer told{{*news_.item(settings_.self)}};
+  const NewsAnswer told{{*gossip_.item(settings_.self)}};
   for (const Address& holder : holders) effects->sends.push_back({settings_.self, holder, told});
 }
 
@@ -360,10 +360,11 @@
   if (now >= nextPull_) {
     nextPull_ = now + 400ms;
     const Address neighbour = membership_.randomNeighbour();
-    if (neighbour != Address{}) effects->sends.push_back({settings_.self, neighbour, news_.ask()});
+    if (neighbour != Address{})
+      effects->sends.push_back({settings_.self, neighbour, gossip_.ask()});
   }
   tickList(now, effects);
-  if (exchange_.isDue(now)) exchange_.onTick(news_.live(now), now, &effects->sends);
+  if (exchange_.isDue(now)) exchange_.onTick(gossip_.live(now), now, &effects->sends);
   tickFounding(now, effects);
   tickConfirm(now, effects);
   // Machines that keep a store settle a value first: the others are many.
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -128,7 +128,7 @@
   // would read everything.
   std::vector<ServerName> eventSources(const std::vector<EventSource>& sources, Instant now) const;
   const Freshness& freshness() const { return freshness_; }
-  std::vector<NewsItem> live(Instant now) const { return news_.live(now); }
+  std::vector<NewsItem> live(Instant now) const { return gossip_.live(now); }
   const AgentSettings& settings() const { return settings_; }
   StoreId store() const { return replica_ ? replica_->store() : StoreId{}; }
   bool isWritable() const { return replica_ && replica_->isVoting(); }
@@ -205,7 +205,7 @@
   std::mt19937_64 random_;
   std::optional<RegisterReplica> replica_;
   Membership membership_;
-  Gossip news_;
+  Gossip gossip_;
   Freshness freshness_;
   Proposer proposer_;
   Leases leases_;
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -19,13 +19,13 @@
 
 // The zone is the daemon's own word; it is kept for some minutes after its last.
 Site AgentCore::siteOf(const Address& address) const {
-  const auto item = news_.item(address);
+  const auto item = gossip_.item(address);
   const std::string zone = item ? item->zone : "";
   return {zone, settings_.topology.regionOf(zone)};
 }
 
 bool AgentCore::isLeaving(const ReplicaMember& member) const {
-  const auto item = news_.item(member.address);
+  const auto item = gossip_.item(member.address);
   return item && item->leaving && item->store == member.store;
 }
 
@@ -117,7 +117,7 @@
     if (now - contact.steadySince < returns * kSteadyPerReturn) continue;
     // Of another fleet: it has not heard of this one yet.
     if (contact.fleet != 0 && contact.fleet != replicas.fleet) continue;
-    const auto item = news_.item(contact.address);
+    const auto item = gossip_.item(contact.address);
     if (item && item->leaving) continue;
     bool isIn = false, isSuccessor = false;
     for (const ReplicaMember& member : replicas.members) {
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -61,7 +61,7 @@
   next.epoch = Epoch{next.epoch.value + 1};
   next.settled = false;
   // A store that moved to another address stays the same voter: write its new address down.
-  for (const NewsItem& item : news_.live(now)) {
+  for (const NewsItem& item : gossip_.live(now)) {
     if (item.store.value == 0 || item.leaving) continue;
     for (ReplicaMember& member : next.members) {
       if (member.store != item.store || member.address == item.source) continue;
