--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -7,9 +7,9 @@
 
 #include "agent/core/event_sources.h"
 #include "agent/core/freshness.h"
+#include "agent/core/gossip.h"
 #include "agent/core/leases.h"
 #include "agent/core/membership.h"
-#include "agent/core/news.h"
 #include "agent/core/plane_exchange.h"
 #include "agent/core/server_list.h"
 #include "agent/core/server_notes.h"
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/gossip.cpp
@@ -1,4 +1,4 @@
-#include "agent/core/news.h"
+#include "agent/core/gossip.h"
 
 #include <algorithm>
 
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -3,10 +3,10 @@
 
 #include <set>
 
+#include "agent/core/gossip.h"
 #include "agent/core/leader_roles.h"
 #include "agent/core/leases.h"
 #include "agent/core/membership.h"
-#include "agent/core/news.h"
 #include "agent/core/server_list.h"
 #include "base/decision_log.h"
 
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "agent/core/news.h"
+#include "agent/core/gossip.h"
 #include "agent/snapshot.h"
 #include "base/digest.h"
 #include "configuration/configuration.h"
