--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -309,7 +309,7 @@
     if (row.state) snapshot.servers.push_back(toSnapshot(stateOf(row, now), now));
   }
   snapshot.eventSources = eventSources_;
-  snapshot.superseded = core_->weights().tell(now);
+  snapshot.superseded = core_->weights().report(now);
   return snapshot;
 }
 
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -124,9 +124,9 @@
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
   std::vector<ChangeOutcome> done;
   if (const auto* ask = std::get_if<NewsAsk>(&envelope.body)) {
-    effects->sends.push_back({settings_.self, envelope.from, gossip_.answer(*ask)});
+    effects->sends.push_back({settings_.self, envelope.from, gossip_.answerRequest(*ask)});
   } else if (const auto* answer = std::get_if<NewsAnswer>(&envelope.body)) {
-    gossip_.take(*answer, now);
+    gossip_.onAnswer(*answer, now);
   } else if (const auto* listAsk = std::get_if<ListAsk>(&envelope.body)) {
     std::vector<Envelope> sends;
     list_.onAsk(envelope.from, *listAsk, now, &sends);
@@ -134,10 +134,10 @@
   } else if (const auto* told = std::get_if<ListAnswer>(&envelope.body)) {
     std::vector<Envelope> sends;
     if (const auto toldAt = list_.onAnswer(*told, now, &sends))
-      weights_.take(told->superseded, *toldAt);
+      weights_.merge(told->superseded, *toldAt);
     sendListAnswers(std::move(sends), now, effects);
   } else if (const auto* note = std::get_if<ServerNote>(&envelope.body)) {
-    notes_.take(*note, now);
+    notes_.onNote(*note, now);
   } else if (const auto* report = std::get_if<PlaneReport>(&envelope.body)) {
     exchange_.onReport(envelope.from, *report, now);
   } else if (const auto* digest = std::get_if<PlaneDigest>(&envelope.body)) {
@@ -263,20 +263,20 @@
 void AgentCore::takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
                          AgentEffects* effects) {
   std::vector<Envelope> sends;
-  list_.take(std::move(rows), askedAt, calls, now, &sends);
+  list_.onRead(std::move(rows), askedAt, calls, now, &sends);
   sendListAnswers(std::move(sends), now, effects);
 }
 
 void AgentCore::sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects) {
   for (Envelope& envelope : sends) {
     if (auto* answer = std::get_if<ListAnswer>(&envelope.body))
-      answer->superseded = weights_.tell(now);
+      answer->superseded = weights_.report(now);
     effects->sends.push_back(std::move(envelope));
   }
 }
 
 void AgentCore::broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects) {
-  notes_.take(note, now);
+  notes_.onNote(note, now);
   for (const NewsItem& item : gossip_.live(now)) {
     if (item.source != settings_.self)
       effects->sends.push_back({settings_.self, item.source, note});
@@ -309,7 +309,7 @@
   if (now < nextConfirm_) return sendAll(freshness_.widenRound(now), effects);
   nextConfirm_ = now + (replicas.settled ? kConfirmEvery : kConfirmEveryUnsettled);
   const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
-  sendAll(freshness_.begin(now, replica_.has_value(), wantsKeys), effects);
+  sendAll(freshness_.beginRound(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
   for (const NewsItem& item : gossip_.live(now)) {
     const bool isIn =
@@ -361,7 +361,7 @@
     nextPull_ = now + 400ms;
     const Address neighbour = membership_.randomNeighbour();
     if (neighbour != Address{})
-      effects->sends.push_back({settings_.self, neighbour, gossip_.ask()});
+      effects->sends.push_back({settings_.self, neighbour, gossip_.makeRequest()});
   }
   tickList(now, effects);
   if (exchange_.isDue(now)) exchange_.onTick(gossip_.live(now), now, &effects->sends);
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -61,7 +61,7 @@
           false};
 }
 
-Freshness::Sends Freshness::begin(Instant now, bool askAll, bool wantsKeys) {
+Freshness::Sends Freshness::beginRound(Instant now, bool askAll, bool wantsKeys) {
   Round& round = rounds_[++sequence_];
   round.sentAt = now;
   round.wantsKeys = wantsKeys || !replicas_.settled;
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -33,7 +33,7 @@
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   // Asks as many replicas as meet every majority, those first that answer fastest; all of them
   // where the caller says so, the epoch is unsettled, or nothing was confirmed for a while.
-  Sends begin(Instant now, bool askAll, bool wantsKeys);
+  Sends beginRound(Instant now, bool askAll, bool wantsKeys);
   // The rest of the newest round's replicas, once an answer is overdue or shows something newer,
   // and one replica for a body that is lacking.
   Sends widenRound(Instant now);
--- a/src/agent/core/gossip.cpp
+++ b/src/agent/core/gossip.cpp
@@ -37,14 +37,14 @@
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
 
-NewsAsk Gossip::ask() const {
+NewsAsk Gossip::makeRequest() const {
   NewsAsk ask;
   ask.known.emplace_back(self_, own_.version);
   for (const auto& [source, row] : rows_) ask.known.emplace_back(source, row.item.version);
   return ask;
 }
 
-NewsAnswer Gossip::answer(const NewsAsk& ask) {
+NewsAnswer Gossip::answerRequest(const NewsAsk& ask) {
   std::map<Address, NewsVersion> known(ask.known.begin(), ask.known.end());
   NewsAnswer answer;
   if (const auto mine = known.find(self_); mine != known.end()) supersedeEarlierRun(mine->second);
@@ -55,7 +55,7 @@
   return answer;
 }
 
-void Gossip::take(const NewsAnswer& answer, Instant now) {
+void Gossip::onAnswer(const NewsAnswer& answer, Instant now) {
   for (const NewsItem& item : answer.items) {
     if (item.source == self_) {
       if (item.nonce != own_.nonce) supersedeEarlierRun(item.version);
--- a/src/agent/core/gossip.h
+++ b/src/agent/core/gossip.h
@@ -17,9 +17,9 @@
   // The own item's fields but for its version, which only this class moves.
   void setOwnState(const NewsItem& item);
   void advanceHeartbeat(Instant now);
-  NewsAsk ask() const;
-  NewsAnswer answer(const NewsAsk& ask);
-  void take(const NewsAnswer& answer, Instant now);
+  NewsAsk makeRequest() const;
+  NewsAnswer answerRequest(const NewsAsk& ask);
+  void onAnswer(const NewsAnswer& answer, Instant now);
 
   std::vector<NewsItem> live(Instant now) const;  // sorted by address, self always in
   bool isLive(const Address& source, Instant now) const;
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -71,8 +71,8 @@
   return true;
 }
 
-void ServerList::take(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-                      std::vector<Envelope>* sends) {
+void ServerList::onRead(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
+                        std::vector<Envelope>* sends) {
   reading_ = false;
   callsEach_ = std::max<std::size_t>(1, calls);
   backOff_ = Span{};
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -33,12 +33,12 @@
     settings_.callsPerS = callsPerS;
   }
 
-  // True: the platform is to be read now. It is until `take` or `onReadFailed` that no other is
+  // True: the platform is to be read now. It is until `onRead` or `onReadFailed` that no other is
   // begun.
   bool onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends);
   // A reading of the platform's own list, begun at `askedAt`, which took so many calls.
-  void take(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-            std::vector<Envelope>* sends);
+  void onRead(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
+              std::vector<Envelope>* sends);
   void onReadFailed(std::size_t calls, bool overRate, Instant now);
   // Answered at once where this daemon knows a newer reading, else kept until it does.
   void onAsk(const Address& from, const ListAsk& ask, Instant now, std::vector<Envelope>* sends);
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -16,7 +16,7 @@
 constexpr Span kKeepSpan = 10s;
 }  // namespace
 
-void ServerNotes::take(const ServerNote& note, Instant now) {
+void ServerNotes::onNote(const ServerNote& note, Instant now) {
   signs_[note.model] = now;
   Row& row = rows_[note.server];
   if (std::tie(row.note.fence, row.note.sequence) >= std::tie(note.fence, note.sequence)) return;
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -18,7 +18,7 @@
 
 class ServerNotes {
  public:
-  void take(const ServerNote& note, Instant now);
+  void onNote(const ServerNote& note, Instant now);
   // `shown` is what the server's own list row or report says, which may be older than a note.
   ServerWeightsState overlay(const ServerName& server, const ServerIdentity& identity,
                              const WeightsVersion& shown, Instant now) const;
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -10,7 +10,7 @@
   for (const auto& [model, version] : weights) rows_[model].name(version, confirmedAt);
 }
 
-void WeightsHistories::take(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
+void WeightsHistories::merge(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
   for (const SupersededWeights& told : superseded) {
     const auto row = rows_.find(told.model);
     if (row == rows_.end() || told.agoMicros < 0) continue;
@@ -18,7 +18,7 @@
   }
 }
 
-std::vector<SupersededWeights> WeightsHistories::tell(Instant now) const {
+std::vector<SupersededWeights> WeightsHistories::report(Instant now) const {
   std::vector<SupersededWeights> told;
   for (const auto& [model, history] : rows_) {
     for (const auto& [version, newestAt] : history.superseded()) {
--- a/src/agent/core/weights_histories.h
+++ b/src/agent/core/weights_histories.h
@@ -18,8 +18,8 @@
   void onConfiguration(const std::map<ModelName, WeightsVersion>& weights,
                        std::optional<Instant> confirmedAt);
   // Another daemon's word, as of `toldAt` at the earliest.
-  void take(const std::vector<SupersededWeights>& superseded, Instant toldAt);
-  std::vector<SupersededWeights> tell(Instant now) const;
+  void merge(const std::vector<SupersededWeights>& superseded, Instant toldAt);
+  std::vector<SupersededWeights> report(Instant now) const;
   // Forgets what was superseded before `before`, when it may be used no more.
   void forgetBefore(Instant before);
   // nullptr: the configuration in force names no weights of this model.
--- a/src/agent/view.cpp
+++ b/src/agent/view.cpp
@@ -24,7 +24,7 @@
   next.eventSources = {told.eventSources.begin(), told.eventSources.end()};
   next.weights = {};
   if (next.configuration) next.weights.onConfiguration(next.configuration->weights, std::nullopt);
-  next.weights.take(told.superseded, askedAt);
+  next.weights.merge(told.superseded, askedAt);
   return next;
 }
 
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -100,22 +100,22 @@
 TEST_CASE("news: a source is live while its version rises, and an echo revives nobody") {
   Gossip news(kSelf, 1);
   Instant now{1s};
-  news.take({{newsOf(member(2), 1, 5)}}, now);
+  news.onAnswer({{newsOf(member(2), 1, 5)}}, now);
   CHECK(news.isLive(member(2), now + 5s));
-  news.take({{newsOf(member(2), 1, 5)}}, now + 5s);  // another member's echo
+  news.onAnswer({{newsOf(member(2), 1, 5)}}, now + 5s);  // another member's echo
   CHECK_FALSE(news.isLive(member(2), now + 7s));
-  news.take({{newsOf(member(2), 1, 4)}}, now + 7s);
+  news.onAnswer({{newsOf(member(2), 1, 4)}}, now + 7s);
   CHECK_FALSE(news.isLive(member(2), now + 7s));
-  news.take({{newsOf(member(2), 1, 6)}}, now + 8s);
+  news.onAnswer({{newsOf(member(2), 1, 6)}}, now + 8s);
   CHECK(news.isLive(member(2), now + 8s));
 }
 
 TEST_CASE("news: only what is lacked is pulled") {
   Gossip news(kSelf, 1);
-  news.take({{newsOf(member(2), 1, 5), newsOf(member(3), 2, 1)}}, Instant{1s});
+  news.onAnswer({{newsOf(member(2), 1, 5), newsOf(member(3), 2, 1)}}, Instant{1s});
   NewsAsk ask;
   ask.known = {{member(2), {Incarnation{1}, 5}}, {member(3), {Incarnation{1}, 99}}};
-  const auto answer = news.answer(ask);
+  const auto answer = news.answerRequest(ask);
   std::set<Address> sources;
   for (const NewsItem& item : answer.items) sources.insert(item.source);
   CHECK(sources == std::set<Address>{kSelf, member(3)});
@@ -124,7 +124,7 @@
 TEST_CASE("news: a restarted daemon outlives the version of its former life") {
   Gossip news(kSelf, 2);
   news.advanceHeartbeat(Instant{1s});
-  news.take({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
+  news.onAnswer({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
   const auto own = news.item(kSelf);
   CHECK(own->version > NewsVersion{Incarnation{3}, 400});
   CHECK(own->nonce == 2);
@@ -283,7 +283,7 @@
   const std::vector<ListRow> old{{ServerName{"a"}, "z", false}},
       fresh{{ServerName{"a"}, "z", true}};
   std::vector<Envelope> sends;
-  own.take(old, now, 1, now, &sends);
+  own.onRead(old, now, 1, now, &sends);
   // The other's clock has nothing in common with this one.
   const Instant elsewhere{5s};
   const auto questions = [&](Span later) {
@@ -298,7 +298,7 @@
   const auto& ask = std::get<ListAsk>(asked[0].body);
   other.onAsk(member(1), ask, elsewhere, &sends);
   CHECK(only<ListAnswer>(sends).empty());  // it knows no reading yet
-  other.take(fresh, elsewhere + 100ms, 1, elsewhere + 300ms, &sends);
+  other.onRead(fresh, elsewhere + 100ms, 1, elsewhere + 300ms, &sends);
   const auto answered = only<ListAnswer>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(1));
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -211,13 +211,13 @@
       answer.items.push_back(item);
     }
     const std::size_t given = heapBytes();
-    news->take(answer, BootClock::now());
+    news->onAnswer(answer, BootClock::now());
     const std::size_t bytes = heapBytes() - given;
-    const std::string asked = encodeEnvelope({{}, {}, news->ask()});
+    const std::string asked = encodeEnvelope({{}, {}, news->makeRequest()});
     const double micros = microsOf(200, [&] {
-      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->ask()}));
+      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->makeRequest()}));
       REQUIRE(envelope.ok());
-      news->answer(std::get<NewsAsk>(envelope->body));
+      news->answerRequest(std::get<NewsAsk>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
               << " bytes of an ask " << asked.size() << " asked and answered in us " << micros
--- a/tests/freshness_tests.cpp
+++ b/tests/freshness_tests.cpp
@@ -50,7 +50,7 @@
     }
   }
   void round(const std::set<StoreId>& mute = {}) {
-    deliver(freshness.begin(now, false, false), mute);
+    deliver(freshness.beginRound(now, false, false), mute);
     for (int i = 0; i < 4; ++i) {
       deliver(freshness.widenRound(now), mute);
       now += 50ms;
@@ -92,7 +92,7 @@
   std::set<StoreId> asked;
   const Instant began = fleet.now;
   while (fleet.now - began < 4s && fleet.freshness.configuration().value.version == 0) {
-    fleet.deliver(fleet.freshness.begin(fleet.now, false, false));
+    fleet.deliver(fleet.freshness.beginRound(fleet.now, false, false));
     for (int i = 0; i < 4; ++i) {
       Freshness::Sends sends = fleet.freshness.widenRound(fleet.now);
       std::erase_if(sends, [&](const auto& send) {
@@ -125,7 +125,7 @@
 TEST_CASE("freshness: a small configuration goes along with the answers") {
   Register fleet;
   fleet.accept(fleet.valueOf(1, 300), 0, 5);
-  fleet.deliver(fleet.freshness.begin(fleet.now, false, false));
+  fleet.deliver(fleet.freshness.beginRound(fleet.now, false, false));
   CHECK(fleet.freshness.configuration().value.version == 1);
 }
 
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -111,7 +111,7 @@
       ++reportRequests;
     }
     for (const ServerNote& note : made.notes) {
-      for (Holder& other : holders) other.notes.take(note, now);
+      for (Holder& other : holders) other.notes.onNote(note, now);
       ++noteCount;
     }
   }
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -95,7 +95,7 @@
           node.list.onReadFailed(1, overRate, local(node));
         } else {
           lastReading = now;
-          node.list.take(content, askedAt, 1, local(node), &sends);
+          node.list.onRead(content, askedAt, 1, local(node), &sends);
         }
       }
       if ((now.time_since_epoch() / 1ms + static_cast<long>(i) * 7) % 50 == 0 &&
@@ -285,13 +285,13 @@
 TEST_CASE("server list: another identity at the same address is another content") {
   ServerList list({daemon(0), 1s, 47});
   std::vector<Envelope> sends;
-  list.take(rowsOf(1), Instant{1s}, 1, Instant{1s}, &sends);
+  list.onRead(rowsOf(1), Instant{1s}, 1, Instant{1s}, &sends);
   const auto digest = list.digest();
   auto turned = rowsOf(1);
   std::reverse(turned.begin(), turned.end());
-  list.take(turned, Instant{2s}, 1, Instant{2s}, &sends);
+  list.onRead(turned, Instant{2s}, 1, Instant{2s}, &sends);
   CHECK(list.digest() == digest);  // the order on the pages means nothing
-  list.take(rowsOf(2), Instant{3s}, 1, Instant{3s}, &sends);
+  list.onRead(rowsOf(2), Instant{3s}, 1, Instant{3s}, &sends);
   CHECK(list.digest() != digest);
   CHECK(list.rows() == rowsOf(2));
 }
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -16,17 +16,17 @@
   const ServerName server{"s"};
   const ServerIdentity life{"i"};
   const WeightsVersion one{"1"}, two{"2"}, ten{"10"};
-  notes.take({server, life, kModel, {}, true, Fence{3}, 1}, now);
+  notes.onNote({server, life, kModel, {}, true, Fence{3}, 1}, now);
   CHECK(notes.overlay(server, life, one, now).switching);
   CHECK(notes.overlay(server, life, one, now).weights == one);
   CHECK_FALSE(notes.overlay(server, life, one, now + 3s).switching);
-  notes.take({server, life, kModel, two, false, Fence{3}, 2}, now + 1s);
-  notes.take({server, life, kModel, {}, true, Fence{3}, 1}, now + 1s);  // late
+  notes.onNote({server, life, kModel, two, false, Fence{3}, 2}, now + 1s);
+  notes.onNote({server, life, kModel, {}, true, Fence{3}, 1}, now + 1s);  // late
   CHECK_FALSE(notes.overlay(server, life, one, now + 1s).switching);
   CHECK(notes.overlay(server, life, one, now + 30s).weights == two);
   CHECK(notes.overlay(server, life, ten, now + 30s).weights == ten);
   // The next order says nothing of its weights, so those reached before stay known.
-  notes.take({server, life, kModel, {}, true, Fence{4}, 1}, now + 2s);
+  notes.onNote({server, life, kModel, {}, true, Fence{4}, 1}, now + 2s);
   CHECK(notes.overlay(server, life, one, now + 2s).weights == two);
   CHECK(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
   CHECK_FALSE(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).switching);
@@ -39,7 +39,7 @@
   CHECK(isBehind(WeightsVersion{"w2"}, WeightsVersion{"w1"}));
   ServerNotes notes;
   const Instant now{10s};
-  notes.take(
+  notes.onNote(
       {ServerName{"s"}, ServerIdentity{"i"}, kModel, WeightsVersion{"w1"}, false, Fence{3}, 1},
       now);
   const auto weights = [&](Span later) {
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -95,12 +95,12 @@
   mine.onConfiguration({{kModel, kOne}}, std::nullopt);
   mine.onConfiguration({{kModel, kTwo}}, kNow - 300ms);
   mine.onConfiguration({{kModel, kTwo}}, kNow);  // a later configuration names the same
-  CHECK(mine.tell(kNow) == std::vector<SupersededWeights>{{kModel, kOne, 300000}});
+  CHECK(mine.report(kNow) == std::vector<SupersededWeights>{{kModel, kOne, 300000}});
   others.onConfiguration({{kModel, kTwo}}, std::nullopt);
   CHECK(others.usableUntil(kModel, kOne, kBound) == Instant::min());
-  others.take({{kModel, kOne, -1}, {ModelName{"other"}, kOne, 5}}, kNow);  // bad, and of no use
+  others.merge({{kModel, kOne, -1}, {ModelName{"other"}, kOne, 5}}, kNow);  // bad, and of no use
   CHECK(others.usableUntil(kModel, kOne, kBound) == Instant::min());
-  others.take(mine.tell(kNow + 1s), kNow + 900ms);
+  others.merge(mine.report(kNow + 1s), kNow + 900ms);
   CHECK(others.usableUntil(kModel, kOne, kBound) == kNow - 400ms + kBound);
   CHECK(others.usableUntil(ModelName{"other"}, kOne, kBound) == Instant::max());
   others.onConfiguration({}, kNow);
