--- a/src/register/epoch_sweep.cpp
+++ b/src/register/epoch_sweep.cpp
@@ -5,16 +5,17 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Ours: a read that only brings replicas into the epoch is soon tried again.
-constexpr Span kListSpan = 1s;
-constexpr Span kStepSpan = 2s;
+// Shorter than kStepTimeout: this read only moves replicas into the epoch and is soon retried.
+constexpr Span kListTimeout = 1s;
+constexpr Span kStepTimeout = 2s;
 
-ChangeRequest readOf(const RegisterKey& key, Instant due) {
-  return {{}, key, true, 0, {}, {}, due};
+ChangeRequest readRequest(const RegisterKey& key, Instant deadline) {
+  return {{}, key, true, 0, {}, {}, deadline};
 }
 
-ChangeRequest changeTo(const ReplicaSet& replicas, std::uint64_t version, Instant due) {
-  return {{}, kReplicaSetKey, false, version, encodeValue(replicas), {}, due};
+ChangeRequest replicaSetChange(const ReplicaSet& replicas, std::uint64_t version,
+                               Instant deadline) {
+  return {{}, kReplicaSetKey, false, version, encodeValue(replicas), {}, deadline};
 }
 }  // namespace
 
@@ -24,7 +25,7 @@
                                             Instant now) {
   if (!replicas.settled) return sweep(replicas, version, listed, now);
   if (!following) return {};
-  return {changeTo(*following, version, now + kStepSpan)};
+  return {replicaSetChange(*following, version, now + kStepTimeout)};
 }
 
 std::vector<ChangeRequest> EpochSweep::sweep(const ReplicaSet& replicas, std::uint64_t version,
@@ -35,27 +36,27 @@
     unswept_.clear();
     hasList_ = false;
   }
-  // A majority inside this epoch meets every majority of the older one, and none of its members
-  // takes part in the older epoch any more: no key can come up behind the list. The read brings
-  // the replicas into the epoch.
+  // A majority in this epoch intersects every majority of the previous one, and its members no
+  // longer accept anything in the previous epoch, so no key can be added after it has been listed.
+  // The read below moves the replicas into this epoch.
   if (!hasList_) {
-    if (!listed) return {readOf(kReplicaSetKey, now + kListSpan)};
+    if (!listed) return {readRequest(kReplicaSetKey, now + kListTimeout)};
     unswept_.insert(listed->begin(), listed->end());
     unswept_.insert(kReplicaSetKey);
     hasList_ = true;
     return {};
   }
-  std::vector<ChangeRequest> asks;
-  for (const RegisterKey& key : unswept_) asks.push_back(readOf(key, now + kStepSpan));
-  if (!asks.empty()) return asks;
+  std::vector<ChangeRequest> requests;
+  for (const RegisterKey& key : unswept_) requests.push_back(readRequest(key, now + kStepTimeout));
+  if (!requests.empty()) return requests;
   ReplicaSet settled = replicas;
   settled.settled = true;
-  return {changeTo(settled, version, now + kStepSpan)};
+  return {replicaSetChange(settled, version, now + kStepTimeout)};
 }
 
-void EpochSweep::onReadDone(const ChangeOutcome& ended) {
-  if (ended.result == ChangeResult::Chosen && ended.ballot.epoch == epoch_)
-    unswept_.erase(ended.key);
+void EpochSweep::onReadDone(const ChangeOutcome& outcome) {
+  if (outcome.result == ChangeResult::Chosen && outcome.ballot.epoch == epoch_)
+    unswept_.erase(outcome.key);
 }
 
 std::string EpochSweep::stateBytes() const {
--- a/src/register/epoch_sweep.h
+++ b/src/register/epoch_sweep.h
@@ -1,7 +1,8 @@
 #pragma once
-// The steps that change the replica set: the next set, then a rewrite of every key under it (the
-// sweep), then the mark that it is settled. Only a settled set may be followed by another.
-// (state, event) -> changes to ask of the register: no timers, no network.
+// Reconfiguration of the replica set in three steps: write the next set, rewrite every key under
+// the new epoch (the sweep), then mark the set as settled. The next reconfiguration may start only
+// from a settled set. A state machine without timers or network, which returns the register
+// operations to start.
 #include <optional>
 #include <set>
 #include <string>
@@ -11,18 +12,20 @@
 
 namespace quayrill {
 
+// Tracks which keys still have to be rewritten under the current epoch.
 class EpochSweep {
  public:
-  // What to ask of the register now. `copies` is the set in force and `version` the version of its
-  // value. `listed` has every key that a majority of `copies` holds between them, told from inside
-  // its epoch, where that is known. `following` is the set to move to, if any: it is asked for only
-  // where `copies` is settled. A key that has an operation under way need not be asked again.
+  // The operations to start now. `replicas` is the current set and `version` the version of its
+  // value. `listed`, if known, has every key that any member of a majority of `replicas` holds, as
+  // answered from within its epoch. `following` is the set to change to, if any; it is proposed
+  // only if `replicas` is settled. The caller may skip keys that have an operation in progress.
   std::vector<ChangeRequest> next(const ReplicaSet& replicas, std::uint64_t version,
                                   const std::optional<std::vector<RegisterKey>>& listed,
                                   const std::optional<ReplicaSet>& following, Instant now);
-  // A read has ended: one that was chosen under the epoch being swept has rewritten its key.
-  void onReadDone(const ChangeOutcome& ended);
-  // Every field as bytes: two of equal bytes behave alike from here on. For the model check.
+  // A read has finished. If its value was chosen in the epoch of the sweep, the key is rewritten.
+  void onReadDone(const ChangeOutcome& outcome);
+  // The whole state, encoded: objects with equal bytes behave identically from here on. Used by the
+  // model checker.
   std::string stateBytes() const;
 
  private:
@@ -30,9 +33,9 @@
                                    const std::optional<std::vector<RegisterKey>>& listed,
                                    Instant now);
 
-  Epoch epoch_;                    // being swept
-  bool hasList_ = false;           // `unswept_` was filled for that epoch
-  std::set<RegisterKey> unswept_;  // keys yet to be rewritten under it
+  Epoch epoch_;                    // the epoch of the current sweep
+  bool hasList_ = false;           // `unswept_` has been filled for this epoch
+  std::set<RegisterKey> unswept_;  // keys still to be rewritten in this epoch
 };
 
 }  // namespace quayrill
--- a/src/register/replica.cpp
+++ b/src/register/replica.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr char kDiskFormat[] = "1";
-constexpr char kDisowned[] = "disowned";
+constexpr char kDisowned[] = "disowned";  // row: this replica may never vote again
 }  // namespace
 
 std::size_t majorityOf(const ReplicaSet& replicas) { return replicas.members.size() / 2 + 1; }
@@ -95,8 +95,8 @@
   return bytes;
 }
 
-ReplicaAnswer RegisterReplica::answerTo(const OperationId& operation, const RegisterKey& key,
-                                        const Ballot& ballot, bool accepting) const {
+ReplicaAnswer RegisterReplica::makeAnswer(const OperationId& operation, const RegisterKey& key,
+                                          const Ballot& ballot, bool accepting) const {
   ReplicaAnswer answer{operation, key, ballot, store_, accepting, false, {}, {}, {}, replicas_};
   if (const auto slot = slots_.find(key); slot != slots_.end()) {
     answer.promised = slot->second.promised;
@@ -106,7 +106,7 @@
   return answer;
 }
 
-bool RegisterReplica::isForeign(const ReplicaSet& replicas) const {
+bool RegisterReplica::isOfRivalFounding(const ReplicaSet& replicas) const {
   return replicas_.epoch.value > 0 && replicas.epoch == replicas_.epoch &&
          replicas.fleet != replicas_.fleet;
 }
@@ -119,16 +119,16 @@
     if (!voting_) return effects;
     Slot& slot = slots_[message.key];
     const bool granted =
-        message.ballot >= slot.promised && isMember() && !isForeign(message.replicas);
+        message.ballot >= slot.promised && isMember() && !isOfRivalFounding(message.replicas);
     if (granted && message.ballot > slot.promised) {
       slot.promised = message.ballot;
       effects.writes.push_back(slotWrite(message.key, slot));
     }
-    ReplicaAnswer answer = answerTo(message.operation, message.key, message.ballot, false);
+    ReplicaAnswer answer = makeAnswer(message.operation, message.key, message.ballot, false);
     answer.granted = granted;
     effects.answer = answer;
   } else {
-    effects.answer = answerTo(message.operation, message.key, message.ballot, false);
+    effects.answer = makeAnswer(message.operation, message.key, message.ballot, false);
   }
   return effects;
 }
@@ -141,14 +141,14 @@
     effects.writes = adopt(message.replicas);
     if (!voting_) return effects;
     Slot& slot = slots_[message.key];
-    granted = message.ballot >= slot.promised && isMember() && !isForeign(message.replicas);
+    granted = message.ballot >= slot.promised && isMember() && !isOfRivalFounding(message.replicas);
     if (granted) {
       slot.promised = slot.acceptedAt = message.ballot;
       slot.value = message.value;
       effects.writes.push_back(slotWrite(message.key, slot));
     }
   }
-  ReplicaAnswer answer = answerTo(message.operation, message.key, message.ballot, true);
+  ReplicaAnswer answer = makeAnswer(message.operation, message.key, message.ballot, true);
   answer.granted = granted;
   effects.answer = answer;
   return effects;
