--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -33,7 +33,7 @@
 Sends TimedProposer::begin(ChangeRequest change, const ReplicaSet& replicas) {
   change.operation = OperationId{id_.value * kOperationsEach + ++operations_};
   change.writeId = WriteId{change.operation.value};
-  change.due = kNever;
+  change.deadline = kNever;
   isBusy_ = true;
   Sends sends = proposer_.begin(change, replicas, clock_);
   note(sends);
--- a/src/register/proposer.cpp
+++ b/src/register/proposer.cpp
@@ -148,7 +148,7 @@
   for (const auto& [id, operation] : operations_) ids.push_back(id);
   for (const OperationId& id : ids) {
     Operation& operation = operations_[id];
-    if (now >= operation.change.due) {
+    if (now >= operation.change.deadline) {
       finish(operation, operation.acceptSent ? ChangeResult::Unknown : ChangeResult::NotTried, {},
              done);
     } else if (now >= operation.phaseDue) {
--- a/src/register/proposer.h
+++ b/src/register/proposer.h
@@ -19,7 +19,7 @@
   std::uint64_t expectedVersion = 0;
   std::string body;
   WriteId writeId;
-  Instant due;
+  Instant deadline;
 };
 
 enum class ChangeResult {
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -10,8 +10,8 @@
 constexpr Span kSettleShare = 800ms;
 }  // namespace
 
-UpdateOperation::UpdateOperation(Update change, std::size_t bodyLimit, Instant due)
-    : change_(std::move(change)), bodyLimit_(bodyLimit), due_(due) {}
+UpdateOperation::UpdateOperation(Update change, std::size_t bodyLimit, Instant deadline)
+    : change_(std::move(change)), bodyLimit_(bodyLimit), deadline_(deadline) {}
 
 void UpdateOperation::finish(UpdateResult result, std::string message) {
   done_ = UpdateDone{result, std::move(message)};
@@ -19,15 +19,18 @@
 
 std::optional<ChangeRequest> UpdateOperation::next(Instant now) {
   if (done_) return std::nullopt;
-  if (step_ == Step::Settling) return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, due_};
-  const Instant due = due_ - (step_ == Step::Reading ? kChangeShare : kSettleShare);
+  if (step_ == Step::Settling)
+    return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, deadline_};
+  const Instant deadline = deadline_ - (step_ == Step::Reading ? kChangeShare : kSettleShare);
   // Whatever was proposed before is ruled out here: by its own result, or by a settled read.
-  if (now >= due) {
+  if (now >= deadline) {
     finish(UpdateResult::NotTaken, "no time is left to change the register");
     return std::nullopt;
   }
-  if (step_ == Step::Reading) return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, due};
-  return ChangeRequest{{}, kConfigurationKey, false, proposed_.version, proposed_.body, {}, due};
+  if (step_ == Step::Reading)
+    return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, deadline};
+  return ChangeRequest{{}, kConfigurationKey, false, proposed_.version, proposed_.body,
+                       {}, deadline};
 }
 
 void UpdateOperation::onAnswer(const ChangeOutcome& answer) {
--- a/src/register/update_operation.h
+++ b/src/register/update_operation.h
@@ -10,7 +10,7 @@
 // higher ballot than the change, so what it does not show can't be chosen any more.
 class UpdateOperation {
  public:
-  UpdateOperation(Update change, std::size_t bodyLimit, Instant due);
+  UpdateOperation(Update change, std::size_t bodyLimit, Instant deadline);
 
   // What to ask of the register next; nothing once `done` is there.
   std::optional<ChangeRequest> next(Instant now);
@@ -19,7 +19,7 @@
   // The state but for the deadline and the update, which never change, as bytes: two of equal
   // bytes and the same update take the same steps from here on. For the model check.
   std::string stateBytes() const;
-  Instant due() const { return due_; }
+  Instant deadline() const { return deadline_; }
 
  private:
   enum class Step { Reading, Proposing, Settling };
@@ -28,7 +28,7 @@
 
   Update change_;
   std::size_t bodyLimit_;
-  Instant due_;
+  Instant deadline_;
   Step step_ = Step::Reading;
   RegisterValue proposed_;  // version: of the body it builds on
   std::optional<UpdateDone> done_;
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -38,7 +38,7 @@
   ChangeOutcome answer(const ChangeRequest& asked) {
     if (asked.isRead) {
       ++reads;
-      now += readable ? 1ms : asked.due - now;
+      now += readable ? 1ms : asked.deadline - now;
       return {{},
               kConfigurationKey,
               readable ? ChangeResult::Chosen : ChangeResult::NotTried,
@@ -59,7 +59,7 @@
       return {
           {}, kConfigurationKey, fits ? ChangeResult::Chosen : ChangeResult::Conflict, value, {},
           {}};
-    now = asked.due;
+    now = asked.deadline;
     const bool unknown = fate != Fate::NotTried;
     return {{}, kConfigurationKey, unknown ? ChangeResult::Unknown : ChangeResult::NotTried, {}, {},
             {}};
