--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -113,8 +113,9 @@
       if (world_.isUp(call->machine)) pump(*call);
     }
     std::erase_if(calls_, [&](const auto& call) {
-      const bool isOver = world_.isUp(call->machine) &&
-                          world_.localNow(call->machine) > call->updateOperation.due() + kOrderDue;
+      const bool isOver =
+          world_.isUp(call->machine) &&
+          world_.localNow(call->machine) > call->updateOperation.deadline() + kOrderDue;
       return call->updateOperation.done() || isOver || !world_.isUp(call->machine);
     });
     world_.run(kStep);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -297,7 +297,7 @@
   Machine& machine = machines_[index];
   if (!machine.core || now_ < machine.frozenUntil) return 0;
   change.writeId = WriteId{random_() | 1};
-  change.due = local(machine) + 3s;
+  change.deadline = local(machine) + 3s;
   asked_.push_back({asked_.size() + 1, index, change, now_, {}, {}});
   const std::uint64_t id = asked_.size();
   AgentEffects effects;
