--- a/src/register/proposer.cpp
+++ b/src/register/proposer.cpp
@@ -7,11 +7,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kPhaseSpan = 400ms;
-constexpr Span kRepeatAfter = 150ms;
-constexpr std::size_t kPriorWrites = 16;
+constexpr Span kPhaseTimeout = 400ms;
+constexpr Span kResendAfter = 150ms;
+constexpr std::size_t kMaxPriorWrites = 16;
 
-bool names(const RegisterValue& value, WriteId write) {
+bool containsWrite(const RegisterValue& value, WriteId write) {
   return value.writeId == write || std::find(value.priorWrites.begin(), value.priorWrites.end(),
                                              write) != value.priorWrites.end();
 }
@@ -20,7 +20,7 @@
   RegisterValue own{current.version + 1, change.writeId, {}, change.body};
   own.priorWrites.push_back(current.writeId);
   for (const WriteId& prior : current.priorWrites) {
-    if (own.priorWrites.size() < kPriorWrites) own.priorWrites.push_back(prior);
+    if (own.priorWrites.size() < kMaxPriorWrites) own.priorWrites.push_back(prior);
   }
   return own;
 }
@@ -41,20 +41,20 @@
 
 Proposer::Sends Proposer::startRound(Operation& operation, Instant now) {
   operation.phase = Phase::Preparing;
-  operation.granted.clear();
-  operation.turnedAway.clear();
+  operation.grants.clear();
+  operation.rejectedBy.clear();
   operation.ballot = {operation.replicas.epoch, ++highestRound_, id_};
-  operation.phaseDue = now + kPhaseSpan;
-  operation.repeatAt = now + kRepeatAfter;
-  return ask(operation);
+  operation.phaseDeadline = now + kPhaseTimeout;
+  operation.resendAt = now + kResendAfter;
+  return phaseMessages(operation);
 }
 
-// The present phase's question, to the replicas that have not answered it.
-Proposer::Sends Proposer::ask(const Operation& operation) const {
+// The current phase's message to each replica that has not answered it.
+Proposer::Sends Proposer::phaseMessages(const Operation& operation) const {
   const ChangeRequest& change = operation.change;
   Sends sends;
   for (const ReplicaMember& member : operation.replicas.members) {
-    if (operation.granted.contains(member.store) || operation.turnedAway.contains(member.store))
+    if (operation.grants.contains(member.store) || operation.rejectedBy.contains(member.store))
       continue;
     if (operation.phase == Phase::Preparing)
       sends.emplace_back(member, Prepare{change.operation, change.key, operation.ballot,
@@ -69,44 +69,44 @@
 Proposer::Sends Proposer::startAccept(Operation& operation, Instant now) {
   RegisterValue current;
   Ballot highest;
-  for (const auto& [store, answer] : operation.granted) {
+  for (const auto& [store, answer] : operation.grants) {
     if (answer.acceptedAt > highest) {
       highest = answer.acceptedAt;
       current = answer.value;
     }
   }
   const ChangeRequest& change = operation.change;
-  operation.proposesOwn = !change.isRead && !names(current, change.writeId) &&
-                          current.version == change.expectedVersion;
-  // What is found may stand on a minority. It is proposed again also where it is in the way: until
-  // a majority has accepted it, a proposer that misses it may still bring another value up, also
-  // one of this operation's earlier rounds.
-  operation.proposal = operation.proposesOwn ? ownValue(change, current) : current;
+  operation.proposesOwnValue = !change.isRead && !containsWrite(current, change.writeId) &&
+                               current.version == change.expectedVersion;
+  // The value found may be held by a minority only. It is proposed again even if it conflicts with
+  // this change: until a majority has accepted it, a proposer that doesn't see it may still get
+  // another value chosen, including one from an earlier round of this operation.
+  operation.proposal = operation.proposesOwnValue ? ownValue(change, current) : current;
   operation.phase = Phase::Accepting;
-  operation.granted.clear();
-  operation.turnedAway.clear();
-  operation.phaseDue = now + kPhaseSpan;
-  operation.acceptSent = operation.acceptSent || operation.proposesOwn;
-  operation.repeatAt = now + kRepeatAfter;
-  return ask(operation);
+  operation.grants.clear();
+  operation.rejectedBy.clear();
+  operation.phaseDeadline = now + kPhaseTimeout;
+  operation.ownAcceptSent = operation.ownAcceptSent || operation.proposesOwnValue;
+  operation.resendAt = now + kResendAfter;
+  return phaseMessages(operation);
 }
 
-// What the proposal, now chosen, makes of the operation. A later value builds on it, so a change
-// that its history covers and does not name can't be chosen any more; beyond that history nobody
-// can tell.
+// The result of the operation now that its proposal is chosen. Later values build on this one, so a
+// change that falls within the chosen value's write history and isn't listed there can't be chosen
+// any more. For a change older than that history the result can't be determined.
 ChangeResult Proposer::resultOf(const Operation& operation) {
   const ChangeRequest& change = operation.change;
   const RegisterValue& chosen = operation.proposal;
-  if (change.isRead || names(chosen, change.writeId)) return ChangeResult::Chosen;
+  if (change.isRead || containsWrite(chosen, change.writeId)) return ChangeResult::Chosen;
   const bool historyCovers =
       chosen.version > change.expectedVersion &&
       chosen.version <= change.expectedVersion + 1 + chosen.priorWrites.size();
-  return !operation.acceptSent || historyCovers ? ChangeResult::Conflict : ChangeResult::Unknown;
+  return !operation.ownAcceptSent || historyCovers ? ChangeResult::Conflict : ChangeResult::Unknown;
 }
 
-void Proposer::rest(Operation& operation, Instant now) {
-  operation.phase = Phase::Resting;
-  operation.phaseDue = now + std::chrono::milliseconds(10 + random_() % 90);
+void Proposer::backOff(Operation& operation, Instant now) {
+  operation.phase = Phase::BackingOff;
+  operation.phaseDeadline = now + std::chrono::milliseconds(10 + random_() % 90);
 }
 
 void Proposer::finish(Operation& operation, ChangeResult result, const RegisterValue& value,
@@ -123,19 +123,19 @@
   const auto entry = operations_.find(answer.operation);
   if (entry == operations_.end()) return {};
   Operation& operation = entry->second;
-  const bool expected = operation.phase != Phase::Resting && answer.ballot == operation.ballot &&
+  const bool expected = operation.phase != Phase::BackingOff && answer.ballot == operation.ballot &&
                         answer.accepting == (operation.phase == Phase::Accepting);
   if (!expected) return {};
   if (!answer.granted) {
-    operation.turnedAway.insert(answer.store);
+    operation.rejectedBy.insert(answer.store);
     const std::size_t members = operation.replicas.members.size();
-    if (operation.turnedAway.size() > members - majorityOf(operation.replicas) ||
+    if (operation.rejectedBy.size() > members - majorityOf(operation.replicas) ||
         answer.replicas.epoch > operation.replicas.epoch)
-      rest(operation, now);
+      backOff(operation, now);
     return {};
   }
-  operation.granted[answer.store] = answer;
-  if (operation.granted.size() < majorityOf(operation.replicas)) return {};
+  operation.grants[answer.store] = answer;
+  if (operation.grants.size() < majorityOf(operation.replicas)) return {};
   if (operation.phase == Phase::Preparing) return startAccept(operation, now);
   finish(operation, resultOf(operation), operation.proposal, done);
   return {};
@@ -149,18 +149,18 @@
   for (const OperationId& id : ids) {
     Operation& operation = operations_[id];
     if (now >= operation.change.deadline) {
-      finish(operation, operation.acceptSent ? ChangeResult::Unknown : ChangeResult::NotTried, {},
-             done);
-    } else if (now >= operation.phaseDue) {
-      if (operation.phase != Phase::Resting) {
-        rest(operation, now);
+      finish(operation, operation.ownAcceptSent ? ChangeResult::Unknown : ChangeResult::NotTried,
+             {}, done);
+    } else if (now >= operation.phaseDeadline) {
+      if (operation.phase != Phase::BackingOff) {
+        backOff(operation, now);
         continue;
       }
       if (replicas.epoch > operation.replicas.epoch) operation.replicas = replicas;
       for (auto& send : startRound(operation, now)) sends.push_back(std::move(send));
-    } else if (operation.phase != Phase::Resting && now >= operation.repeatAt) {
-      operation.repeatAt = operation.phaseDue;
-      for (auto& send : ask(operation)) sends.push_back(std::move(send));
+    } else if (operation.phase != Phase::BackingOff && now >= operation.resendAt) {
+      operation.resendAt = operation.phaseDeadline;
+      for (auto& send : phaseMessages(operation)) sends.push_back(std::move(send));
     }
   }
   return sends;
@@ -172,7 +172,7 @@
                       encodeValue(change.expectedVersion) + encodeValue(change.body) +
                       encodeValue(change.writeId) + encodeValue(operation.replicas) +
                       encodeValue(operation.ballot);
-  for (const bool flag : {change.isRead, operation.acceptSent, operation.proposesOwn})
+  for (const bool flag : {change.isRead, operation.ownAcceptSent, operation.proposesOwnValue})
     bytes += flag ? '1' : '0';
   bytes += static_cast<char>(operation.phase);
   if (operation.phase == Phase::Accepting) bytes += encodeValue(operation.proposal);
@@ -180,11 +180,11 @@
 }
 
 std::string Proposer::bytesOfAnswersFrom(const Operation& operation, StoreId store) {
-  if (operation.phase == Phase::Resting) return "";  // the next round forgets the answers
-  if (operation.turnedAway.contains(store)) return "no";
-  const auto answer = operation.granted.find(store);
-  if (answer == operation.granted.end()) return "";
-  // The value of an answer is read in the first phase only.
+  if (operation.phase == Phase::BackingOff) return "";  // the next round discards the answers
+  if (operation.rejectedBy.contains(store)) return "no";
+  const auto answer = operation.grants.find(store);
+  if (answer == operation.grants.end()) return "";
+  // The value of an answer is used in the first phase only.
   if (operation.phase == Phase::Accepting) return "yes";
   return "yes" + encodeValue(answer->second.acceptedAt) + encodeValue(answer->second.value);
 }
@@ -198,8 +198,8 @@
 std::string Proposer::bytesOfAnswersFrom(StoreId store) const {
   std::string bytes;
   for (const auto& [id, operation] : operations_) {
-    const std::string heard = bytesOfAnswersFrom(operation, store);
-    if (!heard.empty()) bytes += encodeValue(id) + heard;
+    const std::string answerBytes = bytesOfAnswersFrom(operation, store);
+    if (!answerBytes.empty()) bytes += encodeValue(id) + answerBytes;
   }
   return bytes;
 }
@@ -207,13 +207,13 @@
 std::string Proposer::stateBytes() const {
   std::set<StoreId> stores;
   for (const auto& [id, operation] : operations_) {
-    stores.insert(operation.turnedAway.begin(), operation.turnedAway.end());
-    for (const auto& [store, answer] : operation.granted) stores.insert(store);
+    stores.insert(operation.rejectedBy.begin(), operation.rejectedBy.end());
+    for (const auto& [store, answer] : operation.grants) stores.insert(store);
   }
   std::string bytes = sharedBytes();
   for (const StoreId& store : stores) {
-    const std::string heard = bytesOfAnswersFrom(store);
-    if (!heard.empty()) bytes += encodeValue(store) + heard;
+    const std::string answerBytes = bytesOfAnswersFrom(store);
+    if (!answerBytes.empty()) bytes += encodeValue(store) + answerBytes;
   }
   return bytes;
 }
--- a/src/register/proposer.h
+++ b/src/register/proposer.h
@@ -1,5 +1,5 @@
 #pragma once
-// The proposer's half of CASPaxos: one operation on one key, as a state machine.
+// The CASPaxos proposer: runs operations on single keys as a state machine without a network.
 #include <map>
 #include <optional>
 #include <random>
@@ -10,8 +10,8 @@
 
 namespace quayrill {
 
-// What an operation is for. A read proposes the value it finds again, which settles a value that
-// a lost proposer left behind on a minority.
+// A request to read or change the value of one key. A read proposes the value that it finds again,
+// which settles a value that a failed proposer left on a minority of replicas.
 struct ChangeRequest {
   OperationId operation;
   RegisterKey key;
@@ -22,22 +22,26 @@
   Instant deadline;
 };
 
+// The result of an operation. Conflict and NotTried guarantee that the change never takes effect.
 enum class ChangeResult {
-  Chosen,    // in the register; for a read, the value read
-  Conflict,  // another value than expected was chosen: never takes effect
-  NotTried,  // no replica was asked to accept it: never takes effect
-  Unknown,   // some copy may hold it: a read settles it
+  Chosen,    // the value is in the register; for a read, it is the value read
+  Conflict,  // the version was not the expected one, or another value was chosen instead
+  NotTried,  // no replica was asked to accept the value
+  Unknown,   // some replica may have accepted the value: a read finds out
 };
 
+// How an operation ended.
 struct ChangeOutcome {
   OperationId operation;
   RegisterKey key;
   ChangeResult result{};
-  RegisterValue value;  // what was chosen; on a conflict, what was chosen in its place
-  Ballot ballot;        // at which it was chosen
-  ReplicaSet replicas;  // a newer replica set that was met on the way, if any
+  RegisterValue value;  // the chosen value; on a conflict, the value chosen instead
+  Ballot ballot;        // the ballot at which it was chosen
+  ReplicaSet replicas;  // the newest replica set seen in any answer, if any
 };
 
+// Runs any number of operations at once. Callers deliver answers and ticks and send the messages
+// that are returned.
 class Proposer {
  public:
   Proposer(ProposerId id, std::uint64_t seed) : id_(id), random_(seed) {}
@@ -49,46 +53,46 @@
   std::vector<std::pair<ReplicaMember, Message>> onTick(const ReplicaSet& replicas, Instant now,
                                                         std::vector<ChangeOutcome>* done);
   bool isBusy(const RegisterKey& key) const;
-  // The state but for deadlines and jitter, as bytes: two of equal bytes take the same steps from
-  // here on, if perhaps at other times. For the model check.
+  // The state except deadlines and jitter, encoded: proposers with equal bytes take the same steps
+  // from here on, though possibly at other times. Used by the model checker.
   std::string stateBytes() const;
-  // The same in parts: what stands whoever answered, and what one replica answered in the rounds
-  // under way.
+  // The two parts of stateBytes: the state that does not depend on which replica answered, and the
+  // answers of one replica in the current rounds.
   std::string sharedBytes() const;
   std::string bytesOfAnswersFrom(StoreId store) const;
 
  private:
-  enum class Phase { Preparing, Accepting, Resting };
-  // acceptSent: of a value of its own. It never turns false again: once any replica was asked to
-  // accept one, only a chosen value that names this write, or one that rules it out, can end the
-  // operation as anything but Unknown.
+  enum class Phase { Preparing, Accepting, BackingOff };
+  // One operation in progress. ownAcceptSent: a replica was asked to accept this operation's own
+  // value. It stays set, because from then on the result is Unknown unless a chosen value either
+  // contains this write or rules it out.
   struct Operation {
     ChangeRequest change;
     ReplicaSet replicas;
     Ballot ballot;
     Phase phase = Phase::Preparing;
-    std::map<StoreId, ReplicaAnswer> granted;
-    std::set<StoreId> turnedAway;
+    std::map<StoreId, ReplicaAnswer> grants;
+    std::set<StoreId> rejectedBy;
     RegisterValue proposal;
-    bool acceptSent = false;
-    bool proposesOwn = false;
-    Instant phaseDue;
-    Instant repeatAt;  // what got no answer is asked once more
+    bool ownAcceptSent = false;
+    bool proposesOwnValue = false;
+    Instant phaseDeadline;
+    Instant resendAt;  // when replicas that have not answered are sent the message again
   };
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
   static std::string sharedBytesOf(const Operation& operation);
   static std::string bytesOfAnswersFrom(const Operation& operation, StoreId store);
   Sends startRound(Operation& operation, Instant now);
-  Sends ask(const Operation& operation) const;
+  Sends phaseMessages(const Operation& operation) const;
   Sends startAccept(Operation& operation, Instant now);
   static ChangeResult resultOf(const Operation& operation);
-  void rest(Operation& operation, Instant now);
+  void backOff(Operation& operation, Instant now);
   void finish(Operation& operation, ChangeResult result, const RegisterValue& value,
               std::vector<ChangeOutcome>* done);
 
   ProposerId id_;
   std::mt19937_64 random_;
-  std::uint64_t highestRound_ = 0;  // never falls; each round begun uses a higher one
+  std::uint64_t highestRound_ = 0;  // never decreases; every new round uses a higher number
   ReplicaSet newestReplicas_;
   std::map<OperationId, Operation> operations_;
 };
--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -5,13 +5,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Ours: what a read leaves for the change behind it, and a change for the read that settles it.
-constexpr Span kChangeShare = 1500ms;
-constexpr Span kSettleShare = 800ms;
+// Time kept in reserve: by a read for the update that follows it, and by a update for the read that
+// settles it.
+constexpr Span kChangeReserve = 1500ms;
+constexpr Span kSettleReserve = 800ms;
 }  // namespace
 
-UpdateOperation::UpdateOperation(Update change, std::size_t bodyLimit, Instant deadline)
-    : change_(std::move(change)), bodyLimit_(bodyLimit), deadline_(deadline) {}
+UpdateOperation::UpdateOperation(Update update, std::size_t bodyLimit, Instant deadline)
+    : update_(std::move(update)), bodyLimit_(bodyLimit), deadline_(deadline) {}
 
 void UpdateOperation::finish(UpdateResult result, std::string message) {
   done_ = UpdateDone{result, std::move(message)};
@@ -21,8 +22,8 @@
   if (done_) return std::nullopt;
   if (step_ == Step::Settling)
     return ChangeRequest{{}, kConfigurationKey, true, 0, {}, {}, deadline_};
-  const Instant deadline = deadline_ - (step_ == Step::Reading ? kChangeShare : kSettleShare);
-  // Whatever was proposed before is ruled out here: by its own result, or by a settled read.
+  const Instant deadline = deadline_ - (step_ == Step::Reading ? kChangeReserve : kSettleReserve);
+  // Any earlier proposal is ruled out at this point, by its own result or by a settled read.
   if (now >= deadline) {
     finish(UpdateResult::NotTaken, "no time is left to change the register");
     return std::nullopt;
@@ -37,7 +38,7 @@
   const bool chosen = answer.result == ChangeResult::Chosen;
   if (step_ != Step::Proposing) {
     if (chosen)
-      judge(answer.value);
+      applyTo(answer.value);
     else if (step_ == Step::Settling)
       finish(UpdateResult::Unknown, "no majority of register replicas answered after the change");
     else
@@ -58,21 +59,21 @@
   }
 }
 
-void UpdateOperation::judge(const RegisterValue& standing) {
-  const auto body = change_(standing.body);
+void UpdateOperation::applyTo(const RegisterValue& current) {
+  const auto body = update_(current.body);
   if (!body.ok()) {
-    const std::string why(body.status().message());
+    const std::string reason(body.status().message());
     switch (body.status().code()) {
       case absl::StatusCode::kInvalidArgument:
-        return finish(UpdateResult::Refused, why);
+        return finish(UpdateResult::Refused, reason);
       case absl::StatusCode::kFailedPrecondition:
-        return finish(UpdateResult::Stale, why);
+        return finish(UpdateResult::Stale, reason);
       case absl::StatusCode::kResourceExhausted:
-        return finish(UpdateResult::TooLarge, why);
+        return finish(UpdateResult::TooLarge, reason);
       case absl::StatusCode::kUnknown:
-        return finish(UpdateResult::Unknown, why);
-      default:  // what stands can't be read here
-        return finish(UpdateResult::NotTaken, why);
+        return finish(UpdateResult::Unknown, reason);
+      default:  // this daemon can't read the current body
+        return finish(UpdateResult::NotTaken, reason);
     }
   }
   if (!*body) return finish(UpdateResult::AlreadyTaken);
@@ -80,7 +81,7 @@
     return finish(UpdateResult::TooLarge,
                   "the configuration would have " + std::to_string((*body)->size()) +
                       " bytes of at most " + std::to_string(bodyLimit_) + ": make it smaller");
-  proposed_ = {standing.version, {}, {}, **body};
+  proposed_ = {current.version, {}, {}, **body};
   step_ = Step::Proposing;
 }
 
--- a/src/register/update_operation.h
+++ b/src/register/update_operation.h
@@ -1,36 +1,37 @@
 #pragma once
-// One update of the register's body, as a state machine over settled reads and changes.
+// An update of the configuration in the register: read, apply the update, propose the result. A
+// state machine that returns the register operations to start.
 #include "configuration/update.h"
 #include "register/proposer.h"
 
 namespace quayrill {
 
-// Nothing is proposed but what the update makes of a body that a settled read showed, and with
-// the version of that body expected. A change of unknown result is settled by a read: it has a
-// higher ballot than the change, so what it does not show can't be chosen any more.
+// Proposes only the result of applying the update to a body returned by a settled read, and expects
+// that body's version. If the result of the update is unknown, a read resolves it: the read has a
+// higher ballot than the update, so a update that it doesn't show can't be chosen any more.
 class UpdateOperation {
  public:
-  UpdateOperation(Update change, std::size_t bodyLimit, Instant deadline);
+  UpdateOperation(Update update, std::size_t bodyLimit, Instant deadline);
 
-  // What to ask of the register next; nothing once `done` is there.
+  // The next register operation to start; nullopt once `done` is set.
   std::optional<ChangeRequest> next(Instant now);
   void onAnswer(const ChangeOutcome& answer);
   const std::optional<UpdateDone>& done() const { return done_; }
-  // The state but for the deadline and the update, which never change, as bytes: two of equal
-  // bytes and the same update take the same steps from here on. For the model check.
+  // The state except the deadline and the update, which never update, encoded: operations with
+  // equal bytes and the same update take the same steps from here on. Used by the model checker.
   std::string stateBytes() const;
   Instant deadline() const { return deadline_; }
 
  private:
   enum class Step { Reading, Proposing, Settling };
-  void judge(const RegisterValue& standing);
+  void applyTo(const RegisterValue& current);
   void finish(UpdateResult result, std::string message = {});
 
-  Update change_;
+  Update update_;
   std::size_t bodyLimit_;
   Instant deadline_;
   Step step_ = Step::Reading;
-  RegisterValue proposed_;  // version: of the body it builds on
+  RegisterValue proposed_;  // its version is that of the body that the update was applied to
   std::optional<UpdateDone> done_;
 };
 
