--- a/src/register/update_operation.cpp
+++ b/src/register/update_operation.cpp
@@ -5,8 +5,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Time kept in reserve: by a read for the update that follows it, and by a update for the read that
-// settles it.
+// Time kept in reserve: by a read for the update that follows it, and by an update for the read
+// that settles it.
 constexpr Span kChangeReserve = 1500ms;
 constexpr Span kSettleReserve = 800ms;
 }  // namespace
--- a/src/register/update_operation.h
+++ b/src/register/update_operation.h
@@ -8,7 +8,7 @@
 
 // Proposes only the result of applying the update to a body returned by a settled read, and expects
 // that body's version. If the result of the update is unknown, a read resolves it: the read has a
-// higher ballot than the update, so a update that it doesn't show can't be chosen any more.
+// higher ballot than the update, so an update that it doesn't show can't be chosen any more.
 class UpdateOperation {
  public:
   UpdateOperation(Update update, std::size_t bodyLimit, Instant deadline);
