--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -23,7 +23,7 @@
 
 AgentCore::AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk)
     : settings_(std::move(settings)),
-      firstSeeds_(settings_.seeds),
+      initialSeeds_(settings_.seeds),
       random_(settings_.nonce),
       membership_(settings_.self, settings_.seeds, settings_.nonce + 1),
       gossip_(settings_.self, settings_.nonce),
@@ -43,7 +43,7 @@
 }
 
 std::vector<ReplicaWork> AgentCore::start() {
-  settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
+  settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
   if (!replica_) return {};
   ++replicaBacklog_;
   auto writes = replica_->identityWrites();
@@ -70,10 +70,10 @@
   // Rows that are gone make a new identity, as at a start on an empty folder: the old never votes
   // again.
   replica_ = std::move(read);
-  if (disk.empty()) hand({replica_->identityWrites(), std::nullopt}, effects);
+  if (disk.empty()) enqueueReplicaWork({replica_->identityWrites(), std::nullopt}, effects);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
-  keepReplicaSet(effects);
+  persistReplicaSet(effects);
   return true;
 }
 
@@ -83,26 +83,26 @@
     effects->sends.push_back({settings_.self, member.address, std::move(message)});
 }
 
-bool AgentCore::isReplicaFull() const { return replicaBacklog_ >= kReplicaBacklog; }
+bool AgentCore::isReplicaBacklogFull() const { return replicaBacklog_ >= kReplicaBacklog; }
 
-void AgentCore::hand(ReplicaWork work, AgentEffects* effects) {
+void AgentCore::enqueueReplicaWork(ReplicaWork work, AgentEffects* effects) {
   ++replicaBacklog_;
   effects->replicaWork.push_back(std::move(work));
 }
 
 void AgentCore::adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects) {
   if (replicas.epoch.value == 0 || !mayAdopt(replicas, now)) return;
-  if (freshness_.adopt(replicas)) keepReplicaSet(effects);
+  if (freshness_.adopt(replicas)) persistReplicaSet(effects);
 }
 
-void AgentCore::keepReplicaSet(AgentEffects* effects) {
+void AgentCore::persistReplicaSet(AgentEffects* effects) {
   if (!replica_) return;
   if (auto writes = replica_->adopt(freshness_.replicas()); !writes.empty())
-    hand({std::move(writes), std::nullopt}, effects);
+    enqueueReplicaWork({std::move(writes), std::nullopt}, effects);
 }
 
-void AgentCore::handleReplica(const Envelope& envelope, Instant now, AgentEffects* effects) {
-  if (!replica_ || isReplicaFull()) return;
+void AgentCore::onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
+  if (!replica_ || isReplicaBacklogFull()) return;
   const auto* prepared = std::get_if<Prepare>(&envelope.body);
   const auto* accepted = std::get_if<Accept>(&envelope.body);
   if ((prepared && !mayAdopt(prepared->replicas, now)) ||
@@ -118,7 +118,7 @@
   if (made.writes.empty() && !made.answer) return;
   ReplicaWork work{std::move(made.writes), std::nullopt};
   if (made.answer) work.answer = Envelope{settings_.self, envelope.from, std::move(*made.answer)};
-  hand(std::move(work), effects);
+  enqueueReplicaWork(std::move(work), effects);
 }
 
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
@@ -146,17 +146,17 @@
     sendAll(proposer_.onAnswer(*replicaAnswer, now, &done), effects);
     adopt(replicaAnswer->replicas, now, effects);
   } else if (const auto* confirmed = std::get_if<ConfirmAnswer>(&envelope.body)) {
-    noteContact(envelope.from, *confirmed, now);
+    recordContact(envelope.from, *confirmed, now);
     freshness_.onAnswer(*confirmed, now);
     sendAll(freshness_.widenRound(now), effects);
-    keepReplicaSet(effects);
+    persistReplicaSet(effects);
   } else if (std::holds_alternative<Prepare>(envelope.body) ||
              std::holds_alternative<Accept>(envelope.body) ||
              std::holds_alternative<Confirm>(envelope.body)) {
-    handleReplica(envelope, now, effects);
+    onReplicaMessage(envelope, now, effects);
   } else if (std::holds_alternative<FoundAsk>(envelope.body) ||
              std::holds_alternative<FoundAnswer>(envelope.body)) {
-    handleFounding(envelope, now, effects);
+    onFoundingMessage(envelope, now, effects);
   } else {
     membership_.onMessage(envelope, now, &effects->sends);
   }
@@ -176,7 +176,7 @@
 
 OperationId AgentCore::requestChange(ChangeRequest change, Instant now, AgentEffects* effects) {
   change.operation = OperationId{++operationCounter_};
-  begin(change, Purpose::Outside, now, effects);
+  begin(change, Purpose::External, now, effects);
   return change.operation;
 }
 
@@ -187,28 +187,28 @@
     if (purpose == purposes_.end()) continue;
     if (ended.result == ChangeResult::Chosen) {
       freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
-      keepReplicaSet(effects);
+      persistReplicaSet(effects);
     }
-    if (purpose->second == Purpose::Outside) effects->done.push_back(ended);
+    if (purpose->second == Purpose::External) effects->done.push_back(ended);
     if (purpose->second == Purpose::Lease) leases_.onDone(ended, now);
     if (purpose->second == Purpose::Sweep) epochSweep_.onReadDone(ended);
     purposes_.erase(purpose);
   }
 }
 
-bool AgentCore::hasHeardOfOthers(Instant now) const {
+bool AgentCore::hasDiscoveredPeers(Instant now) const {
   return startedAt_ != Instant{} && now - startedAt_ >= kHearSpan;
 }
 
 std::vector<ServerName> AgentCore::eventSources(const std::vector<EventSource>& sources,
                                                 Instant now) const {
-  if (!hasHeardOfOthers(now)) return {};
+  if (!hasDiscoveredPeers(now)) return {};
   return assignedEventSources(settings_.self, gossip_.live(now), sources);
 }
 
 std::vector<Address> AgentCore::staying(Instant now) const {
   std::vector<Address> live;
-  if (!hasHeardOfOthers(now)) return live;
+  if (!hasDiscoveredPeers(now)) return live;
   for (const NewsItem& item : gossip_.live(now)) {
     if (!item.leaving && item.store.value != 0) live.push_back(item.source);
   }
@@ -323,13 +323,13 @@
 
 // Every second, and at once where this daemon begins to leave, has another store or was taken for
 // an earlier life of its own.
-void AgentCore::tickNews(Instant now, AgentEffects* effects) {
+void AgentCore::tickGossip(Instant now, AgentEffects* effects) {
   const StoreId store = replica_ && replica_->isVoting() ? replica_->store() : StoreId{};
-  const Told told{leaving_, store, gossip_.item(settings_.self)->version.incarnation};
-  const bool isUrgent = told != told_;
-  if (now < nextBeat_ && !isUrgent) return;
-  nextBeat_ = now + 1s;
-  told_ = told;
+  const Announcement told{leaving_, store, gossip_.item(settings_.self)->version.incarnation};
+  const bool isUrgent = told != lastAnnounced_;
+  if (now < nextHeartbeat_ && !isUrgent) return;
+  nextHeartbeat_ = now + 1s;
+  lastAnnounced_ = told;
   NewsItem own;
   own.zone = settings_.zone;
   own.proxyAddress = settings_.proxyAddress;
@@ -339,10 +339,10 @@
   own.fleet = replica_ ? replica_->replicas().fleet : 0;
   gossip_.setOwnState(own);
   gossip_.advanceHeartbeat(now);
-  if (isUrgent && replica_) tellStoreHolders(now, effects);
+  if (isUrgent && replica_) notifyStoreHolders(now, effects);
 }
 
-void AgentCore::tellStoreHolders(Instant now, AgentEffects* effects) {
+void AgentCore::notifyStoreHolders(Instant now, AgentEffects* effects) {
   std::set<Address> holders(settings_.seeds.begin(), settings_.seeds.end());
   for (const ReplicaMember& member : freshness_.replicas().members) holders.insert(member.address);
   for (const NewsItem& item : gossip_.live(now)) {
@@ -355,10 +355,10 @@
 
 void AgentCore::onTick(Instant now, AgentEffects* effects) {
   if (startedAt_ == Instant{}) startedAt_ = now;
-  tickNews(now, effects);
+  tickGossip(now, effects);
   membership_.onTick(now, &effects->sends);
-  if (now >= nextPull_) {
-    nextPull_ = now + 400ms;
+  if (now >= nextGossipPull_) {
+    nextGossipPull_ = now + 400ms;
     const Address neighbour = membership_.randomNeighbour();
     if (neighbour != Address{})
       effects->sends.push_back({settings_.self, neighbour, gossip_.makeRequest()});
@@ -368,12 +368,12 @@
   tickFounding(now, effects);
   tickConfirm(now, effects);
   // Machines that keep a store settle a value first: the others are many.
-  const Span patience = replica_ ? settlePatience_ : settlePatience_ + kSettleLater;
+  const Span patience = replica_ ? settleDelay_ : settleDelay_ + kSettleLater;
   if (const auto key = freshness_.keyToSettle(now, patience); key && !proposer_.isBusy(*key)) {
-    settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
+    settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
   }
-  tickReplicas(now, effects);
+  tickReplicaSet(now, effects);
   tickSweep(now, effects);
   std::vector<ChangeOutcome> done;
   sendAll(proposer_.onTick(freshness_.replicas(), now, &done), effects);
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -138,70 +138,70 @@
   bool isHandingOver(Instant now) const;
 
  private:
-  enum class Purpose { Outside, Settle, Lease, Replicas, Sweep };
-  void handleReplica(const Envelope& envelope, Instant now, AgentEffects* effects);
-  void handleFounding(const Envelope& envelope, Instant now, AgentEffects* effects);
+  enum class Purpose { External, Settle, Lease, Replicas, Sweep };
+  void onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
+  void onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   // Answers what a seed was asked; a grant is on the disk before its answer leaves.
-  void answerFounder(const Address& from, const FoundAsk& ask, Instant now, AgentEffects* effects);
+  void answerFoundAsk(const Address& from, const FoundAsk& ask, Instant now, AgentEffects* effects);
   bool isFounder(Instant now) const;
   // Founding needs the grants of all seeds, so that any two founders ask one machine in common.
   // Lists that changed in between hold to this only while each keeps most of the first one.
-  bool keepsMostFirstSeeds() const;
+  bool keepsMajorityOfInitialSeeds() const;
   void restoreGrant(const std::map<std::string, std::string>& disk);
   void foundWhenGranted(Instant now, AgentEffects* effects);
   // False for a founding that is not the one this machine gave its grant to.
   bool mayAdopt(const ReplicaSet& replicas, Instant now) const;
-  void askAround(Instant now, AgentEffects* effects);
+  void queryNewerReplicaSet(Instant now, AgentEffects* effects);
   void tickFounding(Instant now, AgentEffects* effects);
   void tickConfirm(Instant now, AgentEffects* effects);
-  void tickReplicas(Instant now, AgentEffects* effects);
-  void tickEpoch(Instant now, AgentEffects* effects);
-  void noteContact(const Address& from, const ConfirmAnswer& answer, Instant now);
-  bool isInTouch(StoreId store, Instant now) const;
+  void tickReplicaSet(Instant now, AgentEffects* effects);
+  void advanceReplicaSet(Instant now, AgentEffects* effects);
+  void recordContact(const Address& from, const ConfirmAnswer& answer, Instant now);
+  bool isReachable(StoreId store, Instant now) const;
   // Gone for certain, or silent for `span`.
   bool isLost(const ReplicaMember& member, Span span, Instant now) const;
   // How long a member may be out of touch where a spare waits, and where none does.
-  Span silentSpan() const;
-  Span silentAloneSpan() const;
+  Span silenceLimit() const;
+  Span silenceLimitWithoutSpare() const;
   // A member that the set must give up: lost, or leaving by its own word.
-  std::optional<ReplicaMember> departing(bool spareWaits, Instant now) const;
+  std::optional<ReplicaMember> departingMember(bool spareWaits, Instant now) const;
   bool isLeaving(const ReplicaMember& member) const;
   // The one to give up where none departs and there are more than wanted.
-  ReplicaMember surplus(Instant now) const;
+  ReplicaMember surplusMember(Instant now) const;
   Site siteOf(const Address& address) const;
   // Without a successor `member` leaves only where the rest bears no less for it.
-  bool mayShrink(const ReplicaMember& member, Instant now) const;
+  bool mayRemoveWithoutSuccessor(const ReplicaMember& member, Instant now) const;
   // Members in one place; regions count only where their loss is to be borne.
-  struct Crowd {
+  struct Occupancy {
     std::size_t inRegion = 0, inZone = 0;
-    auto operator<=>(const Crowd&) const = default;
+    auto operator<=>(const Occupancy&) const = default;
   };
-  Crowd crowdAt(const Site& site, const std::vector<ReplicaMember>& members) const;
+  Occupancy occupancyAt(const Site& site, const std::vector<ReplicaMember>& members) const;
   // In place of the surplus member, `joining` would stand where at least two fewer stand.
-  bool spreadsBetter(const ReplicaMember& joining, Instant now) const;
-  std::optional<ReplicaMember> candidate(Instant now) const;
+  bool improvesSpread(const ReplicaMember& joining, Instant now) const;
+  std::optional<ReplicaMember> joinCandidate(Instant now) const;
   void tickSweep(Instant now, AgentEffects* effects);
   void begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects);
   void finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects);
   void adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects);
   // Writes the replica set in use down where this machine holds a replica and has an older one.
-  void keepReplicaSet(AgentEffects* effects);
-  void hand(ReplicaWork work, AgentEffects* effects);
-  bool isReplicaFull() const;
+  void persistReplicaSet(AgentEffects* effects);
+  void enqueueReplicaWork(ReplicaWork work, AgentEffects* effects);
+  bool isReplicaBacklogFull() const;
   void sendAll(std::vector<std::pair<ReplicaMember, Message>> sends, AgentEffects* effects);
   std::optional<ReplicaSet> nextReplicaSet(Instant now) const;
   // Those that a leader role may fall to. Empty until this daemon has had time to hear of the
   // others: what it would take for its own would have to be watched out by the true owner.
   std::vector<Address> staying(Instant now) const;
-  bool hasHeardOfOthers(Instant now) const;
+  bool hasDiscoveredPeers(Instant now) const;
   void tickList(Instant now, AgentEffects* effects);
-  void tickNews(Instant now, AgentEffects* effects);
+  void tickGossip(Instant now, AgentEffects* effects);
   // Who judges the replica set hears at once of what bears on it.
-  void tellStoreHolders(Instant now, AgentEffects* effects);
+  void notifyStoreHolders(Instant now, AgentEffects* effects);
   void sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects);
 
   AgentSettings settings_;
-  const std::vector<Address> firstSeeds_;  // as this process started
+  const std::vector<Address> initialSeeds_;  // as this process started
   std::mt19937_64 random_;
   std::optional<RegisterReplica> replica_;
   Membership membership_;
@@ -222,16 +222,16 @@
   bool leaving_ = false;
   Instant startedAt_{};  // of the first tick
   // What this daemon last told of itself at once.
-  struct Told {
+  struct Announcement {
     bool leaving = false;
     StoreId store;
     Incarnation incarnation;
-    bool operator==(const Told&) const = default;
+    bool operator==(const Announcement&) const = default;
   };
-  Told told_;
-  Instant nextBeat_{}, nextPull_{}, nextConfirm_{}, nextFounding_{}, nextReplicas_{}, nextSweep_{},
-      nextListPeers_{};
-  Span settlePatience_{};
+  Announcement lastAnnounced_;
+  Instant nextHeartbeat_{}, nextGossipPull_{}, nextConfirm_{}, nextFounding_{},
+      nextReplicaSetCheck_{}, nextSweep_{}, nextListPeers_{};
+  Span settleDelay_{};
   std::uint64_t confirmRounds_ = 0;
   // Founding. A grant is for one fleet of one founder; the next waits until it has run out, unless
   // it comes from the same address, whose earlier life is gone. One read back from the disk runs
@@ -245,7 +245,7 @@
     Instant sentAt;
     bool wantsGrant = false;
   };
-  struct SeedSaid {
+  struct SeedAnswer {
     Instant askedAt;
     bool granted = false;  // to this life's fleet
     bool mayFound = false;
@@ -254,7 +254,7 @@
   std::uint64_t ownFleet_ = 0;  // the one that this life would found
   Grant grant_;
   std::map<std::uint64_t, FoundingRound> foundingRounds_;  // by nonce; no older than kSaidSpan
-  std::map<Address, SeedSaid> said_;                       // the last 'unfounded' of each seed
+  std::map<Address, SeedAnswer> seedAnswers_;              // the last 'unfounded' of each seed
   EpochSweep epochSweep_;
   // Stores that answered lately, and since when each member of the replica set has not.
   struct Contact {
@@ -262,16 +262,16 @@
     Instant at;
     std::uint64_t fleet = 0;
     // The last time that it answered again after a silence, and how often it did so lately.
-    Instant steadySince;
-    int returns = 0;
+    Instant stableSince;
+    int reconnects = 0;
   };
   std::map<StoreId, Contact> contacts_;
   std::map<StoreId, Instant> silentSince_;
   // Members of the present replica set whose address answered as another store when asked for them.
-  std::set<StoreId> replaced_;
+  std::set<StoreId> replacedStores_;
   Instant lastTick_{};
-  Instant workSince_{};  // that the replica set has waited for its next step
-  std::pair<Epoch, bool> workStep_;
+  Instant stepPendingSince_{};  // that the replica set has waited for its next step
+  std::pair<Epoch, bool> pendingStep_;
 };
 
 }  // namespace quayrill
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -34,8 +34,8 @@
   grant_ = {kept.to, kept.fleet, Instant::max()};
 }
 
-void AgentCore::answerFounder(const Address& from, const FoundAsk& ask, Instant now,
-                              AgentEffects* effects) {
+void AgentCore::answerFoundAsk(const Address& from, const FoundAsk& ask, Instant now,
+                               AgentEffects* effects) {
   const bool free = grant_.fleet == 0 || now >= grant_.until || grant_.to == from;
   const bool unfounded = replica_ && replica_->isVoting() &&
                          freshness_.replicas().epoch.value == 0 && (free || ask.fleet == 0);
@@ -47,12 +47,12 @@
     effects->sends.push_back(answer);
     return;
   }
-  if (isReplicaFull()) return;  // the founder asks again
+  if (isReplicaBacklogFull()) return;  // the founder asks again
   ReplicaWork work{{}, answer};
   if (grant_.to != from || grant_.fleet != ask.fleet)
     work.writes.push_back({kGrant, encodeValue(GrantRow{from, ask.fleet})});
   grant_ = {from, ask.fleet, now + kGrantSpan};
-  hand(std::move(work), effects);
+  enqueueReplicaWork(std::move(work), effects);
 }
 
 // Epoch 1 is the only one that is founded without the register. A machine that gave its grant to
@@ -63,14 +63,14 @@
 }
 
 // An empty machine whose seeds know a fleet learns it here and joins; it never founds another.
-void AgentCore::handleFounding(const Envelope& envelope, Instant now, AgentEffects* effects) {
+void AgentCore::onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
   if (const auto* ask = std::get_if<FoundAsk>(&envelope.body))
-    return answerFounder(envelope.from, *ask, now, effects);
+    return answerFoundAsk(envelope.from, *ask, now, effects);
   const auto& answer = std::get<FoundAnswer>(envelope.body);
   adopt(answer.replicas, now, effects);
   const auto round = foundingRounds_.find(answer.nonce);
   if (!replica_ || !answer.unfounded || round == foundingRounds_.end()) return;
-  SeedSaid& said = said_[envelope.from];
+  SeedAnswer& said = seedAnswers_[envelope.from];
   if (said.askedAt <= round->second.sentAt)
     said = {round->second.sentAt, round->second.wantsGrant, answer.mayFound, answer.store};
   foundWhenGranted(now, effects);
@@ -78,25 +78,26 @@
 
 // Two lists that each keep more than half of the first one have a seed of it in common, and that
 // seed grants one founding at a time.
-bool AgentCore::keepsMostFirstSeeds() const {
+bool AgentCore::keepsMajorityOfInitialSeeds() const {
   const auto kept =
-      std::count_if(firstSeeds_.begin(), firstSeeds_.end(), [this](const Address& seed) {
+      std::count_if(initialSeeds_.begin(), initialSeeds_.end(), [this](const Address& seed) {
         return std::find(settings_.seeds.begin(), settings_.seeds.end(), seed) !=
                settings_.seeds.end();
       });
-  return 2 * static_cast<std::size_t>(kept) > firstSeeds_.size();
+  return 2 * static_cast<std::size_t>(kept) > initialSeeds_.size();
 }
 
 // The lowest of the seeds founds, or the next where the lower ones say that they never will.
 bool AgentCore::isFounder(Instant now) const {
-  if (!settings_.mayFound || !replica_ || !replica_->isVoting() || !keepsMostFirstSeeds())
+  if (!settings_.mayFound || !replica_ || !replica_->isVoting() || !keepsMajorityOfInitialSeeds())
     return false;
   bool isSeed = false;
   for (const Address& seed : settings_.seeds) {
     isSeed = isSeed || seed == settings_.self;
     if (seed >= settings_.self) continue;
-    const auto said = said_.find(seed);
-    if (said == said_.end() || now - said->second.askedAt > kSaidSpan || said->second.mayFound)
+    const auto said = seedAnswers_.find(seed);
+    if (said == seedAnswers_.end() || now - said->second.askedAt > kSaidSpan ||
+        said->second.mayFound)
       return false;
   }
   return isSeed;
@@ -111,8 +112,9 @@
   ReplicaSet founded{Epoch{1}, ownFleet_, true, {{replica_->store(), settings_.self}}};
   for (const Address& seed : settings_.seeds) {
     if (seed == settings_.self) continue;
-    const auto said = said_.find(seed);
-    if (said == said_.end() || !said->second.granted || now - said->second.askedAt > kSaidSpan)
+    const auto said = seedAnswers_.find(seed);
+    if (said == seedAnswers_.end() || !said->second.granted ||
+        now - said->second.askedAt > kSaidSpan)
       return;
     if (founded.members.size() < settings_.replicasWanted)
       founded.members.push_back({said->second.store, seed});
@@ -125,7 +127,7 @@
 
 // A daemon that can't confirm may know a replica set that nobody uses any more: all of it moved
 // while it was cut off, or the register was founded again elsewhere. Others may know a newer one.
-void AgentCore::askAround(Instant now, AgentEffects* effects) {
+void AgentCore::queryNewerReplicaSet(Instant now, AgentEffects* effects) {
   const auto confirmed = freshness_.confirmedAt();
   if (confirmed && now - *confirmed < kAskAroundAfter) return;
   for (const Address& known :
@@ -145,7 +147,7 @@
   if (now < nextFounding_) return;
   const bool unfounded = freshness_.replicas().epoch.value == 0;
   nextFounding_ = now + (unfounded ? kUnfoundedEvery : kAskAroundEvery);
-  if (!unfounded) return askAround(now, effects);
+  if (!unfounded) return queryNewerReplicaSet(now, effects);
   std::erase_if(foundingRounds_,
                 [&](const auto& round) { return now - round.second.sentAt > kSaidSpan; });
   const bool grantedElsewhere =
@@ -186,10 +188,11 @@
   // Far above every epoch that the given-up register may still reach by itself.
   const Epoch epoch{((old.epoch.value / kRecoverEpochs) + 1) * kRecoverEpochs + random_() % 1024};
   const ReplicaSet founded{epoch, random_() | 1, true, {{replica_->store(), settings_.self}}};
-  hand({replica_->recover(founded, ProposerId{settings_.nonce}, WriteId{random_() | 1}, value,
-                          freshness_.replicaSetVersion() + kRecoverVersions),
-        std::nullopt},
-       effects);
+  enqueueReplicaWork(
+      {replica_->recover(founded, ProposerId{settings_.nonce}, WriteId{random_() | 1}, value,
+                         freshness_.replicaSetVersion() + kRecoverVersions),
+       std::nullopt},
+      effects);
   freshness_.adopt(founded);
   return {"", founded, value.version};
 }
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -30,15 +30,15 @@
 }
 
 // Those gone for certain come first, then the silent, then those that serve on while they leave.
-std::optional<ReplicaMember> AgentCore::departing(bool spareWaits, Instant now) const {
+std::optional<ReplicaMember> AgentCore::departingMember(bool spareWaits, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const auto first = [&](auto departs) -> std::optional<ReplicaMember> {
     const auto member = std::find_if(members.begin(), members.end(), departs);
     if (member == members.end()) return std::nullopt;
     return *member;
   };
-  const Span patience = spareWaits ? silentSpan() : silentAloneSpan();
-  if (auto gone = first([&](const auto& member) { return replaced_.contains(member.store); }))
+  const Span patience = spareWaits ? silenceLimit() : silenceLimitWithoutSpare();
+  if (auto gone = first([&](const auto& member) { return replacedStores_.contains(member.store); }))
     return gone;
   if (auto silent = first([&](const auto& member) { return isLost(member, patience, now); }))
     return silent;
@@ -55,22 +55,22 @@
 
 // A dead member is taken out alone where fewer then make a majority. One that still serves leaves
 // alone only if the others, all but it, bear as many losses as the whole set did.
-bool AgentCore::mayShrink(const ReplicaMember& member, Instant now) const {
+bool AgentCore::mayRemoveWithoutSuccessor(const ReplicaMember& member, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const auto others = static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(), [&](const ReplicaMember& other) {
-        return other.store != member.store && isInTouch(other.store, now);
+        return other.store != member.store && isReachable(other.store, now);
       }));
   if (members.size() <= kFewestAlone) return false;
-  if (isLeaving(member) && isInTouch(member.store, now))
+  if (isLeaving(member) && isReachable(member.store, now))
     return lossesTolerated(members.size() - 1, others) >=
            lossesTolerated(members.size(), others + 1);
   return lossesTolerated(others, others) > lossesTolerated(members.size(), others);
 }
 
-AgentCore::Crowd AgentCore::crowdAt(const Site& site,
-                                    const std::vector<ReplicaMember>& members) const {
-  Crowd crowd;
+AgentCore::Occupancy AgentCore::occupancyAt(const Site& site,
+                                            const std::vector<ReplicaMember>& members) const {
+  Occupancy crowd;
   for (const ReplicaMember& member : members) {
     const Site other = siteOf(member.address);
     crowd.inRegion += settings_.losses.regions > 0 && other.region == site.region ? 1 : 0;
@@ -81,10 +81,10 @@
 
 // Where a lost member came back after its successor had joined, there is one too many: one out of
 // touch goes, else one from the fullest region and zone.
-ReplicaMember AgentCore::surplus(Instant now) const {
+ReplicaMember AgentCore::surplusMember(Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const auto rank = [&](const ReplicaMember& member) {
-    return std::tuple(!isInTouch(member.store, now), crowdAt(siteOf(member.address), members),
+    return std::tuple(!isReachable(member.store, now), occupancyAt(siteOf(member.address), members),
                       member);
   };
   return *std::max_element(members.begin(), members.end(),
@@ -92,10 +92,10 @@
 }
 
 // Each such exchange makes the numbers more equal, so they come to an end.
-bool AgentCore::spreadsBetter(const ReplicaMember& joining, Instant now) const {
+bool AgentCore::improvesSpread(const ReplicaMember& joining, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
-  const Crowd from = crowdAt(siteOf(surplus(now).address), members);
-  const Crowd to = crowdAt(siteOf(joining.address), members);
+  const Occupancy from = occupancyAt(siteOf(surplusMember(now).address), members);
+  const Occupancy to = occupancyAt(siteOf(joining.address), members);
   if (to.inRegion != from.inRegion) return to.inRegion + 2 <= from.inRegion;
   return to.inZone + 2 <= from.inZone;
 }
@@ -103,18 +103,19 @@
 // A store that answered just now and waits to join: one from the region and the zone with the
 // fewest members that stay. Among these, one at an address of its own comes before one that stands
 // where a lost member stood, which started last.
-std::optional<ReplicaMember> AgentCore::candidate(Instant now) const {
+std::optional<ReplicaMember> AgentCore::joinCandidate(Instant now) const {
   const ReplicaSet& replicas = freshness_.replicas();
   std::vector<ReplicaMember> staying;
   for (const ReplicaMember& member : replicas.members) {
-    if (isInTouch(member.store, now) && !replaced_.contains(member.store) && !isLeaving(member))
+    if (isReachable(member.store, now) && !replacedStores_.contains(member.store) &&
+        !isLeaving(member))
       staying.push_back(member);
   }
-  std::optional<std::tuple<Crowd, bool, ReplicaMember>> best;
+  std::optional<std::tuple<Occupancy, bool, ReplicaMember>> best;
   for (const auto& [store, contact] : contacts_) {
     if (now - contact.at >= kCandidateSpan) continue;
-    const int returns = std::min(contact.returns, kMostReturns);
-    if (now - contact.steadySince < returns * kSteadyPerReturn) continue;
+    const int reconnects = std::min(contact.reconnects, kMostReturns);
+    if (now - contact.stableSince < reconnects * kSteadyPerReturn) continue;
     // Of another fleet: it has not heard of this one yet.
     if (contact.fleet != 0 && contact.fleet != replicas.fleet) continue;
     const auto item = gossip_.item(contact.address);
@@ -125,7 +126,7 @@
       isSuccessor = isSuccessor || member.address == contact.address;
     }
     if (isIn) continue;
-    const std::tuple rank(crowdAt(siteOf(contact.address), staying), isSuccessor,
+    const std::tuple rank(occupancyAt(siteOf(contact.address), staying), isSuccessor,
                           ReplicaMember{store, contact.address});
     if (!best || rank < *best) best = rank;
   }
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -22,34 +22,34 @@
 }  // namespace
 
 // Half of the time until the next loss is for noticing, half for the steps.
-Span AgentCore::silentSpan() const {
+Span AgentCore::silenceLimit() const {
   if (settings_.catchUpSpan == Span{}) return kSilentSpan;
   return std::clamp<Span>(settings_.catchUpSpan / 2 - kTouchSpan, kLeastSilentSpan, kSilentSpan);
 }
-Span AgentCore::silentAloneSpan() const { return kSilentAloneSpan; }
+Span AgentCore::silenceLimitWithoutSpare() const { return kSilentAloneSpan; }
 
-void AgentCore::noteContact(const Address& from, const ConfirmAnswer& answer, Instant now) {
+void AgentCore::recordContact(const Address& from, const ConfirmAnswer& answer, Instant now) {
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
   Contact& contact = row->second;
-  if (isNew) contact.steadySince = now;
+  if (isNew) contact.stableSince = now;
   if (!isNew && now - contact.at >= kTouchSpan) {
-    contact.returns = now - contact.steadySince > kForgetReturns ? 1 : contact.returns + 1;
-    contact.steadySince = now;
+    contact.reconnects = now - contact.stableSince > kForgetReturns ? 1 : contact.reconnects + 1;
+    contact.stableSince = now;
   }
   contact.address = from;
   contact.at = now;
   contact.fleet = answer.replicas.fleet;
-  replaced_.erase(answer.store);
-  if (answer.asked != answer.store) replaced_.insert(answer.asked);
+  replacedStores_.erase(answer.store);
+  if (answer.asked != answer.store) replacedStores_.insert(answer.asked);
 }
 
-bool AgentCore::isInTouch(StoreId store, Instant now) const {
+bool AgentCore::isReachable(StoreId store, Instant now) const {
   const auto contact = contacts_.find(store);
   return contact != contacts_.end() && now - contact->second.at < kTouchSpan;
 }
 
 bool AgentCore::isLost(const ReplicaMember& member, Span span, Instant now) const {
-  if (replaced_.contains(member.store)) return true;
+  if (replacedStores_.contains(member.store)) return true;
   const auto silent = silentSince_.find(member.store);
   return silent != silentSince_.end() && now - silent->second >= span;
 }
@@ -72,7 +72,7 @@
   const auto ifReachable = [&](ReplicaSet proposed) -> std::optional<ReplicaSet> {
     const auto reached = static_cast<std::size_t>(
         std::count_if(proposed.members.begin(), proposed.members.end(),
-                      [&](const ReplicaMember& member) { return isInTouch(member.store, now); }));
+                      [&](const ReplicaMember& member) { return isReachable(member.store, now); }));
     if (reached < majorityOf(proposed)) return std::nullopt;
     return proposed;
   };
@@ -82,30 +82,30 @@
     return ifReachable(std::move(smaller));
   };
   const std::size_t wanted = std::max<std::size_t>(1, settings_.replicasWanted);
-  const auto joining = candidate(now);
-  const auto leaver = departing(joining.has_value(), now);
-  if (next.members.size() > wanted) return without(leaver ? *leaver : surplus(now));
-  if (joining && (leaver || next.members.size() < wanted || spreadsBetter(*joining, now))) {
+  const auto joining = joinCandidate(now);
+  const auto leaver = departingMember(joining.has_value(), now);
+  if (next.members.size() > wanted) return without(leaver ? *leaver : surplusMember(now));
+  if (joining && (leaver || next.members.size() < wanted || improvesSpread(*joining, now))) {
     ReplicaSet larger = next;
     larger.members.push_back(*joining);
     std::sort(larger.members.begin(), larger.members.end());
     if (auto reachable = ifReachable(std::move(larger))) return reachable;
   }
-  if (leaver && mayShrink(*leaver, now)) return without(*leaver);
+  if (leaver && mayRemoveWithoutSuccessor(*leaver, now)) return without(*leaver);
   return std::nullopt;
 }
 
 // Any member may take the replica set's next step: the register orders what they propose, by the
 // version each expects. The first in order does; the others step in one after the other.
-void AgentCore::tickReplicas(Instant now, AgentEffects* effects) {
+void AgentCore::tickReplicaSet(Instant now, AgentEffects* effects) {
   if (now - lastTick_ > kTickGap) silentSince_.clear();
   lastTick_ = now;
-  if (now < nextReplicas_ || freshness_.replicas().epoch.value == 0) return;
-  nextReplicas_ = now + 100ms;
+  if (now < nextReplicaSetCheck_ || freshness_.replicas().epoch.value == 0) return;
+  nextReplicaSetCheck_ = now + 100ms;
   const ReplicaSet& replicas = freshness_.replicas();
   for (const ReplicaMember& member : replicas.members) {
     membership_.introduce(member.address);
-    if (isInTouch(member.store, now))
+    if (isReachable(member.store, now))
       silentSince_.erase(member.store);
     else
       silentSince_.try_emplace(member.store,
@@ -116,28 +116,29 @@
                        [&](const ReplicaMember& member) { return member.store == store; });
   };
   std::erase_if(silentSince_, [&](const auto& row) { return !isIn(row.first); });
-  std::erase_if(replaced_, [&](StoreId store) { return !isIn(store); });
+  std::erase_if(replacedStores_, [&](StoreId store) { return !isIn(store); });
   std::erase_if(contacts_, [&](const auto& row) { return now - row.second.at > kKeepContact; });
   const bool work = !replicas.settled || nextReplicaSet(now).has_value();
   const std::pair<Epoch, bool> step{replicas.epoch, replicas.settled};
-  if (!work || step != workStep_) workSince_ = now;
-  workStep_ = step;
+  if (!work || step != pendingStep_) stepPendingSince_ = now;
+  pendingStep_ = step;
   if (!work || !replica_ || now - startedAt_ < 1s) return;
   std::vector<Address> able;
   for (const ReplicaMember& member : replicas.members) {
-    if (isInTouch(member.store, now) && !replaced_.contains(member.store) && !isLeaving(member))
+    if (isReachable(member.store, now) && !replacedStores_.contains(member.store) &&
+        !isLeaving(member))
       able.push_back(member.address);
   }
   const bool isAble =
       !leaving_ && std::find(able.begin(), able.end(), settings_.self) != able.end();
   const auto rank =
       static_cast<int>(isAble ? rendezvousRank("copies", able, settings_.self) : able.size());
-  if (now - workSince_ < rank * kNextStepsInAfter) return;
-  nextReplicas_ = now;
-  if (!proposer_.isBusy(kReplicaSetKey)) tickEpoch(now, effects);
+  if (now - stepPendingSince_ < rank * kNextStepsInAfter) return;
+  nextReplicaSetCheck_ = now;
+  if (!proposer_.isBusy(kReplicaSetKey)) advanceReplicaSet(now, effects);
 }
 
-void AgentCore::tickEpoch(Instant now, AgentEffects* effects) {
+void AgentCore::advanceReplicaSet(Instant now, AgentEffects* effects) {
   const ReplicaSet& replicas = freshness_.replicas();
   const auto following = replicas.settled ? nextReplicaSet(now) : std::nullopt;
   const auto listed = replicas.settled ? std::nullopt : freshness_.majorityKeys();
