--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -206,7 +206,7 @@
   return assignedEventSources(settings_.self, gossip_.live(now), sources);
 }
 
-std::vector<Address> AgentCore::staying(Instant now) const {
+std::vector<Address> AgentCore::roleCandidates(Instant now) const {
   std::vector<Address> live;
   if (!hasDiscoveredPeers(now)) return live;
   for (const NewsItem& item : gossip_.live(now)) {
@@ -216,11 +216,11 @@
 }
 
 bool AgentCore::ownsRole(const std::string& role, Instant now) const {
-  return replica_ && rendezvousOwner(role, staying(now)) == settings_.self;
+  return replica_ && rendezvousOwner(role, roleCandidates(now)) == settings_.self;
 }
 
 bool AgentCore::mayTakeOverRole(const std::string& role, Span overdue, Instant now) const {
-  const std::vector<Address> live = staying(now);
+  const std::vector<Address> live = roleCandidates(now);
   const auto rank = static_cast<int>(rendezvousRank(role, live, settings_.self));
   return !leaving_ && replica_ && !live.empty() && overdue >= rank * kStepInAfter;
 }
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -192,7 +192,7 @@
   std::optional<ReplicaSet> nextReplicaSet(Instant now) const;
   // Those that a leader role may fall to. Empty until this daemon has had time to hear of the
   // others: what it would take for its own would have to be watched out by the true owner.
-  std::vector<Address> staying(Instant now) const;
+  std::vector<Address> roleCandidates(Instant now) const;
   bool hasDiscoveredPeers(Instant now) const;
   void tickList(Instant now, AgentEffects* effects);
   void tickGossip(Instant now, AgentEffects* effects);
