--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -73,7 +73,7 @@
   // this machine's disk. `given` is a saved configuration that was in force as `givenVersion`; else
   // the newest that this daemon knows is kept. Turned away while the register may still live.
   struct Recovered {
-    std::string turnedAway;  // why not; "" when it is done
+    std::string rejection;  // why not; "" when it is done
     ReplicaSet replicas;
     std::uint64_t configurationVersion = 0;
   };
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -120,8 +120,7 @@
   AgentEffects effects;
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.turnedAway.empty())
-    co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
+  if (!made.rejection.empty()) co_return errorResponse({ErrorKind::RegisterLives, made.rejection});
   // A round of the new register shows that what founds it is synced.
   const ChangeOutcome done = co_await readSettled(3s);
   if (done.result != ChangeResult::Chosen)
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -310,15 +310,14 @@
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     Recovered fleet(seed);
     World& world = fleet.world;
-    CHECK(fleet.recover(0, "", 0).turnedAway.find("majority answered") != std::string::npos);
-    CHECK(fleet.recover(8, "", 0).turnedAway.find("no sound register replica") !=
-          std::string::npos);
+    CHECK(fleet.recover(0, "", 0).rejection.find("majority answered") != std::string::npos);
+    CHECK(fleet.recover(8, "", 0).rejection.find("no sound register replica") != std::string::npos);
     for (std::size_t i : {1U, 2U, 3U}) fleet.lose(i);
     world.run(30s);
     CHECK_FALSE(world.isConverged());
     CHECK(world.core(8).freshness().replicas().fleet == fleet.oldFleet);
     const auto made = fleet.recover(0, "", 0);
-    REQUIRE(made.turnedAway.empty());
+    REQUIRE(made.rejection.empty());
     world.run(60s);
     CHECK(world.isConverged());
     for (std::size_t i = 0; i < world.size(); ++i) {
@@ -347,9 +346,9 @@
     world.run(30s);
     CHECK_FALSE(world.isConverged());
     // The empty machine knows no configuration, and the edges serve by one.
-    CHECK(fleet.recover(1, "", 0).turnedAway.find("saved") != std::string::npos);
+    CHECK(fleet.recover(1, "", 0).rejection.find("saved") != std::string::npos);
     const auto made = fleet.recover(1, "saved", 1);
-    REQUIRE(made.turnedAway.empty());
+    REQUIRE(made.rejection.empty());
     world.run(60s);
     CHECK(world.isConverged());
     CHECK(world.core(10).freshness().configuration().value.body == "saved");
