--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -1,6 +1,6 @@
 #pragma once
-// All control logic of one daemon: (state, event, now) -> effects. The shells and the simulator
-// drive the same code.
+// The control logic of one daemon as a state machine: (state, event, now) -> effects. The daemon
+// and the simulator run the same code.
 #include <optional>
 #include <random>
 #include <set>
@@ -21,44 +21,48 @@
 
 namespace quayrill {
 
+// Settings of the control logic. Spans are on this daemon's clock.
 struct AgentSettings {
   Address self;
   std::string zone;
   std::vector<Address> seeds;
   std::string proxyAddress;
-  std::uint64_t nonce = 0;  // random at every start
+  std::uint64_t nonce = 0;  // random at every process start
   std::size_t replicasWanted = 4;
-  bool mayFound = true;  // false: this daemon never founds a fleet, an empty disk waits to join one
-  // How long a founder waits for those who may know of a fleet; none where the platform itself says
-  // that the whole system starts for the first time.
+  bool mayFound = true;  // false: never founds a fleet; with an empty disk it waits to join one
+  // How long a founder waits for a daemon that may know an existing fleet; zero if the platform
+  // states that the whole system is starting for the first time.
   Span foundingWait = std::chrono::seconds(3);
-  Span leaseSpan{};  // two holders of one leader role never act within this of each other
+  Span leaseSpan{};  // minimum time between the last action of one leader and the first of the next
   std::chrono::milliseconds listEvery{400};
-  double listCallsPerS = 50;  // for the platform's list, of all daemons together
-  LossTolerance losses{};     // that replicasWanted bear
+  double listCallsPerS = 50;  // limit on calls for the platform's list, over all daemons
+  LossTolerance losses{};     // the losses that replicasWanted replicas must tolerate
   Topology topology{};
-  // The next loss may come so long after a lost machine, or its successor, started; 0: not
-  // promised.
+  // The shortest time from the start of a lost machine or its successor to the next loss; 0: no
+  // such guarantee.
   Span catchUpSpan{};
 };
 
-// One piece of work for the replica's disk: the writes are synced in order, then the answer leaves.
+// One unit of work for the replica's disk: the writes are synced in order, then the answer is sent.
 struct ReplicaWork {
   std::vector<DiskWrite> writes;
   std::optional<Envelope> answer;
 };
 
+// What the caller must do after an event.
 struct AgentEffects {
   std::vector<Envelope> sends;
   std::vector<ReplicaWork> replicaWork;
-  std::vector<ChangeOutcome> done;  // of the operations asked from outside
-  bool readList = false;            // the platform's list is to be read, and takeList or
-                                    // onListFailed called once
+  std::vector<ChangeOutcome> done;  // outcomes of the operations started by requestChange
+  bool readList = false;            // read the platform's list, then call takeList or onListFailed
+                                    // exactly once
 };
 
+// Membership, gossip, leader roles, the register and its replica set, the server list and the
+// exchange between data planes, tied together.
 class AgentCore {
  public:
-  // `disk` is what the data folder held, or nothing where there is no folder.
+  // `disk` has the contents of the data folder; nullopt if there is no data folder.
   AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk);
   std::vector<ReplicaWork> start();
 
@@ -66,66 +70,70 @@
   void onTick(Instant now, AgentEffects* effects);
   OperationId requestChange(ChangeRequest change, Instant now, AgentEffects* effects);
   void onDiskError();
-  // The data folder was opened and read anew after a error, or late: the replica votes again by
-  // what is really there. False where the rows can't be understood.
+  // The data folder was reopened after an error, or opened late: the replica votes again, based on
+  // what is actually on the disk. Returns false if the rows can't be decoded.
   bool onDiskReloaded(const std::map<std::string, std::string>& disk, AgentEffects* effects);
-  // The operator gives the present register up, its majority being lost, and founds a new one on
-  // this machine's disk. `given` is a saved configuration that was in force as `givenVersion`; else
-  // the newest that this daemon knows is kept. Turned away while the register may still live.
+  // On an operator's request, abandons a register whose majority is lost and founds a new one on
+  // this machine's disk. `given` is a saved configuration that had version `givenVersion`; if it is
+  // empty, the newest configuration known to this daemon is used. Rejected while the old register
+  // may still be alive.
   struct Recovered {
-    std::string rejection;  // why not; "" when it is done
+    std::string rejection;  // the reason for a rejection; "" on success
     ReplicaSet replicas;
     std::uint64_t configurationVersion = 0;
   };
   Recovered recover(const std::string& given, std::uint64_t givenVersion, Instant now,
                     AgentEffects* effects);
-  // One piece of replica work is synced and answered.
+  // One unit of replica work has been synced and answered.
   void onReplicaWorkDone() { --replicaBacklog_; }
   void setLeaving(bool leaving) { leaving_ = leaving; }
-  // Other seeds stand in the settings now, one at least: from the next tick on this daemon looks
-  // for its fleet there. Nothing that it knows, keeps or has under way changes.
+  // Replaces the seeds (at least one) that this daemon contacts, starting with the next tick. Known
+  // peers, stored state and operations in progress are not affected.
   void setSeeds(std::vector<Address> seeds);
   void setListLimits(Span every, double callsPerS) { list_.setLimits(every, callsPerS); }
 
-  // True where `duty` falls to this daemon among the live ones. Leader roles fall to machines that
-  // keep a store only: a lease needs a majority of these, so where none of them lives nobody could
+  // True if rendezvous hashing over the live daemons assigns `role` to this one. Only machines with
+  // a store are candidates: a lease needs a majority of them, so without any of them nobody could
   // hold one.
   bool ownsRole(const std::string& role, Instant now) const;
-  // For a leader role that should long be done: its owner may be gone and not missed yet, so the
-  // next in order may pursue the lease after a while, and the one after it later. The lease alone
-  // gives the right, so more who pursue it cost messages and nothing else.
+  // For a leader role whose work is overdue: its owner may have failed without this being detected
+  // yet, so the next candidates try to acquire the lease, each some time after the one before it.
+  // Only the lease permits acting, so additional contenders cost nothing but messages.
   bool mayTakeOverRole(const std::string& role, Span overdue, Instant now) const;
+  // Starts the next operation, if any, towards acquiring or renewing the lease for `role`.
   void tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
+  // The fence of the lease for `role` if this daemon is certain to hold it for another `needed`.
   std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const {
     return leases_.held(role, needed, now);
   }
 
+  // The platform's list was read, by a read that began at `askedAt` and took `calls` calls.
   void takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
                 AgentEffects* effects);
   void onListFailed(std::size_t calls, bool overRate, Instant now) {
     list_.onReadFailed(calls, overRate, now);
   }
   const ServerList& list() const { return list_; }
-  // What this daemon learned of a server whose weights it orders, told to all that live.
+  // Sends what this daemon learned about a server whose weights it controls to all live daemons.
   void broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects);
   const ServerNotes& notes() const { return notes_; }
-  // The configuration in force names these weights. `confirmedAt`: when the one before it was
-  // certainly still the newest.
+  // The configuration in force names these weights. `confirmedAt` is when the previous
+  // configuration was last known to be the newest.
   void onWeightsConfigured(const std::map<ModelName, WeightsVersion>& weights,
                            std::optional<Instant> confirmedAt) {
     weights_.onConfiguration(weights, confirmedAt);
   }
-  // Weights that were superseded before `before` are used no more.
+  // Forgets weights that were superseded before `before`: they are no longer used.
   void forgetWeightsBefore(Instant before) { weights_.forgetBefore(before); }
   const WeightsHistories& weights() const { return weights_; }
-  // What the data plane of this daemon observed since its last report.
+  // Takes what the data plane of this daemon observed since its last report.
   void takePlaneReport(PlaneReport report) { exchange_.addOwnReport(std::move(report)); }
-  // What the fleet's data planes observed, for the data plane of this daemon.
+  // Returns and removes what the fleet's data planes observed, for the data plane of this daemon.
   std::vector<PlaneDigest> takePlaneDigests() { return exchange_.takeDigests(); }
-  // Those whose cache events this daemon reads for the fleet. None until it has had time to hear of
-  // the others: it would take every source for its own, and after a restart of all daemons each
-  // would read everything.
+  // The sources whose cache events this daemon reads for the fleet. Empty until it has had time to
+  // discover the other daemons: otherwise it would assign every source to itself, and after a
+  // restart of all daemons each of them would read everything.
   std::vector<ServerName> eventSources(const std::vector<EventSource>& sources, Instant now) const;
   const Freshness& freshness() const { return freshness_; }
   std::vector<NewsItem> live(Instant now) const { return gossip_.live(now); }
@@ -134,22 +142,24 @@
   bool isWritable() const { return replica_ && replica_->isVoting(); }
   bool isVoting() const { return replica_ && replica_->isVoting() && replica_->isMember(); }
   std::vector<Address> view() const { return membership_.view(); }
-  // This daemon leaves, its register replica is still a member, and the set can do without it soon.
+  // This daemon is leaving, its replica is still a member, and the replica set can soon continue
+  // without it.
   bool isHandingOver(Instant now) const;
 
  private:
   enum class Purpose { External, Settle, Lease, Replicas, Sweep };
   void onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
-  // Answers what a seed was asked; a grant is on the disk before its answer leaves.
+  // Answers a FoundAsk; a grant is written to disk before the answer is sent.
   void answerFoundAsk(const Address& from, const FoundAsk& ask, Instant now, AgentEffects* effects);
   bool isFounder(Instant now) const;
-  // Founding needs the grants of all seeds, so that any two founders ask one machine in common.
-  // Lists that changed in between hold to this only while each keeps most of the first one.
+  // Founding requires the grants of all seeds, so that any two founders need the grant of at least
+  // one common machine. If the seed list changes, this holds only while each list keeps more than
+  // half of the initial one.
   bool keepsMajorityOfInitialSeeds() const;
   void restoreGrant(const std::map<std::string, std::string>& disk);
   void foundWhenGranted(Instant now, AgentEffects* effects);
-  // False for a founding that is not the one this machine gave its grant to.
+  // False if `replicas` was founded by another founding than the one that this machine granted.
   bool mayAdopt(const ReplicaSet& replicas, Instant now) const;
   void queryNewerReplicaSet(Instant now, AgentEffects* effects);
   void tickFounding(Instant now, AgentEffects* effects);
@@ -158,50 +168,53 @@
   void advanceReplicaSet(Instant now, AgentEffects* effects);
   void recordContact(const Address& from, const ConfirmAnswer& answer, Instant now);
   bool isReachable(StoreId store, Instant now) const;
-  // Gone for certain, or silent for `span`.
+  // The member's store was replaced, or it has been unreachable for `span`.
   bool isLost(const ReplicaMember& member, Span span, Instant now) const;
-  // How long a member may be out of touch where a spare waits, and where none does.
+  // How long a member may be unreachable before it is removed, with and without a spare store that
+  // can take its place.
   Span silenceLimit() const;
   Span silenceLimitWithoutSpare() const;
-  // A member that the set must give up: lost, or leaving by its own word.
+  // A member to remove from the set: it is lost, or has announced that it is leaving.
   std::optional<ReplicaMember> departingMember(bool spareWaits, Instant now) const;
   bool isLeaving(const ReplicaMember& member) const;
-  // The one to give up where none departs and there are more than wanted.
+  // The member to remove if there are more than wanted and none is departing.
   ReplicaMember surplusMember(Instant now) const;
   Site siteOf(const Address& address) const;
-  // Without a successor `member` leaves only where the rest bears no less for it.
+  // Whether `member` may be removed without a successor: the rest must not tolerate fewer losses.
   bool mayRemoveWithoutSuccessor(const ReplicaMember& member, Instant now) const;
-  // Members in one place; regions count only where their loss is to be borne.
+  // The number of members in one region and zone. Regions are counted only if the loss of a region
+  // must be tolerated.
   struct Occupancy {
     std::size_t inRegion = 0, inZone = 0;
     auto operator<=>(const Occupancy&) const = default;
   };
   Occupancy occupancyAt(const Site& site, const std::vector<ReplicaMember>& members) const;
-  // In place of the surplus member, `joining` would stand where at least two fewer stand.
+  // Whether replacing the surplus member by `joining` moves a replica to a region or zone that has
+  // at least two members fewer.
   bool improvesSpread(const ReplicaMember& joining, Instant now) const;
   std::optional<ReplicaMember> joinCandidate(Instant now) const;
   void tickSweep(Instant now, AgentEffects* effects);
   void begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects);
   void finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects);
   void adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects);
-  // Writes the replica set in use down where this machine holds a replica and has an older one.
+  // Writes the current replica set to disk if this machine has a replica that knows an older one.
   void persistReplicaSet(AgentEffects* effects);
   void enqueueReplicaWork(ReplicaWork work, AgentEffects* effects);
   bool isReplicaBacklogFull() const;
   void sendAll(std::vector<std::pair<ReplicaMember, Message>> sends, AgentEffects* effects);
   std::optional<ReplicaSet> nextReplicaSet(Instant now) const;
-  // Those that a leader role may fall to. Empty until this daemon has had time to hear of the
-  // others: what it would take for its own would have to be watched out by the true owner.
+  // The candidates for leader roles. Empty until this daemon has had time to discover the others: a
+  // lease that it acquires by mistake would have to expire before the actual owner could act.
   std::vector<Address> roleCandidates(Instant now) const;
   bool hasDiscoveredPeers(Instant now) const;
   void tickList(Instant now, AgentEffects* effects);
   void tickGossip(Instant now, AgentEffects* effects);
-  // Who judges the replica set hears at once of what bears on it.
+  // Sends this daemon's own state at once to the machines that decide on the replica set.
   void notifyStoreHolders(Instant now, AgentEffects* effects);
   void sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects);
 
   AgentSettings settings_;
-  const std::vector<Address> initialSeeds_;  // as this process started
+  const std::vector<Address> initialSeeds_;  // at the start of this process
   std::mt19937_64 random_;
   std::optional<RegisterReplica> replica_;
   Membership membership_;
@@ -210,18 +223,18 @@
   Proposer proposer_;
   Leases leases_;
   ServerList list_;
-  ListPeers listPeers_;  // as of the last time that it was due to be made anew
+  ListPeers listPeers_;  // recomputed at nextListPeers_
   ServerNotes notes_;
   PlaneExchange exchange_;
   WeightsHistories weights_;
-  std::map<OperationId, Purpose> purposes_;  // one row per operation under way
+  std::map<OperationId, Purpose> purposes_;  // one entry per operation in progress
   std::uint64_t operationCounter_ = 0;
-  // Copy work handed out and not yet done; past the limit the replica takes no more messages, so a
-  // slow disk delays answers by a bounded queue only.
+  // Replica work that was issued and isn't finished. At the limit the replica drops messages, which
+  // bounds the delay of answers by a slow disk.
   std::size_t replicaBacklog_ = 0;
   bool leaving_ = false;
-  Instant startedAt_{};  // of the first tick
-  // What this daemon last told of itself at once.
+  Instant startedAt_{};  // the first tick
+  // The parts of this daemon's state that are announced without waiting for the next heartbeat.
   struct Announcement {
     bool leaving = false;
     StoreId store;
@@ -233,9 +246,9 @@
       nextReplicaSetCheck_{}, nextSweep_{}, nextListPeers_{};
   Span settleDelay_{};
   std::uint64_t confirmRounds_ = 0;
-  // Founding. A grant is for one fleet of one founder; the next waits until it has run out, unless
-  // it comes from the same address, whose earlier life is gone. One read back from the disk runs
-  // anew from the first tick: never shorter than it was promised.
+  // Founding. A grant is for one fleet of one founder. Until it expires, only the same address may
+  // get another one, as its earlier process is gone. The time of a grant that was restored from
+  // disk restarts at the first tick, so it is never shorter than promised.
   struct Grant {
     Address to;
     std::uint64_t fleet = 0;
@@ -247,30 +260,30 @@
   };
   struct SeedAnswer {
     Instant askedAt;
-    bool granted = false;  // to this life's fleet
+    bool granted = false;  // to the fleet that this process would found
     bool mayFound = false;
     StoreId store;
   };
-  std::uint64_t ownFleet_ = 0;  // the one that this life would found
+  std::uint64_t ownFleet_ = 0;  // the fleet that this process would found
   Grant grant_;
   std::map<std::uint64_t, FoundingRound> foundingRounds_;  // by nonce; no older than kSaidSpan
   std::map<Address, SeedAnswer> seedAnswers_;              // the last 'unfounded' of each seed
   EpochSweep epochSweep_;
-  // Stores that answered lately, and since when each member of the replica set has not.
+  // Stores that answered recently; silentSince_ has the members of the replica set that did not.
   struct Contact {
     Address address;
     Instant at;
     std::uint64_t fleet = 0;
-    // The last time that it answered again after a silence, and how often it did so lately.
+    // When it last answered again after being unreachable, and how often that happened recently.
     Instant stableSince;
     int reconnects = 0;
   };
   std::map<StoreId, Contact> contacts_;
   std::map<StoreId, Instant> silentSince_;
-  // Members of the present replica set whose address answered as another store when asked for them.
+  // Members of the current replica set at whose address another store answers.
   std::set<StoreId> replacedStores_;
   Instant lastTick_{};
-  Instant stepPendingSince_{};  // that the replica set has waited for its next step
+  Instant stepPendingSince_{};  // since when the replica set has been waiting for its next step
   std::pair<Epoch, bool> pendingStep_;
 };
 
