--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -210,7 +210,7 @@
   AgentEffects effects;
   counters_.listCalls += calls;
   if (listed.ok()) {
-    core_->takeList(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
+    core_->onListRead(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
   } else {
     const bool overRate = absl::IsResourceExhausted(listed.status());
     core_->onListFailed(calls, overRate, BootClock::now());
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -260,8 +260,8 @@
   effects->readList = list_.onTick(listPeers_, now, &effects->sends);
 }
 
-void AgentCore::takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-                         AgentEffects* effects) {
+void AgentCore::onListRead(std::vector<ListRow> rows, Instant askedAt, std::size_t calls,
+                           Instant now, AgentEffects* effects) {
   std::vector<Envelope> sends;
   list_.onRead(std::move(rows), askedAt, calls, now, &sends);
   sendListAnswers(std::move(sends), now, effects);
@@ -290,7 +290,7 @@
   if (now - startedAt_ < 5s || !ownsRole("sweep", now)) return;
   const RegisterKey role{"hold/sweep"};
   tryAcquireLease(role, now, effects);
-  if (!leases_.held(role, 500ms, now)) {
+  if (!leases_.heldFence(role, 500ms, now)) {
     nextSweep_ = now + 500ms;
     return;
   }
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -54,8 +54,8 @@
   std::vector<Envelope> sends;
   std::vector<ReplicaWork> replicaWork;
   std::vector<ChangeOutcome> done;  // outcomes of the operations started by requestChange
-  bool readList = false;            // read the platform's list, then call takeList or onListFailed
-                                    // exactly once
+  bool readList = false;  // read the platform's list, then call onListRead or onListFailed
+                          // exactly once
 };
 
 // Membership, gossip, leader roles, the register and its replica set, the server list and the
@@ -104,13 +104,13 @@
   void tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   // The fence of the lease for `role` if this daemon is certain to hold it for another `needed`.
-  std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const {
-    return leases_.held(role, needed, now);
+  std::optional<Fence> heldFence(const RegisterKey& role, Span needed, Instant now) const {
+    return leases_.heldFence(role, needed, now);
   }
 
   // The platform's list was read, by a read that began at `askedAt` and took `calls` calls.
-  void takeList(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
-                AgentEffects* effects);
+  void onListRead(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
+                  AgentEffects* effects);
   void onListFailed(std::size_t calls, bool overRate, Instant now) {
     list_.onReadFailed(calls, overRate, now);
   }
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -89,7 +89,7 @@
     row.validUntil = row.askedAt + kTerm - kMargin;
 }
 
-std::optional<Fence> Leases::held(const RegisterKey& role, Span needed, Instant now) const {
+std::optional<Fence> Leases::heldFence(const RegisterKey& role, Span needed, Instant now) const {
   const auto row = rows_.find(role);
   if (row == rows_.end()) return std::nullopt;
   const LeaseBody& body = row->second.body;
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -32,7 +32,7 @@
   std::optional<ChangeRequest> release(const RegisterKey& role, Instant now);
   void onDone(const ChangeOutcome& done, Instant now);
   // The fence, while the lease is sure to last for `needed` more.
-  std::optional<Fence> held(const RegisterKey& role, Span needed, Instant now) const;
+  std::optional<Fence> heldFence(const RegisterKey& role, Span needed, Instant now) const;
 
  private:
   // validUntil counts from before the change was sent, and a rival counts the whole term from
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -158,7 +158,7 @@
   Json rows = Json::array();
   const Snapshot told = snapshot(configurationVersion_, now);
   for (const SnapshotServer& row : told.servers) {
-    const auto fence = core_->held(orderLease(row.model), Span{}, now);
+    const auto fence = core_->heldFence(orderLease(row.model), Span{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
                     {"model", row.model.value},
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -35,7 +35,7 @@
   }
   const auto confirmed = core_->freshness().confirmedAt();
   if (confirmed && now - *confirmed < settings_.freshLimit)
-    view.fence = core_->held(orderLease(model), kOrderDue + kOrderMargin, now);
+    view.fence = core_->heldFence(orderLease(model), kOrderDue + kOrderMargin, now);
   return view;
 }
 
@@ -51,7 +51,7 @@
     const RolloutView view = rolloutView(model, now);
     const RegisterKey key = orderLease(model);
     AgentEffects effects;
-    const auto held = core_->held(key, Span{}, now);
+    const auto held = core_->heldFence(key, Span{}, now);
     if (held && rollout.isFencedOff(*held)) {
       // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
--- a/src/sim/checks.cpp
+++ b/src/sim/checks.cpp
@@ -45,7 +45,8 @@
       Machine& machine = machines_[i];
       if (!machine.core) continue;
       // A frozen machine's hold is judged by its own clock: it could act the moment it wakes.
-      const auto fence = machine.core->held(RegisterKey{"hold/" + role}, Span{}, local(machine));
+      const auto fence =
+          machine.core->heldFence(RegisterKey{"hold/" + role}, Span{}, local(machine));
       if (!fence) continue;
       ++holders;
       ++tally_.leasesSeen;
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -173,21 +173,22 @@
   const auto step = [&](Leases& holds) { script.step(holds, now); };
   step(first);
   step(first);
-  REQUIRE(first.held(script.role, 0s, now) == Fence{1});
+  REQUIRE(first.heldFence(script.role, 0s, now) == Fence{1});
   const Instant taken = now;
   Instant overlapUntil{};
   for (; now < taken + 10s; now += 50ms) {
     step(second);
-    const bool both = first.held(script.role, 0s, now) && second.held(script.role, 0s, now);
+    const bool both =
+        first.heldFence(script.role, 0s, now) && second.heldFence(script.role, 0s, now);
     if (both) overlapUntil = now;
-    if (second.held(script.role, 0s, now)) break;
+    if (second.heldFence(script.role, 0s, now)) break;
   }
   CHECK(overlapUntil == Instant{});
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.heldFence(script.role, 0s, now) == Fence{2});
   CHECK(now - taken >= 4s);
-  CHECK_FALSE(first.held(script.role, 0s, now));
+  CHECK_FALSE(first.heldFence(script.role, 0s, now));
   step(first);  // its renewal meets the new holder
-  CHECK_FALSE(first.held(script.role, 0s, now));
+  CHECK_FALSE(first.heldFence(script.role, 0s, now));
 }
 
 TEST_CASE(
@@ -199,22 +200,22 @@
   const auto step = [&](Leases& holds) { script.step(holds, now); };
   step(first);
   step(first);
-  CHECK(first.held(script.role, 3s, now));
-  CHECK_FALSE(first.held(script.role, 4s, now));
+  CHECK(first.heldFence(script.role, 3s, now));
+  CHECK_FALSE(first.heldFence(script.role, 4s, now));
   const auto released = first.release(script.role, now);
   REQUIRE(released);
-  CHECK_FALSE(first.held(script.role, 0s, now));  // from the moment it asks to let go
+  CHECK_FALSE(first.heldFence(script.role, 0s, now));  // from the moment it asks to let go
   first.onDone(script.answer(*released), now);
   step(second);
   step(second);
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.heldFence(script.role, 0s, now) == Fence{2});
   now += 2s;
   const auto renewal = second.tryAcquire(script.role, now);
   REQUIRE(renewal);
   second.onDone({{}, script.role, ChangeResult::Unknown, {}, {}, {}}, now);
-  CHECK(second.held(script.role, 0s, now));  // the old term still runs
+  CHECK(second.heldFence(script.role, 0s, now));  // the old term still runs
   now += 2s;
-  CHECK_FALSE(second.held(script.role, 0s, now));
+  CHECK_FALSE(second.heldFence(script.role, 0s, now));
 }
 
 TEST_CASE("holds: taken from another life it counts only when the lease has passed") {
@@ -224,7 +225,7 @@
   Instant now{100s};
   script.step(first, now);
   script.step(first, now);
-  CHECK(first.held(script.role, 0s, now) == Fence{1});  // nobody held it before
+  CHECK(first.heldFence(script.role, 0s, now) == Fence{1});  // nobody held it before
   // Let go: the rival has the fence at once, and the right a lease after it saw the release.
   const auto released = first.release(script.role, now);
   REQUIRE(released);
@@ -234,31 +235,31 @@
   const Instant takenAt = now;
   for (; now < takenAt + lease; now += 50ms) {
     script.step(second, now);
-    CHECK_FALSE(second.held(script.role, 0s, now));
+    CHECK_FALSE(second.heldFence(script.role, 0s, now));
   }
-  CHECK(second.held(script.role, 0s, now) == Fence{2});
+  CHECK(second.heldFence(script.role, 0s, now) == Fence{2});
   // Renewed, or let go and taken again by the same life: no second wait.
   const auto again = second.release(script.role, now);
   REQUIRE(again);
   second.onDone(script.answer(*again), now);
-  CHECK_FALSE(second.held(script.role, 0s, now));
+  CHECK_FALSE(second.heldFence(script.role, 0s, now));
   script.step(second, now);
-  CHECK(second.held(script.role, 0s, now) == Fence{3});
+  CHECK(second.heldFence(script.role, 0s, now) == Fence{3});
   // Run out unrenewed, as behind a cut or in a freeze: it stops acting by its own clock, and the
   // rival acts a lease later at the earliest.
   Instant lastAct{};
   const Instant frozenAt = now;
-  for (; now < frozenAt + 30s && !first.held(script.role, 0s, now); now += 50ms) {
-    if (second.held(script.role, 0s, now)) lastAct = now;
+  for (; now < frozenAt + 30s && !first.heldFence(script.role, 0s, now); now += 50ms) {
+    if (second.heldFence(script.role, 0s, now)) lastAct = now;
     script.step(first, now);
   }
-  CHECK(first.held(script.role, 0s, now) == Fence{4});
+  CHECK(first.heldFence(script.role, 0s, now) == Fence{4});
   CHECK(now - lastAct >= lease);
-  CHECK_FALSE(second.held(script.role, 0s, now));  // woken
+  CHECK_FALSE(second.heldFence(script.role, 0s, now));  // woken
   // A later life of the same machine is another holder.
   Leases later(member(1), 33, lease);
   const Instant restartedAt = now;
-  for (; now < restartedAt + 30s && !later.held(script.role, 0s, now); now += 50ms)
+  for (; now < restartedAt + 30s && !later.heldFence(script.role, 0s, now); now += 50ms)
     script.step(later, now);
   CHECK(now - restartedAt >= 4s + lease);
 }
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -192,14 +192,15 @@
     spanUntil(world, 20s, [&] {
       bool held = false;
       for (std::size_t i = 0; i < 4; ++i)
-        held = held || world.core(i).held(RegisterKey{"hold/orders/x"}, Span{}, world.localNow(i));
+        held = held ||
+               world.core(i).heldFence(RegisterKey{"hold/orders/x"}, Span{}, world.localNow(i));
       return held;
     });
     world.run(2s);
     const RegisterKey role{"hold/orders/x"};
     const auto holder = [&]() -> std::size_t {
       for (std::size_t i = 0; i < world.size(); ++i) {
-        if (world.isUp(i) && world.core(i).held(role, Span{}, world.localNow(i))) return i;
+        if (world.isUp(i) && world.core(i).heldFence(role, Span{}, world.localNow(i))) return i;
       }
       return world.size();
     };
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -132,7 +132,7 @@
     const RegisterKey role{"hold/orders/x"};
     const auto holder = [&]() -> std::size_t {
       for (std::size_t i = 0; i < world.size(); ++i) {
-        if (world.isUp(i) && world.core(i).held(role, Span{}, world.localNow(i))) return i;
+        if (world.isUp(i) && world.core(i).heldFence(role, Span{}, world.localNow(i))) return i;
       }
       return world.size();
     };
