--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -10,15 +10,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kReplicaBacklog = 64;
+constexpr std::size_t kMaxReplicaBacklog = 64;
 constexpr char kMayFound[] = "may-found";
-constexpr Span kHearSpan = 3s;
-constexpr Span kSettleLater = 1500ms;
-constexpr Span kConfirmEvery = 250ms;
-constexpr Span kConfirmEveryUnsettled = 100ms;
-constexpr std::uint64_t kListKeysEvery = 8;
-constexpr Span kStepInAfter =
-    2s;  // ours: for each daemon that comes before in a leader role's order
+constexpr Span kDiscoverySpan = 3s;
+constexpr Span kSettleDelayWithoutReplica = 1500ms;
+constexpr Span kConfirmInterval = 250ms;
+constexpr Span kConfirmIntervalUnsettled = 100ms;
+constexpr std::uint64_t kListKeysEveryRounds = 8;
+// How much longer each further candidate for a leader role waits before it takes over.
+constexpr Span kTakeOverDelayPerRank = 2s;
 }  // namespace
 
 AgentCore::AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk)
@@ -38,7 +38,8 @@
   if (!disk->empty() && !replica_->restore(*disk)) replica_->stopVoting();
   if (replica_->replicas().epoch.value > 0) freshness_.adopt(replica_->replicas());
   restoreGrant(*disk);
-  // A founder that ends before it has founded may still do so with the disk it had.
+  // The disk records that an earlier run was allowed to found a fleet. If it ended before it did,
+  // this run may still do so.
   settings_.mayFound = settings_.mayFound || disk->contains(kMayFound);
 }
 
@@ -65,11 +66,11 @@
 bool AgentCore::onDiskReloaded(const std::map<std::string, std::string>& disk,
                                AgentEffects* effects) {
   if (replica_ && replica_->isVoting()) return true;
-  RegisterReplica read(StoreId{random_() | 1});
-  if (!disk.empty() && !read.restore(disk)) return false;
-  // Rows that are gone make a new identity, as at a start on an empty folder: the old never votes
-  // again.
-  replica_ = std::move(read);
+  RegisterReplica reloaded(StoreId{random_() | 1});
+  if (!disk.empty() && !reloaded.restore(disk)) return false;
+  // If the rows are gone, the replica gets a new identity, as at a start with an empty folder: the
+  // old identity must never vote again.
+  replica_ = std::move(reloaded);
   if (disk.empty()) enqueueReplicaWork({replica_->identityWrites(), std::nullopt}, effects);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
@@ -83,7 +84,7 @@
     effects->sends.push_back({settings_.self, member.address, std::move(message)});
 }
 
-bool AgentCore::isReplicaBacklogFull() const { return replicaBacklog_ >= kReplicaBacklog; }
+bool AgentCore::isReplicaBacklogFull() const { return replicaBacklog_ >= kMaxReplicaBacklog; }
 
 void AgentCore::enqueueReplicaWork(ReplicaWork work, AgentEffects* effects) {
   ++replicaBacklog_;
@@ -108,16 +109,17 @@
   if ((prepared && !mayAdopt(prepared->replicas, now)) ||
       (accepted && !mayAdopt(accepted->replicas, now)))
     return;
-  ReplicaEffects made;
-  if (prepared) made = replica_->onPrepare(*prepared);
-  if (accepted) made = replica_->onAccept(*accepted);
+  ReplicaEffects replicaEffects;
+  if (prepared) replicaEffects = replica_->onPrepare(*prepared);
+  if (accepted) replicaEffects = replica_->onAccept(*accepted);
   if (const auto* confirm = std::get_if<Confirm>(&envelope.body))
-    made = replica_->onConfirm(*confirm);
+    replicaEffects = replica_->onConfirm(*confirm);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
-  if (made.writes.empty() && !made.answer) return;
-  ReplicaWork work{std::move(made.writes), std::nullopt};
-  if (made.answer) work.answer = Envelope{settings_.self, envelope.from, std::move(*made.answer)};
+  if (replicaEffects.writes.empty() && !replicaEffects.answer) return;
+  ReplicaWork work{std::move(replicaEffects.writes), std::nullopt};
+  if (replicaEffects.answer)
+    work.answer = Envelope{settings_.self, envelope.from, std::move(*replicaEffects.answer)};
   enqueueReplicaWork(std::move(work), effects);
 }
 
@@ -131,10 +133,10 @@
     std::vector<Envelope> sends;
     list_.onAsk(envelope.from, *listAsk, now, &sends);
     sendListAnswers(std::move(sends), now, effects);
-  } else if (const auto* told = std::get_if<ListAnswer>(&envelope.body)) {
+  } else if (const auto* listAnswer = std::get_if<ListAnswer>(&envelope.body)) {
     std::vector<Envelope> sends;
-    if (const auto toldAt = list_.onAnswer(*told, now, &sends))
-      weights_.merge(told->superseded, *toldAt);
+    if (const auto answeredAt = list_.onAnswer(*listAnswer, now, &sends))
+      weights_.merge(listAnswer->superseded, *answeredAt);
     sendListAnswers(std::move(sends), now, effects);
   } else if (const auto* note = std::get_if<ServerNote>(&envelope.body)) {
     notes_.onNote(*note, now);
@@ -181,23 +183,23 @@
 }
 
 void AgentCore::finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects) {
-  for (const ChangeOutcome& ended : done) {
-    adopt(ended.replicas, now, effects);
-    const auto purpose = purposes_.find(ended.operation);
+  for (const ChangeOutcome& outcome : done) {
+    adopt(outcome.replicas, now, effects);
+    const auto purpose = purposes_.find(outcome.operation);
     if (purpose == purposes_.end()) continue;
-    if (ended.result == ChangeResult::Chosen) {
-      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
+    if (outcome.result == ChangeResult::Chosen) {
+      freshness_.learnChosen(outcome.key, {outcome.ballot, outcome.value});
       persistReplicaSet(effects);
     }
-    if (purpose->second == Purpose::External) effects->done.push_back(ended);
-    if (purpose->second == Purpose::Lease) leases_.onDone(ended, now);
-    if (purpose->second == Purpose::Sweep) epochSweep_.onReadDone(ended);
+    if (purpose->second == Purpose::External) effects->done.push_back(outcome);
+    if (purpose->second == Purpose::Lease) leases_.onDone(outcome, now);
+    if (purpose->second == Purpose::Sweep) epochSweep_.onReadDone(outcome);
     purposes_.erase(purpose);
   }
 }
 
 bool AgentCore::hasDiscoveredPeers(Instant now) const {
-  return startedAt_ != Instant{} && now - startedAt_ >= kHearSpan;
+  return startedAt_ != Instant{} && now - startedAt_ >= kDiscoverySpan;
 }
 
 std::vector<ServerName> AgentCore::eventSources(const std::vector<EventSource>& sources,
@@ -222,7 +224,7 @@
 bool AgentCore::mayTakeOverRole(const std::string& role, Span overdue, Instant now) const {
   const std::vector<Address> live = roleCandidates(now);
   const auto rank = static_cast<int>(rendezvousRank(role, live, settings_.self));
-  return !leaving_ && replica_ && !live.empty() && overdue >= rank * kStepInAfter;
+  return !leaving_ && replica_ && !live.empty() && overdue >= rank * kTakeOverDelayPerRank;
 }
 
 void AgentCore::tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
@@ -235,25 +237,25 @@
   if (auto change = leases_.release(role, now)) begin(*change, Purpose::Lease, now, effects);
 }
 
-// Machines that keep a replica come first: they are few, and carry no requests. At the start only
-// the seeds are known.
+// Also orders the daemons that read the platform's list. Machines with a replica come first: they
+// are few and carry no requests. At the start only the seeds are known.
 void AgentCore::tickList(Instant now, AgentEffects* effects) {
   if (now >= nextListPeers_) {
     nextListPeers_ = now + 400ms;
-    std::set<Address> first(settings_.seeds.begin(), settings_.seeds.end()), then;
+    std::set<Address> preferred(settings_.seeds.begin(), settings_.seeds.end()), others;
     const std::vector<NewsItem> live = gossip_.live(now);
     for (const NewsItem& item : live) {
-      first.erase(item.source);
+      preferred.erase(item.source);
       if (item.leaving) continue;
-      (item.store.value != 0 ? first : then).insert(item.source);
+      (item.store.value != 0 ? preferred : others).insert(item.source);
     }
     for (const Address& seed : settings_.seeds) {
       const auto item = gossip_.item(seed);
-      if (item && !gossip_.isLive(seed, now)) first.erase(seed);  // it was known, and is gone
+      if (item && !gossip_.isLive(seed, now)) preferred.erase(seed);  // it was known and has failed
     }
-    listPeers_.order = rendezvousOrder("list", {first.begin(), first.end()});
-    const auto rest = rendezvousOrder("list", {then.begin(), then.end()});
-    listPeers_.order.insert(listPeers_.order.end(), rest.begin(), rest.end());
+    listPeers_.order = rendezvousOrder("list", {preferred.begin(), preferred.end()});
+    const auto othersOrder = rendezvousOrder("list", {others.begin(), others.end()});
+    listPeers_.order.insert(listPeers_.order.end(), othersOrder.begin(), othersOrder.end());
     listPeers_.peakPeerCount = std::max(listPeers_.peakPeerCount, live.size());
     notes_.forgetUnlisted(list_.rows(), now);
   }
@@ -283,7 +285,8 @@
   }
 }
 
-// Reads mend the replicas they touch; the sweep reads what nobody asked for.
+// A read repairs the replicas that it reaches. This periodic sweep reads every known key, since
+// some of them are otherwise rarely read.
 void AgentCore::tickSweep(Instant now, AgentEffects* effects) {
   if (now < nextSweep_ || !freshness_.replicas().settled) return;
   nextSweep_ = now + 10s + std::chrono::milliseconds(random_() % 1000);
@@ -300,15 +303,15 @@
   }
 }
 
-// Machines that keep a store ask all replicas, and the stores that wait to join: they judge who is
-// there and who is gone.
+// Machines with a store query all replicas and the stores that wait to join, because they decide
+// which stores are available.
 void AgentCore::tickConfirm(Instant now, AgentEffects* effects) {
   const ReplicaSet& replicas = freshness_.replicas();
   if (replicas.epoch.value == 0) return;
-  if (!replicas.settled) nextConfirm_ = std::min(nextConfirm_, now + kConfirmEveryUnsettled);
+  if (!replicas.settled) nextConfirm_ = std::min(nextConfirm_, now + kConfirmIntervalUnsettled);
   if (now < nextConfirm_) return sendAll(freshness_.widenRound(now), effects);
-  nextConfirm_ = now + (replicas.settled ? kConfirmEvery : kConfirmEveryUnsettled);
-  const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
+  nextConfirm_ = now + (replicas.settled ? kConfirmInterval : kConfirmIntervalUnsettled);
+  const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEveryRounds == 0;
   sendAll(freshness_.beginRound(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
   for (const NewsItem& item : gossip_.live(now)) {
@@ -321,15 +324,16 @@
   }
 }
 
-// Every second, and at once where this daemon begins to leave, has another store or was taken for
-// an earlier life of its own.
+// Publishes this daemon's state every second, and at once when it starts to leave, has another
+// store or raised its incarnation to supersede an earlier run.
 void AgentCore::tickGossip(Instant now, AgentEffects* effects) {
   const StoreId store = replica_ && replica_->isVoting() ? replica_->store() : StoreId{};
-  const Announcement told{leaving_, store, gossip_.item(settings_.self)->version.incarnation};
-  const bool isUrgent = told != lastAnnounced_;
+  const Announcement announcement{leaving_, store,
+                                  gossip_.item(settings_.self)->version.incarnation};
+  const bool isUrgent = announcement != lastAnnounced_;
   if (now < nextHeartbeat_ && !isUrgent) return;
   nextHeartbeat_ = now + 1s;
-  lastAnnounced_ = told;
+  lastAnnounced_ = announcement;
   NewsItem own;
   own.zone = settings_.zone;
   own.proxyAddress = settings_.proxyAddress;
@@ -349,8 +353,9 @@
     if (item.store.value != 0) holders.insert(item.source);
   }
   holders.erase(settings_.self);
-  const NewsAnswer told{{*gossip_.item(settings_.self)}};
-  for (const Address& holder : holders) effects->sends.push_back({settings_.self, holder, told});
+  const NewsAnswer announcement{{*gossip_.item(settings_.self)}};
+  for (const Address& holder : holders)
+    effects->sends.push_back({settings_.self, holder, announcement});
 }
 
 void AgentCore::onTick(Instant now, AgentEffects* effects) {
@@ -367,8 +372,8 @@
   if (exchange_.isDue(now)) exchange_.onTick(gossip_.live(now), now, &effects->sends);
   tickFounding(now, effects);
   tickConfirm(now, effects);
-  // Machines that keep a store settle a value first: the others are many.
-  const Span patience = replica_ ? settleDelay_ : settleDelay_ + kSettleLater;
+  // Machines with a store settle a value first, because the other machines are many.
+  const Span patience = replica_ ? settleDelay_ : settleDelay_ + kSettleDelayWithoutReplica;
   if (const auto key = freshness_.keyToSettle(now, patience); key && !proposer_.isBusy(*key)) {
     settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
