--- a/src/agent/core/event_sources.cpp
+++ b/src/agent/core/event_sources.cpp
@@ -17,8 +17,8 @@
   }
   std::vector<ServerName> own;
   for (const EventSource& source : sources) {
-    const auto near = readersOfZone.find(source.zone);
-    const auto& candidates = near == readersOfZone.end() ? readers : near->second;
+    const auto readersNearby = readersOfZone.find(source.zone);
+    const auto& candidates = readersNearby == readersOfZone.end() ? readers : readersNearby->second;
     if (rendezvousOwner("events/" + source.name.value, candidates) == self)
       own.push_back(source.name);
   }
--- a/src/agent/core/event_sources.h
+++ b/src/agent/core/event_sources.h
@@ -1,6 +1,6 @@
 #pragma once
-// Which daemon reads whose cache events: each server's, and the store's, by one daemon of the
-// fleet, which tells the others.
+// Assigns the sources of cache events to daemons: the events of each server and of the store are
+// read by one daemon of the fleet, which passes them on to the others.
 #include <string>
 #include <vector>
 
@@ -8,17 +8,19 @@
 
 namespace quayrill {
 
-// A server or store that tells cache events.
+// A server or store that publishes cache events.
 struct EventSource {
   ServerName name;
   std::string zone;
 };
 
-// Those that fall to `self` by rendezvous over the live daemons with a data plane: the ones in the
-// source's zone, else all. Daemons that leave read nothing. Two daemons that know different live
-// ones may both read a source, or neither, until they agree.
+// The sources that rendezvous hashing assigns to `self`. The candidates for a source are the live
+// daemons with a data plane in its zone, or in all zones if there is none; leaving daemons are
+// excluded. While two daemons disagree on which daemons are live, both of them may read a source,
+// or neither.
 std::vector<ServerName> assignedEventSources(const Address& self, const std::vector<NewsItem>& live,
                                              const std::vector<EventSource>& sources);
+// The names of all sources, for daemons that read every source themselves.
 std::vector<ServerName> namesOf(const std::vector<EventSource>& sources);
 
 }  // namespace quayrill
--- a/src/agent/core/gossip.cpp
+++ b/src/agent/core/gossip.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Span kLiveSpan = 6s;
-constexpr Span kKeepSpan = 10min;
+constexpr Span kRetention = 10min;
 }  // namespace
 
 Gossip::Gossip(Address self, std::uint64_t nonce) : self_(std::move(self)) {
@@ -28,10 +28,9 @@
 
 void Gossip::advanceHeartbeat(Instant now) {
   ++own_.version.counter;
-  std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kKeepSpan; });
+  std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kRetention; });
 }
 
-// An earlier life of this address had a higher version: outlive it.
 void Gossip::supersedeEarlierRun(const NewsVersion& version) {
   if (version > own_.version)
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
--- a/src/agent/core/gossip.h
+++ b/src/agent/core/gossip.h
@@ -1,6 +1,6 @@
 #pragma once
-// What each daemon says of itself, pulled by version vector. A source is live while its version
-// keeps rising, judged on the reader's own clock.
+// Gossip of each daemon's own state. Daemons pull newer items from each other by version vector. A
+// daemon counts as live while the version of its item keeps increasing, on the receiver's clock.
 #include <map>
 #include <optional>
 #include <vector>
@@ -10,32 +10,37 @@
 
 namespace quayrill {
 
+// The items known to one daemon, with its own.
 class Gossip {
  public:
   Gossip(Address self, std::uint64_t nonce);
 
-  // The own item's fields but for its version, which only this class moves.
+  // Sets all fields of this daemon's own item except its source, nonce and version, which this
+  // class maintains.
   void setOwnState(const NewsItem& item);
+  // Increments the version of the own item, and forgets items that have not changed for long.
   void advanceHeartbeat(Instant now);
   NewsAsk makeRequest() const;
   NewsAnswer answerRequest(const NewsAsk& ask);
   void onAnswer(const NewsAnswer& answer, Instant now);
 
-  std::vector<NewsItem> live(Instant now) const;  // sorted by address, self always in
+  std::vector<NewsItem> live(Instant now) const;  // sorted by address, always includes self
   bool isLive(const Address& source, Instant now) const;
   std::optional<NewsItem> item(const Address& source) const;
 
  private:
-  // A source's version never falls here, live or not: a forgotten source can't come back by echo.
+  // The newest item of one source. Its version never decreases, whether the source is live or not,
+  // so an old item that other daemons still pass around can't make a failed daemon look live.
   struct Row {
     NewsItem item;
     Instant advancedAt;
   };
+  // If another run of this daemon published `version`, raises the own incarnation above it.
   void supersedeEarlierRun(const NewsVersion& version);
 
   Address self_;
   NewsItem own_;
-  std::map<Address, Row> rows_;  // never self
+  std::map<Address, Row> rows_;  // without self
 };
 
 }  // namespace quayrill
--- a/src/agent/core/leader_roles.h
+++ b/src/agent/core/leader_roles.h
@@ -1,5 +1,5 @@
 #pragma once
-// Which daemon a leader role falls to: rendezvous hashing over the live ones.
+// Assigns leader roles to daemons by rendezvous hashing over the live ones.
 #include <string>
 #include <vector>
 
@@ -7,10 +7,11 @@
 
 namespace quayrill {
 
+// The daemon that `role` is assigned to; Address{} if `live` is empty.
 Address rendezvousOwner(const std::string& role, const std::vector<Address>& live);
-// The candidates in the order in which the leader role falls to them, the owner first.
+// The candidates in the order in which the role passes on, the owner first.
 std::vector<Address> rendezvousOrder(const std::string& role, std::vector<Address> candidates);
-// How many of the live come before `self` for this leader role; the owner's rank is 0.
+// How many of the live daemons precede `self` in that order; the owner's rank is 0.
 std::size_t rendezvousRank(const std::string& role, const std::vector<Address>& live,
                            const Address& self);
 
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTerm = 4s;
-constexpr Span kMargin = 500ms;  // clock rates differ by far less than this in one term
+constexpr Span kLeaseTerm = 4s;
+constexpr Span kClockDriftMargin = 500ms;  // far more than the drift between two clocks in one term
 constexpr Span kRenewBefore = 2500ms;
 }  // namespace
 
@@ -29,51 +29,51 @@
           Fence{json.value("fence", std::uint64_t{0})}, json.value("released", true)};
 }
 
-ChangeRequest Leases::change(const RegisterKey& role, Row& row, Instant now, bool isRead,
-                             const LeaseBody& body) {
-  row.busy = true;
-  row.askedAt = now;
-  row.askedFence = body.fence;
+ChangeRequest Leases::startOperation(const RegisterKey& role, Row& row, Instant now, bool isRead,
+                                     const LeaseBody& body) {
+  row.hasOperation = true;
+  row.requestedAt = now;
+  row.requestedFence = body.fence;
   row.releasing = body.released;
   return {{}, role, isRead, row.version, encodeLease(body), {}, now + 1500ms};
 }
 
 std::optional<ChangeRequest> Leases::tryAcquire(const RegisterKey& role, Instant now, Fence floor) {
   Row& row = rows_[role];
-  if (row.busy || now < row.retryAt) return std::nullopt;
-  const bool mine = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
-  if (mine && now < row.validUntil) {
+  if (row.hasOperation || now < row.retryAt) return std::nullopt;
+  const bool isOurs = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
+  if (isOurs && now < row.validUntil) {
     if (row.validUntil - now > kRenewBefore) return std::nullopt;
-    return change(role, row, now, false, {self_, nonce_, row.body.fence, false});
+    return startOperation(role, row, now, false, {self_, nonce_, row.body.fence, false});
   }
-  if (!row.known) return change(role, row, now, true, {});
-  const bool free = row.version == 0 || row.body.released || mine;
-  if (!free && now - row.seenAt < kTerm + kMargin) {
-    row.retryAt = now + 300ms;  // look again: a renewal starts the term anew
-    return change(role, row, now, true, {});
+  if (!row.known) return startOperation(role, row, now, true, {});
+  const bool isAvailable = row.version == 0 || row.body.released || isOurs;
+  if (!isAvailable && now - row.seenAt < kLeaseTerm + kClockDriftMargin) {
+    row.retryAt = now + 300ms;  // read again: a renewal restarts the term
+    return startOperation(role, row, now, true, {});
   }
-  // The other let go before its release was seen here, or its term ran out at the latest kTerm
-  // after its last renewal was seen here.
-  const bool taken = row.version > 0 && (row.body.holder != self_ || row.body.nonce != nonce_);
-  if (taken) {
-    const Instant lastAct = row.body.released ? row.seenAt : row.seenAt + kTerm;
+  // The other process stopped acting before its release was seen here, or at the latest kTerm after
+  // its last renewal was seen here.
+  const bool isTakeover = row.version > 0 && (row.body.holder != self_ || row.body.nonce != nonce_);
+  if (isTakeover) {
+    const Instant lastAct = row.body.released ? row.seenAt : row.seenAt + kLeaseTerm;
     row.validFrom = std::max(row.validFrom, lastAct + leaseSpan_);
   }
   const Fence next = std::max(floor, Fence{row.body.fence.value + 1});
-  return change(role, row, now, false, {self_, nonce_, next, false});
+  return startOperation(role, row, now, false, {self_, nonce_, next, false});
 }
 
 std::optional<ChangeRequest> Leases::release(const RegisterKey& role, Instant now) {
   Row& row = rows_[role];
-  if (row.busy || row.body.released || row.body.holder != self_ || row.body.nonce != nonce_)
+  if (row.hasOperation || row.body.released || row.body.holder != self_ || row.body.nonce != nonce_)
     return std::nullopt;
   row.validUntil = now;
-  return change(role, row, now, false, {self_, nonce_, row.body.fence, true});
+  return startOperation(role, row, now, false, {self_, nonce_, row.body.fence, true});
 }
 
 void Leases::onDone(const ChangeOutcome& done, Instant now) {
   Row& row = rows_[done.key];
-  row.busy = false;
+  row.hasOperation = false;
   if (done.result == ChangeResult::NotTried || done.result == ChangeResult::Unknown) {
     row.known = false;
     row.retryAt = now + 300ms;
@@ -83,10 +83,10 @@
   row.known = true;
   row.version = done.value.version;
   row.body = decodeLease(done.value.body);
-  const bool mine = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
-  if (done.result == ChangeResult::Chosen && mine && row.body.fence == row.askedFence &&
+  const bool isOurs = row.body.holder == self_ && row.body.nonce == nonce_ && !row.body.released;
+  if (done.result == ChangeResult::Chosen && isOurs && row.body.fence == row.requestedFence &&
       !row.releasing)
-    row.validUntil = row.askedAt + kTerm - kMargin;
+    row.validUntil = row.requestedAt + kLeaseTerm - kClockDriftMargin;
 }
 
 std::optional<Fence> Leases::heldFence(const RegisterKey& role, Span needed, Instant now) const {
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -1,5 +1,6 @@
 #pragma once
-// Holds on duties: a register value each, taken over only after its term was watched out.
+// Leases on leader roles. Each lease is a value in the register; another daemon takes it over only
+// after it has observed the whole term pass without a renewal.
 #include <map>
 #include <optional>
 #include <string>
@@ -9,49 +10,54 @@
 
 namespace quayrill {
 
+// The content of a lease in the register.
 struct LeaseBody {
   Address holder;
-  std::uint64_t nonce = 0;  // the holder's life
+  std::uint64_t nonce = 0;  // identifies the holder's process
   Fence fence;
   bool released = false;
 };
+// JSON. A body that can't be decoded counts as a released lease without holder.
 std::string encodeLease(const LeaseBody& lease);
 LeaseBody decodeLease(const std::string& body);
 
+// The leases that this daemon holds or tries to acquire. The caller runs the returned register
+// operations and reports their outcomes to onDone.
 class Leases {
  public:
-  // A lease taken from another life counts only once `leaseSpan` has passed since that one could
-  // last have acted.
+  // A lease taken over from another process becomes valid only when `leaseSpan` has passed since
+  // that process could last have acted.
   Leases(Address self, std::uint64_t nonce, Span leaseSpan = {})
       : self_(std::move(self)), nonce_(nonce), leaseSpan_(leaseSpan) {}
 
-  // The register change that brings this daemon nearer to holding the leader role, if one is due
-  // now. A fence newly taken is at least `floor`, so that it rises even where the register was
-  // founded again and the holds in it are lost.
+  // The next register operation towards acquiring or renewing the lease, if there is one to start
+  // now. A new fence is at least `floor`, so that fences increase even if the register was founded
+  // again and its leases were lost.
   std::optional<ChangeRequest> tryAcquire(const RegisterKey& role, Instant now, Fence floor = {});
+  // The register operation that releases the lease, if this process holds it.
   std::optional<ChangeRequest> release(const RegisterKey& role, Instant now);
   void onDone(const ChangeOutcome& done, Instant now);
-  // The fence, while the lease is sure to last for `needed` more.
+  // The fence if the lease is certain to stay valid for another `needed`.
   std::optional<Fence> heldFence(const RegisterKey& role, Span needed, Instant now) const;
 
  private:
-  // validUntil counts from before the change was sent, and a rival counts the whole term from
-  // after it saw the change: so two terms never overlap.
+  // What is known of the lease on one role. The holder counts the term from before it sent the
+  // change, and a rival counts it from after it saw the change, so two terms never overlap.
   struct Row {
     bool known = false;
     std::uint64_t version = 0;
     LeaseBody body;
     Instant seenAt;      // when this version was first seen here
-    Instant validUntil;  // only when held by this life
-    Instant validFrom;   // never falls; an earlier holder can't have acted in the lease before it
-    bool busy = false;
+    Instant validUntil;  // set only while this process holds the lease
+    Instant validFrom;   // never decreases; leaseSpan after an earlier holder could last have acted
+    bool hasOperation = false;
     bool releasing = false;
-    Instant askedAt;
-    Fence askedFence;
+    Instant requestedAt;
+    Fence requestedFence;
     Instant retryAt;
   };
-  ChangeRequest change(const RegisterKey& role, Row& row, Instant now, bool isRead,
-                       const LeaseBody& body);
+  ChangeRequest startOperation(const RegisterKey& role, Row& row, Instant now, bool isRead,
+                               const LeaseBody& body);
   Address self_;
   std::uint64_t nonce_;
   Span leaseSpan_;
--- a/src/agent/core/membership.cpp
+++ b/src/agent/core/membership.cpp
@@ -82,7 +82,8 @@
         view_.begin(), view_.end(), [](const auto& a, const auto& b) { return a.age < b.age; });
     shuffleWith(oldest->address);
   }
-  // Two halves that forgot each other in a long cut meet again through the seeds.
+  // Two halves of the fleet that dropped each other during a long partition reconnect through the
+  // seeds.
   if (now >= nextSeedShuffle_ && !seeds_.empty()) {
     nextSeedShuffle_ = now + 3s;
     const Address chosenSeed = seeds_[random_() % seeds_.size()];
@@ -95,8 +96,8 @@
     sends->push_back({self_, subject, Probe{sequence_, subject}});
   }
   for (auto probe = probes_.begin(); probe != probes_.end();) {
-    auto& [subject, indirectAt, due, indirectSent] = probe->second;
-    if (now >= due) {
+    auto& [subject, indirectAt, deadline, indirectSent] = probe->second;
+    if (now >= deadline) {
       drop(subject);
       probe = probes_.erase(probe);
       continue;
@@ -110,7 +111,7 @@
     }
     ++probe;
   }
-  std::erase_if(relays_, [&](const auto& relay) { return now >= relay.second.due; });
+  std::erase_if(relays_, [&](const auto& relay) { return now >= relay.second.deadline; });
 }
 
 void Membership::onMessage(const Envelope& envelope, Instant now, std::vector<Envelope>* sends) {
@@ -124,8 +125,8 @@
     learn(envelope.from, 0);
   } else if (const auto* answer = std::get_if<ProbeAnswer>(&envelope.body)) {
     if (const auto relay = relays_.find(answer->sequence); relay != relays_.end()) {
-      sends->push_back(
-          {self_, relay->second.asker, ProbeAnswer{relay->second.askerSequence, answer->subject}});
+      sends->push_back({self_, relay->second.requester,
+                        ProbeAnswer{relay->second.requesterSequence, answer->subject}});
       relays_.erase(relay);
     } else if (probes_.erase(answer->sequence) > 0) {
       learn(answer->subject, 0);
--- a/src/agent/core/membership.h
+++ b/src/agent/core/membership.h
@@ -1,6 +1,6 @@
 #pragma once
-// Who to talk to: a small partial view that is shuffled between neighbours and probed, directly
-// and through others.
+// Peer sampling and failure detection: a small partial view of the fleet that neighbours shuffle
+// between them, with probes that are sent directly and through other members.
 #include <map>
 #include <random>
 #include <vector>
@@ -10,30 +10,36 @@
 
 namespace quayrill {
 
+// The partial view of one daemon. A state machine: messages to send are appended to `sends`.
 class Membership {
  public:
   Membership(Address self, std::vector<Address> seeds, std::uint64_t seed);
 
   void onTick(Instant now, std::vector<Envelope>* sends);
   void onMessage(const Envelope& envelope, Instant now, std::vector<Envelope>* sends);
-  // Known from elsewhere: where the view is empty and no seed may live, these are tried.
+  // Adds a member known from elsewhere if the view is less than half full, as it can get empty
+  // while no seed is alive.
   void introduce(const Address& member);
-  // Other seeds stand in the settings now. Neighbours stay; the new seeds are asked next.
+  // Replaces the seeds after a change of the settings. The view is kept; the next shuffle with a
+  // seed goes to one of the new ones.
   void setSeeds(std::vector<Address> seeds);
   std::vector<Address> view() const;
   Address randomNeighbour();
 
  private:
+  // A probe that waits for its answer. At `indirectAt` it is also sent through other members, and
+  // at the deadline the subject is dropped from the view.
   struct PendingProbe {
     Address subject;
     Instant indirectAt;
-    Instant due;
+    Instant deadline;
     bool indirectSent = false;
   };
+  // A probe that was forwarded for another member.
   struct RelayedProbe {
-    Address asker;
-    std::uint64_t askerSequence = 0;
-    Instant due;
+    Address requester;
+    std::uint64_t requesterSequence = 0;
+    Instant deadline;
   };
   void learn(const Address& address, std::uint32_t age);
   void drop(const Address& address);
@@ -42,7 +48,7 @@
   Address self_;
   std::vector<Address> seeds_;
   std::mt19937_64 random_;
-  std::vector<ViewEntry> view_;  // never self, no address twice, at most kViewSize
+  std::vector<ViewEntry> view_;  // without self and duplicates, at most kViewSize
   std::map<std::uint64_t, PendingProbe> probes_;
   std::map<std::uint64_t, RelayedProbe> relays_;
   std::uint64_t sequence_ = 0;
