--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -256,7 +256,7 @@
   };
   struct FoundingRound {
     Instant sentAt;
-    bool wantsGrant = false;
+    bool requestsGrant = false;
   };
   struct SeedAnswer {
     Instant askedAt;
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -1,4 +1,4 @@
-// How a fleet's register comes to be: founded, and founded again after the loss of its majority.
+// Founds the register of a new fleet, and founds it again after the loss of its majority.
 #include <algorithm>
 
 #include "agent/core/agent_core.h"
@@ -8,18 +8,19 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kRecoverAfter = 10s;
-constexpr Span kAskAroundAfter = 1500ms;
-constexpr Span kAskAroundEvery = 500ms;
-constexpr Span kUnfoundedEvery = 150ms;
-constexpr Span kGrantSpan = 10s;
-constexpr Span kSaidSpan = 2s;  // far below kGrantSpan: what a seed said still binds it
+constexpr Span kRecoverAfterUnconfirmed = 10s;
+constexpr Span kQueryAfterUnconfirmed = 1500ms;
+constexpr Span kQueryInterval = 500ms;
+constexpr Span kFoundingInterval = 150ms;
+constexpr Span kGrantDuration = 10s;
+// Far below kGrantSpan, so that a grant in an answer this old has not expired at the seed.
+constexpr Span kSeedAnswerValidity = 2s;
 constexpr char kGrant[] = "grant";
-constexpr std::uint64_t kRecoverVersions = 1000000;
-constexpr std::uint64_t kRecoverEpochs = 1 << 20;
+constexpr std::uint64_t kRecoveryVersionGap = 1000000;
+constexpr std::uint64_t kRecoveryEpochGap = 1 << 20;
 
-// As it lies on the disk. An own grant to oneself is not written: a founder's next life founds
-// another fleet, and its earlier one can't ask it again.
+// A grant as written to disk. The grant that a founder gives itself isn't written: its next process
+// founds another fleet, and the earlier process can't send requests any more.
 struct GrantRow {
   Address to;
   std::uint64_t fleet = 0;
@@ -29,16 +30,16 @@
 
 void AgentCore::restoreGrant(const std::map<std::string, std::string>& disk) {
   const auto row = disk.find(kGrant);
-  GrantRow kept;
-  if (row == disk.end() || !decodeValue(row->second, &kept)) return;
-  grant_ = {kept.to, kept.fleet, Instant::max()};
+  GrantRow stored;
+  if (row == disk.end() || !decodeValue(row->second, &stored)) return;
+  grant_ = {stored.to, stored.fleet, Instant::max()};
 }
 
 void AgentCore::answerFoundAsk(const Address& from, const FoundAsk& ask, Instant now,
                                AgentEffects* effects) {
-  const bool free = grant_.fleet == 0 || now >= grant_.until || grant_.to == from;
+  const bool isAvailable = grant_.fleet == 0 || now >= grant_.until || grant_.to == from;
   const bool unfounded = replica_ && replica_->isVoting() &&
-                         freshness_.replicas().epoch.value == 0 && (free || ask.fleet == 0);
+                         freshness_.replicas().epoch.value == 0 && (isAvailable || ask.fleet == 0);
   const Envelope answer{
       settings_.self, from,
       FoundAnswer{ask.nonce, unfounded, settings_.mayFound,
@@ -47,22 +48,24 @@
     effects->sends.push_back(answer);
     return;
   }
-  if (isReplicaBacklogFull()) return;  // the founder asks again
+  if (isReplicaBacklogFull()) return;  // the founder sends its request again
   ReplicaWork work{{}, answer};
   if (grant_.to != from || grant_.fleet != ask.fleet)
     work.writes.push_back({kGrant, encodeValue(GrantRow{from, ask.fleet})});
-  grant_ = {from, ask.fleet, now + kGrantSpan};
+  grant_ = {from, ask.fleet, now + kGrantDuration};
   enqueueReplicaWork(std::move(work), effects);
 }
 
-// Epoch 1 is the only one that is founded without the register. A machine that gave its grant to
-// one founding takes no other that is still on its way, such as that of a founder's earlier life.
+// Epoch 1 is the only epoch that is founded without an existing register. A machine that granted
+// one founding rejects any other one that is still in progress, such as that of an earlier process
+// of the founder.
 bool AgentCore::mayAdopt(const ReplicaSet& replicas, Instant now) const {
   const bool isFounding = replicas.epoch.value == 1 && freshness_.replicas().epoch.value == 0;
   return !isFounding || grant_.fleet == 0 || now >= grant_.until || grant_.fleet == replicas.fleet;
 }
 
-// An empty machine whose seeds know a fleet learns it here and joins; it never founds another.
+// A machine with an empty disk whose seeds know a fleet learns about it here and joins it; it never
+// founds another one.
 void AgentCore::onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
   if (const auto* ask = std::get_if<FoundAsk>(&envelope.body))
     return answerFoundAsk(envelope.from, *ask, now, effects);
@@ -70,24 +73,25 @@
   adopt(answer.replicas, now, effects);
   const auto round = foundingRounds_.find(answer.nonce);
   if (!replica_ || !answer.unfounded || round == foundingRounds_.end()) return;
-  SeedAnswer& said = seedAnswers_[envelope.from];
-  if (said.askedAt <= round->second.sentAt)
-    said = {round->second.sentAt, round->second.wantsGrant, answer.mayFound, answer.store};
+  SeedAnswer& seedAnswer = seedAnswers_[envelope.from];
+  if (seedAnswer.askedAt <= round->second.sentAt)
+    seedAnswer = {round->second.sentAt, round->second.requestsGrant, answer.mayFound, answer.store};
   foundWhenGranted(now, effects);
 }
 
-// Two lists that each keep more than half of the first one have a seed of it in common, and that
-// seed grants one founding at a time.
+// Two seed lists that each keep more than half of the initial one have an initial seed in common,
+// and that seed grants one founding at a time.
 bool AgentCore::keepsMajorityOfInitialSeeds() const {
-  const auto kept =
+  const auto keptCount =
       std::count_if(initialSeeds_.begin(), initialSeeds_.end(), [this](const Address& seed) {
         return std::find(settings_.seeds.begin(), settings_.seeds.end(), seed) !=
                settings_.seeds.end();
       });
-  return 2 * static_cast<std::size_t>(kept) > initialSeeds_.size();
+  return 2 * static_cast<std::size_t>(keptCount) > initialSeeds_.size();
 }
 
-// The lowest of the seeds founds, or the next where the lower ones say that they never will.
+// The seed with the lowest address founds the fleet, or the next one if all lower seeds answered
+// that they may not found.
 bool AgentCore::isFounder(Instant now) const {
   if (!settings_.mayFound || !replica_ || !replica_->isVoting() || !keepsMajorityOfInitialSeeds())
     return false;
@@ -95,29 +99,30 @@
   for (const Address& seed : settings_.seeds) {
     isSeed = isSeed || seed == settings_.self;
     if (seed >= settings_.self) continue;
-    const auto said = seedAnswers_.find(seed);
-    if (said == seedAnswers_.end() || now - said->second.askedAt > kSaidSpan ||
-        said->second.mayFound)
+    const auto seedAnswer = seedAnswers_.find(seed);
+    if (seedAnswer == seedAnswers_.end() ||
+        now - seedAnswer->second.askedAt > kSeedAnswerValidity || seedAnswer->second.mayFound)
       return false;
   }
   return isSeed;
 }
 
-// All seeds gave this life's fleet their grant, so all of them are its first copies: at once, under
-// one epoch, which is settled since there was none before it.
+// Founds the fleet once all seeds have granted it. The seeds become the first replicas, in a single
+// epoch that is settled from the start, since there is no earlier one.
 void AgentCore::foundWhenGranted(Instant now, AgentEffects* effects) {
   if (freshness_.replicas().epoch.value > 0 || !isFounder(now) || grant_.fleet != ownFleet_) return;
-  // Daemons that serve a fleet without its register tell the seeds of it in this time.
+  // During this wait, daemons that know an existing fleet but can't reach its register report it to
+  // the seeds.
   if (startedAt_ == Instant{} || now - startedAt_ < settings_.foundingWait) return;
   ReplicaSet founded{Epoch{1}, ownFleet_, true, {{replica_->store(), settings_.self}}};
   for (const Address& seed : settings_.seeds) {
     if (seed == settings_.self) continue;
-    const auto said = seedAnswers_.find(seed);
-    if (said == seedAnswers_.end() || !said->second.granted ||
-        now - said->second.askedAt > kSaidSpan)
+    const auto seedAnswer = seedAnswers_.find(seed);
+    if (seedAnswer == seedAnswers_.end() || !seedAnswer->second.granted ||
+        now - seedAnswer->second.askedAt > kSeedAnswerValidity)
       return;
     if (founded.members.size() < settings_.replicasWanted)
-      founded.members.push_back({said->second.store, seed});
+      founded.members.push_back({seedAnswer->second.store, seed});
   }
   std::sort(founded.members.begin(), founded.members.end());
   adopt(founded, now, effects);
@@ -125,40 +130,42 @@
         effects);
 }
 
-// A daemon that can't confirm may know a replica set that nobody uses any more: all of it moved
-// while it was cut off, or the register was founded again elsewhere. Others may know a newer one.
+// A daemon that can't confirm its state may know an obsolete replica set: all members were replaced
+// while it was partitioned, or the register was founded again elsewhere. Other daemons may know a
+// newer set.
 void AgentCore::queryNewerReplicaSet(Instant now, AgentEffects* effects) {
   const auto confirmed = freshness_.confirmedAt();
-  if (confirmed && now - *confirmed < kAskAroundAfter) return;
-  for (const Address& known :
+  if (confirmed && now - *confirmed < kQueryAfterUnconfirmed) return;
+  for (const Address& peer :
        {membership_.randomNeighbour(), settings_.seeds.empty()
                                            ? Address{}
                                            : settings_.seeds[random_() % settings_.seeds.size()]}) {
-    if (known == Address{} || known == settings_.self) continue;
-    effects->sends.push_back({settings_.self, known, FoundAsk{0, 0}});
-    // Seeds that lost their disks all at once must not take the fleet for unfounded.
+    if (peer == Address{} || peer == settings_.self) continue;
+    effects->sends.push_back({settings_.self, peer, FoundAsk{0, 0}});
+    // If all seeds lost their disks at once, they must not conclude that no fleet was founded.
     effects->sends.push_back(
-        {settings_.self, known, FoundAnswer{0, false, false, {}, freshness_.replicas()}});
+        {settings_.self, peer, FoundAnswer{0, false, false, {}, freshness_.replicas()}});
   }
 }
 
 void AgentCore::tickFounding(Instant now, AgentEffects* effects) {
-  if (grant_.until == Instant::max()) grant_.until = now + kGrantSpan;
+  if (grant_.until == Instant::max()) grant_.until = now + kGrantDuration;
   if (now < nextFounding_) return;
   const bool unfounded = freshness_.replicas().epoch.value == 0;
-  nextFounding_ = now + (unfounded ? kUnfoundedEvery : kAskAroundEvery);
+  nextFounding_ = now + (unfounded ? kFoundingInterval : kQueryInterval);
   if (!unfounded) return queryNewerReplicaSet(now, effects);
   std::erase_if(foundingRounds_,
-                [&](const auto& round) { return now - round.second.sentAt > kSaidSpan; });
+                [&](const auto& round) { return now - round.second.sentAt > kSeedAnswerValidity; });
   const bool grantedElsewhere =
       grant_.fleet != 0 && grant_.fleet != ownFleet_ && now < grant_.until;
-  const bool wantsGrant = isFounder(now) && !grantedElsewhere;
-  if (wantsGrant) grant_ = {settings_.self, ownFleet_, now + kGrantSpan};
+  const bool requestsGrant = isFounder(now) && !grantedElsewhere;
+  if (requestsGrant) grant_ = {settings_.self, ownFleet_, now + kGrantDuration};
   const std::uint64_t nonce = random_() | 1;
-  foundingRounds_[nonce] = {now, wantsGrant};
+  foundingRounds_[nonce] = {now, requestsGrant};
   for (const Address& seed : settings_.seeds) {
     if (seed != settings_.self)
-      effects->sends.push_back({settings_.self, seed, FoundAsk{nonce, wantsGrant ? ownFleet_ : 0}});
+      effects->sends.push_back(
+          {settings_.self, seed, FoundAsk{nonce, requestsGrant ? ownFleet_ : 0}});
   }
   foundWhenGranted(now, effects);
 }
@@ -168,29 +175,30 @@
   if (!replica_ || !replica_->isVoting())
     return {"this daemon has no sound register replica: ask one with a data folder", {}, 0};
   const auto confirmed = freshness_.confirmedAt();
-  if (confirmed && now - *confirmed < kRecoverAfter)
+  if (confirmed && now - *confirmed < kRecoverAfterUnconfirmed)
     return {"the register's majority answered lately: nothing is lost", {}, 0};
   RegisterValue configuration = freshness_.configuration().value;
-  if (const auto kept = replica_->valueOf(kConfigurationKey);
-      kept && kept->version > configuration.version)
-    configuration = *kept;
-  const std::uint64_t known = std::max(configuration.version, givenVersion);
+  if (const auto stored = replica_->valueOf(kConfigurationKey);
+      stored && stored->version > configuration.version)
+    configuration = *stored;
+  const std::uint64_t newestKnown = std::max(configuration.version, givenVersion);
   if (!given.empty()) configuration.body = given;
   if (configuration.body.empty())
     return {
         "no configuration is known here, and the fleet's daemons serve by one: give a saved one",
         {},
         0};
-  // Versions that only the lost replicas knew must never be given twice.
+  // Skips the versions that only the lost replicas may know, so that none is assigned twice.
   const RegisterValue value{
-      known + kRecoverVersions, WriteId{random_() | 1}, {}, configuration.body};
+      newestKnown + kRecoveryVersionGap, WriteId{random_() | 1}, {}, configuration.body};
   const ReplicaSet& old = freshness_.replicas();
-  // Far above every epoch that the given-up register may still reach by itself.
-  const Epoch epoch{((old.epoch.value / kRecoverEpochs) + 1) * kRecoverEpochs + random_() % 1024};
+  // Far above any epoch that the abandoned register can still reach by itself.
+  const Epoch epoch{((old.epoch.value / kRecoveryEpochGap) + 1) * kRecoveryEpochGap +
+                    random_() % 1024};
   const ReplicaSet founded{epoch, random_() | 1, true, {{replica_->store(), settings_.self}}};
   enqueueReplicaWork(
       {replica_->recover(founded, ProposerId{settings_.nonce}, WriteId{random_() | 1}, value,
-                         freshness_.replicaSetVersion() + kRecoverVersions),
+                         freshness_.replicaSetVersion() + kRecoveryVersionGap),
        std::nullopt},
       effects);
   freshness_.adopt(founded);
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -1,4 +1,4 @@
-// Which store joins the replica set next, and which member it gives up.
+// Selects the store that joins the replica set next and the member that is removed.
 #include <algorithm>
 #include <tuple>
 
@@ -9,15 +9,17 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kCandidateSpan = 1s;
-// A store that was silent and came back waits so long for each time that it did so lately, so that
-// machines in trouble don't take turns in the set.
-constexpr Span kSteadyPerReturn = 500ms;
-constexpr int kMostReturns = 4;
-constexpr std::size_t kFewestAlone = 3;  // replicas that stay where no spare waits
+constexpr Span kCandidateMaxAge = 1s;
+// A store that became reachable again must stay so for this long per recent return before it may
+// join, so that unstable machines don't replace each other in the set again and again.
+constexpr Span kStableSpanPerReturn = 500ms;
+constexpr int kMaxReturns = 4;
+// Without a spare store, the replica set isn't shrunk below this size.
+constexpr std::size_t kMinMembersWithoutSpare = 3;
 }  // namespace
 
-// The zone is the daemon's own word; it is kept for some minutes after its last.
+// The zone comes from the daemon's gossip item, which is kept for some minutes after its last
+// change.
 Site AgentCore::siteOf(const Address& address) const {
   const auto item = gossip_.item(address);
   const std::string zone = item ? item->zone : "";
@@ -29,39 +31,43 @@
   return item && item->leaving && item->store == member.store;
 }
 
-// Those gone for certain come first, then the silent, then those that serve on while they leave.
+// Replaced members come first, then unreachable ones, then members that still answer while they
+// leave.
 std::optional<ReplicaMember> AgentCore::departingMember(bool spareWaits, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
-  const auto first = [&](auto departs) -> std::optional<ReplicaMember> {
-    const auto member = std::find_if(members.begin(), members.end(), departs);
+  const auto findFirst = [&](auto matches) -> std::optional<ReplicaMember> {
+    const auto member = std::find_if(members.begin(), members.end(), matches);
     if (member == members.end()) return std::nullopt;
     return *member;
   };
-  const Span patience = spareWaits ? silenceLimit() : silenceLimitWithoutSpare();
-  if (auto gone = first([&](const auto& member) { return replacedStores_.contains(member.store); }))
-    return gone;
-  if (auto silent = first([&](const auto& member) { return isLost(member, patience, now); }))
-    return silent;
-  return first([&](const auto& member) { return isLeaving(member); });
+  const Span limit = spareWaits ? silenceLimit() : silenceLimitWithoutSpare();
+  if (auto replaced =
+          findFirst([&](const auto& member) { return replacedStores_.contains(member.store); }))
+    return replaced;
+  if (auto unreachable = findFirst([&](const auto& member) { return isLost(member, limit, now); }))
+    return unreachable;
+  return findFirst([&](const auto& member) { return isLeaving(member); });
 }
 
 bool AgentCore::isHandingOver(Instant now) const {
   const ReplicaSet& replicas = freshness_.replicas();
-  const bool isIn =
-      replica_ && std::any_of(replicas.members.begin(), replicas.members.end(),
-                              [&](const auto& m) { return m.store == replica_->store(); });
-  return leaving_ && isIn && (!replicas.settled || nextReplicaSet(now).has_value());
+  const bool isMember = replica_ && std::any_of(replicas.members.begin(), replicas.members.end(),
+                                                [&](const auto& member) {
+                                                  return member.store == replica_->store();
+                                                });
+  return leaving_ && isMember && (!replicas.settled || nextReplicaSet(now).has_value());
 }
 
-// A dead member is taken out alone where fewer then make a majority. One that still serves leaves
-// alone only if the others, all but it, bear as many losses as the whole set did.
+// A lost member may be removed without a successor if the smaller set tolerates more losses. A
+// leaving member that still answers may be removed only if the others tolerate as many losses as
+// the whole set did.
 bool AgentCore::mayRemoveWithoutSuccessor(const ReplicaMember& member, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const auto others = static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(), [&](const ReplicaMember& other) {
         return other.store != member.store && isReachable(other.store, now);
       }));
-  if (members.size() <= kFewestAlone) return false;
+  if (members.size() <= kMinMembersWithoutSpare) return false;
   if (isLeaving(member) && isReachable(member.store, now))
     return lossesTolerated(members.size() - 1, others) >=
            lossesTolerated(members.size(), others + 1);
@@ -79,8 +85,8 @@
   return crowd;
 }
 
-// Where a lost member came back after its successor had joined, there is one too many: one out of
-// touch goes, else one from the fullest region and zone.
+// There is one member too many if a lost member came back after its successor had joined. Selects
+// an unreachable member, otherwise one from the region and zone with the most members.
 ReplicaMember AgentCore::surplusMember(Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const auto rank = [&](const ReplicaMember& member) {
@@ -91,7 +97,8 @@
                            [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
 }
 
-// Each such exchange makes the numbers more equal, so they come to an end.
+// The difference of at least two ensures that each exchange evens out the numbers, so that the
+// exchanges come to an end.
 bool AgentCore::improvesSpread(const ReplicaMember& joining, Instant now) const {
   const std::vector<ReplicaMember>& members = freshness_.replicas().members;
   const Occupancy from = occupancyAt(siteOf(surplusMember(now).address), members);
@@ -100,33 +107,33 @@
   return to.inZone + 2 <= from.inZone;
 }
 
-// A store that answered just now and waits to join: one from the region and the zone with the
-// fewest members that stay. Among these, one at an address of its own comes before one that stands
-// where a lost member stood, which started last.
+// A store that answered recently and isn't a member, from the region and zone with the fewest
+// remaining members. Among these, a store at an address of its own is preferred to one at the
+// address of a member that it replaced, which has started most recently.
 std::optional<ReplicaMember> AgentCore::joinCandidate(Instant now) const {
   const ReplicaSet& replicas = freshness_.replicas();
-  std::vector<ReplicaMember> staying;
+  std::vector<ReplicaMember> remaining;
   for (const ReplicaMember& member : replicas.members) {
     if (isReachable(member.store, now) && !replacedStores_.contains(member.store) &&
         !isLeaving(member))
-      staying.push_back(member);
+      remaining.push_back(member);
   }
   std::optional<std::tuple<Occupancy, bool, ReplicaMember>> best;
   for (const auto& [store, contact] : contacts_) {
-    if (now - contact.at >= kCandidateSpan) continue;
-    const int reconnects = std::min(contact.reconnects, kMostReturns);
-    if (now - contact.stableSince < reconnects * kSteadyPerReturn) continue;
-    // Of another fleet: it has not heard of this one yet.
+    if (now - contact.at >= kCandidateMaxAge) continue;
+    const int reconnects = std::min(contact.reconnects, kMaxReturns);
+    if (now - contact.stableSince < reconnects * kStableSpanPerReturn) continue;
+    // The store belongs to another fleet: it does not know this one yet.
     if (contact.fleet != 0 && contact.fleet != replicas.fleet) continue;
     const auto item = gossip_.item(contact.address);
     if (item && item->leaving) continue;
-    bool isIn = false, isSuccessor = false;
+    bool isMember = false, isSuccessor = false;
     for (const ReplicaMember& member : replicas.members) {
-      isIn = isIn || member.store == store;
+      isMember = isMember || member.store == store;
       isSuccessor = isSuccessor || member.address == contact.address;
     }
-    if (isIn) continue;
-    const std::tuple rank(occupancyAt(siteOf(contact.address), staying), isSuccessor,
+    if (isMember) continue;
+    const std::tuple rank(occupancyAt(siteOf(contact.address), remaining), isSuccessor,
                           ReplicaMember{store, contact.address});
     if (!best || rank < *best) best = rank;
   }
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -1,4 +1,4 @@
-// Who holds register copies: the replica set follows the machines, one at a time.
+// Keeps the replica set in line with the machines that are available, by one change at a time.
 #include <algorithm>
 
 #include "agent/core/agent_core.h"
@@ -9,31 +9,37 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTouchSpan = 1500ms;
-// A member is silent once it has been out of touch for so long more. Ours, where no bound for
-// repairs is given: before it gives way to one that waits.
-constexpr Span kSilentSpan = 4s;
-constexpr Span kLeastSilentSpan = 500ms;  // two rounds of questions
-constexpr Span kTickGap = 500ms;  // a daemon that did not run for so long judges nobody by it
-constexpr Span kForgetReturns = 60s;
-constexpr Span kSilentAloneSpan = 8s;  // ours: before it is taken out where none waits
-constexpr Span kKeepContact = 10s;
-constexpr Span kNextStepsInAfter = 700ms;
+// A store is reachable for this long after an answer.
+constexpr Span kReachableSpan = 1500ms;
+// How long a member must be unreachable before a spare store replaces it, unless the settings bound
+// the time for repairs.
+constexpr Span kSilenceLimit = 4s;
+constexpr Span kMinSilenceLimit = 500ms;  // two confirmation rounds
+// A daemon that itself did not run for this long can't tell how long others were unreachable.
+constexpr Span kMaxTickGap = 500ms;
+constexpr Span kForgetReturnsAfter = 60s;
+// How long a member must be unreachable before it is removed without a spare store.
+constexpr Span kSilenceLimitWithoutSpare = 8s;
+constexpr Span kContactRetention = 10s;
+constexpr Span kTakeOverDelayPerRank = 700ms;
 }  // namespace
 
-// Half of the time until the next loss is for noticing, half for the steps.
+// Half of the time until the next possible loss is for detecting a loss, half for replacing the
+// member.
 Span AgentCore::silenceLimit() const {
-  if (settings_.catchUpSpan == Span{}) return kSilentSpan;
-  return std::clamp<Span>(settings_.catchUpSpan / 2 - kTouchSpan, kLeastSilentSpan, kSilentSpan);
+  if (settings_.catchUpSpan == Span{}) return kSilenceLimit;
+  return std::clamp<Span>(settings_.catchUpSpan / 2 - kReachableSpan, kMinSilenceLimit,
+                          kSilenceLimit);
 }
-Span AgentCore::silenceLimitWithoutSpare() const { return kSilentAloneSpan; }
+Span AgentCore::silenceLimitWithoutSpare() const { return kSilenceLimitWithoutSpare; }
 
 void AgentCore::recordContact(const Address& from, const ConfirmAnswer& answer, Instant now) {
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
   Contact& contact = row->second;
   if (isNew) contact.stableSince = now;
-  if (!isNew && now - contact.at >= kTouchSpan) {
-    contact.reconnects = now - contact.stableSince > kForgetReturns ? 1 : contact.reconnects + 1;
+  if (!isNew && now - contact.at >= kReachableSpan) {
+    contact.reconnects =
+        now - contact.stableSince > kForgetReturnsAfter ? 1 : contact.reconnects + 1;
     contact.stableSince = now;
   }
   contact.address = from;
@@ -45,7 +51,7 @@
 
 bool AgentCore::isReachable(StoreId store, Instant now) const {
   const auto contact = contacts_.find(store);
-  return contact != contacts_.end() && now - contact->second.at < kTouchSpan;
+  return contact != contacts_.end() && now - contact->second.at < kReachableSpan;
 }
 
 bool AgentCore::isLost(const ReplicaMember& member, Span span, Instant now) const {
@@ -54,13 +60,14 @@
   return silent != silentSince_.end() && now - silent->second >= span;
 }
 
-// One machine at a time: a store that waits joins, then one that departs is taken out. While any
-// waits, the set never holds fewer than wanted. No set is proposed whose majority is not in touch.
+// Each step adds or removes one member: a spare store joins before a departing member is removed,
+// so that the set doesn't fall below the wanted size while there is a spare. A set without a
+// reachable majority is never proposed.
 std::optional<ReplicaSet> AgentCore::nextReplicaSet(Instant now) const {
   ReplicaSet next = freshness_.replicas();
   next.epoch = Epoch{next.epoch.value + 1};
   next.settled = false;
-  // A store that moved to another address stays the same voter: write its new address down.
+  // A store that moved to another address remains the same voter: only its address is updated.
   for (const NewsItem& item : gossip_.live(now)) {
     if (item.store.value == 0 || item.leaving) continue;
     for (ReplicaMember& member : next.members) {
@@ -70,10 +77,10 @@
     }
   }
   const auto ifReachable = [&](ReplicaSet proposed) -> std::optional<ReplicaSet> {
-    const auto reached = static_cast<std::size_t>(
+    const auto reachableCount = static_cast<std::size_t>(
         std::count_if(proposed.members.begin(), proposed.members.end(),
                       [&](const ReplicaMember& member) { return isReachable(member.store, now); }));
-    if (reached < majorityOf(proposed)) return std::nullopt;
+    if (reachableCount < majorityOf(proposed)) return std::nullopt;
     return proposed;
   };
   const auto without = [&](const ReplicaMember& member) {
@@ -83,22 +90,23 @@
   };
   const std::size_t wanted = std::max<std::size_t>(1, settings_.replicasWanted);
   const auto joining = joinCandidate(now);
-  const auto leaver = departingMember(joining.has_value(), now);
-  if (next.members.size() > wanted) return without(leaver ? *leaver : surplusMember(now));
-  if (joining && (leaver || next.members.size() < wanted || improvesSpread(*joining, now))) {
+  const auto departing = departingMember(joining.has_value(), now);
+  if (next.members.size() > wanted) return without(departing ? *departing : surplusMember(now));
+  if (joining && (departing || next.members.size() < wanted || improvesSpread(*joining, now))) {
     ReplicaSet larger = next;
     larger.members.push_back(*joining);
     std::sort(larger.members.begin(), larger.members.end());
     if (auto reachable = ifReachable(std::move(larger))) return reachable;
   }
-  if (leaver && mayRemoveWithoutSuccessor(*leaver, now)) return without(*leaver);
+  if (departing && mayRemoveWithoutSuccessor(*departing, now)) return without(*departing);
   return std::nullopt;
 }
 
-// Any member may take the replica set's next step: the register orders what they propose, by the
-// version each expects. The first in order does; the others step in one after the other.
+// Any member may propose the next step: concurrent proposals are serialized by the version that
+// each of them expects. The first daemon in rendezvous order does it, and the others take over one
+// after the other if it doesn't.
 void AgentCore::tickReplicaSet(Instant now, AgentEffects* effects) {
-  if (now - lastTick_ > kTickGap) silentSince_.clear();
+  if (now - lastTick_ > kMaxTickGap) silentSince_.clear();
   lastTick_ = now;
   if (now < nextReplicaSetCheck_ || freshness_.replicas().epoch.value == 0) return;
   nextReplicaSetCheck_ = now + 100ms;
@@ -109,31 +117,32 @@
       silentSince_.erase(member.store);
     else
       silentSince_.try_emplace(member.store,
-                               contacts_.contains(member.store) ? now : now + kTouchSpan);
+                               contacts_.contains(member.store) ? now : now + kReachableSpan);
   }
-  const auto isIn = [&](StoreId store) {
+  const auto isMember = [&](StoreId store) {
     return std::any_of(replicas.members.begin(), replicas.members.end(),
                        [&](const ReplicaMember& member) { return member.store == store; });
   };
-  std::erase_if(silentSince_, [&](const auto& row) { return !isIn(row.first); });
-  std::erase_if(replacedStores_, [&](StoreId store) { return !isIn(store); });
-  std::erase_if(contacts_, [&](const auto& row) { return now - row.second.at > kKeepContact; });
-  const bool work = !replicas.settled || nextReplicaSet(now).has_value();
+  std::erase_if(silentSince_, [&](const auto& row) { return !isMember(row.first); });
+  std::erase_if(replacedStores_, [&](StoreId store) { return !isMember(store); });
+  std::erase_if(contacts_,
+                [&](const auto& row) { return now - row.second.at > kContactRetention; });
+  const bool isStepPending = !replicas.settled || nextReplicaSet(now).has_value();
   const std::pair<Epoch, bool> step{replicas.epoch, replicas.settled};
-  if (!work || step != pendingStep_) stepPendingSince_ = now;
+  if (!isStepPending || step != pendingStep_) stepPendingSince_ = now;
   pendingStep_ = step;
-  if (!work || !replica_ || now - startedAt_ < 1s) return;
-  std::vector<Address> able;
+  if (!isStepPending || !replica_ || now - startedAt_ < 1s) return;
+  std::vector<Address> eligible;
   for (const ReplicaMember& member : replicas.members) {
     if (isReachable(member.store, now) && !replacedStores_.contains(member.store) &&
         !isLeaving(member))
-      able.push_back(member.address);
+      eligible.push_back(member.address);
   }
-  const bool isAble =
-      !leaving_ && std::find(able.begin(), able.end(), settings_.self) != able.end();
-  const auto rank =
-      static_cast<int>(isAble ? rendezvousRank("copies", able, settings_.self) : able.size());
-  if (now - stepPendingSince_ < rank * kNextStepsInAfter) return;
+  const bool isEligible =
+      !leaving_ && std::find(eligible.begin(), eligible.end(), settings_.self) != eligible.end();
+  const auto rank = static_cast<int>(isEligible ? rendezvousRank("copies", eligible, settings_.self)
+                                                : eligible.size());
+  if (now - stepPendingSince_ < rank * kTakeOverDelayPerRank) return;
   nextReplicaSetCheck_ = now;
   if (!proposer_.isBusy(kReplicaSetKey)) advanceReplicaSet(now, effects);
 }
@@ -142,11 +151,11 @@
   const ReplicaSet& replicas = freshness_.replicas();
   const auto following = replicas.settled ? nextReplicaSet(now) : std::nullopt;
   const auto listed = replicas.settled ? std::nullopt : freshness_.majorityKeys();
-  const auto asks =
+  const auto requests =
       epochSweep_.next(replicas, freshness_.replicaSetVersion(), listed, following, now);
-  for (const ChangeRequest& ask : asks) {
-    if (!proposer_.isBusy(ask.key))
-      begin(ask, ask.isRead ? Purpose::Sweep : Purpose::Replicas, now, effects);
+  for (const ChangeRequest& request : requests) {
+    if (!proposer_.isBusy(request.key))
+      begin(request, request.isRead ? Purpose::Sweep : Purpose::Replicas, now, effects);
   }
 }
 
