--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -266,8 +266,9 @@
   };
   std::uint64_t ownFleet_ = 0;  // the fleet that this process would found
   Grant grant_;
-  std::map<std::uint64_t, FoundingRound> foundingRounds_;  // by nonce; no older than kSaidSpan
-  std::map<Address, SeedAnswer> seedAnswers_;              // the last 'unfounded' of each seed
+  std::map<std::uint64_t, FoundingRound>
+      foundingRounds_;                         // by nonce; at most kSeedAnswerValidity old
+  std::map<Address, SeedAnswer> seedAnswers_;  // each seed's last answer that it knows no fleet
   EpochSweep epochSweep_;
   // Stores that answered recently; silentSince_ has the members of the replica set that did not.
   struct Contact {
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t kRounds = 8;
-constexpr std::uint64_t kAskAllEvery = 16;  // rounds: so that a replica that became fast is found
-constexpr Span kAnswerOverdue = 150ms;
-constexpr Span kUnconfirmedSpan = 500ms;
-constexpr Span kSlowest = 2s;
-constexpr Span kBodyEvery = 1s;  // ours: a body may take as long on a slow link
+constexpr std::size_t kMaxRounds = 8;
+// Every so many rounds all replicas are queried, to detect replicas that have become faster.
+constexpr std::uint64_t kQueryAllEveryRounds = 16;
+constexpr Span kAnswerOverdueAfter = 150ms;
+constexpr Span kUnconfirmedLimit = 500ms;
+constexpr Span kMaxAnswerTime = 2s;
+constexpr Span kBodyRequestInterval = 1s;  // allows for the transfer of a large body on a slow link
 
 bool isWithoutBody(const ConfirmAnswer& answer, const RegisterKey& key) {
   return std::find(answer.withoutBody.begin(), answer.withoutBody.end(), key) !=
@@ -65,13 +66,14 @@
   Round& round = rounds_[++sequence_];
   round.sentAt = now;
   round.wantsKeys = wantsKeys || !replicas_.settled;
-  while (rounds_.size() > kRounds) rounds_.erase(rounds_.begin());
+  while (rounds_.size() > kMaxRounds) rounds_.erase(rounds_.begin());
   std::vector<ReplicaMember> order = replicas_.members;
   std::stable_sort(order.begin(), order.end(), [&](const ReplicaMember& a, const ReplicaMember& b) {
-    return answerSpan_[a.store] < answerSpan_[b.store];
+    return answerTime_[a.store] < answerTime_[b.store];
   });
-  const bool unconfirmed = !confirmedAt_ || now - *confirmedAt_ > kUnconfirmedSpan;
-  const bool all = askAll || unconfirmed || !replicas_.settled || sequence_ % kAskAllEvery == 0;
+  const bool unconfirmed = !confirmedAt_ || now - *confirmedAt_ > kUnconfirmedLimit;
+  const bool all =
+      askAll || unconfirmed || !replicas_.settled || sequence_ % kQueryAllEveryRounds == 0;
   if (!all) order.resize(readQuorumOf(replicas_));
   Sends sends;
   for (const ReplicaMember& member : order) {
@@ -84,13 +86,15 @@
 Freshness::Sends Freshness::widenRound(Instant now) {
   Sends sends;
   if (rounds_.empty()) return sends;
-  askBody(now, &sends);
+  requestBody(now, &sends);
   Round& round = rounds_.rbegin()->second;
-  if (round.confirmed || (!round.unsettled && now - round.sentAt < kAnswerOverdue)) return sends;
+  if (round.confirmed || (!round.unsettled && now - round.sentAt < kAnswerOverdueAfter))
+    return sends;
   for (const ReplicaMember& member : replicas_.members) {
     if (round.asked.contains(member.store)) {
-      Span& span = answerSpan_[member.store];
-      if (!round.answers.contains(member.store)) span = std::min(span + kAnswerOverdue, kSlowest);
+      Span& answerTime = answerTime_[member.store];
+      if (!round.answers.contains(member.store))
+        answerTime = std::min(answerTime + kAnswerOverdueAfter, kMaxAnswerTime);
     }
   }
   for (const ReplicaMember& member : replicas_.members) {
@@ -100,25 +104,25 @@
   return sends;
 }
 
-// Current: nothing in the round is newer than the chosen value, which a majority at one ballot in
-// this round may just have become.
-Freshness::Verdict Freshness::judge(const Round& round, const RegisterKey& key,
-                                    ChosenValue* chosen) {
-  std::map<Ballot, std::size_t> counts;
+// Updates `chosen` if a majority of the round accepted a newer value at one ballot. Returns Current
+// if the round then shows nothing newer than `chosen`.
+Freshness::Verdict Freshness::evaluate(const Round& round, const RegisterKey& key,
+                                       ChosenValue* chosen) {
+  std::map<Ballot, std::size_t> acceptCounts;
   const auto newer = [&](const ConfirmedKey& held) {
     return held.acceptedAt > chosen->ballot && !isSameWrite(held.value, chosen->value);
   };
-  std::map<Ballot, std::vector<StoreId>> lacking;
+  std::map<Ballot, std::vector<StoreId>> holders;
   for (const auto& [store, answer] : round.answers) {
     const ConfirmedKey* held = find(answer, key);
     if (!held || held->acceptedAt <= chosen->ballot) continue;
-    lacking[held->acceptedAt].push_back(store);
-    if (++counts[held->acceptedAt] < majorityOf(replicas_)) continue;
-    if (const auto value = wholeValue(key, answer, *held, *chosen)) {
+    holders[held->acceptedAt].push_back(store);
+    if (++acceptCounts[held->acceptedAt] < majorityOf(replicas_)) continue;
+    if (const auto value = completeValue(key, answer, *held, *chosen)) {
       learnChosen(key, {held->acceptedAt, *value});
-    } else if (held->acceptedAt >= bodyBallot_) {
-      bodyHolders_ = lacking[held->acceptedAt];
-      bodyBallot_ = held->acceptedAt;
+    } else if (held->acceptedAt >= missingBodyBallot_) {
+      missingBodyHolders_ = holders[held->acceptedAt];
+      missingBodyBallot_ = held->acceptedAt;
     }
   }
   for (const auto& [store, answer] : round.answers) {
@@ -128,38 +132,40 @@
   return Verdict::Current;
 }
 
-// What a replica accepted, with the body that its answer left out where that is known here.
-std::optional<RegisterValue> Freshness::wholeValue(const RegisterKey& key,
-                                                   const ConfirmAnswer& answer,
-                                                   const ConfirmedKey& held,
-                                                   const ChosenValue& chosen) const {
+// The value that a replica accepted. A body that was omitted from the answer is filled in if it is
+// known here; otherwise nullopt.
+std::optional<RegisterValue> Freshness::completeValue(const RegisterKey& key,
+                                                      const ConfirmAnswer& answer,
+                                                      const ConfirmedKey& held,
+                                                      const ChosenValue& chosen) const {
   if (!isWithoutBody(answer, key)) return held.value;
   RegisterValue value = held.value;
   if (isSameWrite(value, chosen.value))
     value.body = chosen.value.body;
-  else if (isSameWrite(value, body_.value))
-    value.body = body_.value.body;
+  else if (isSameWrite(value, newestBody_.value))
+    value.body = newestBody_.value.body;
   else
     return std::nullopt;
   return value;
 }
 
-void Freshness::keepBodies(const ConfirmAnswer& answer) {
+void Freshness::rememberBody(const ConfirmAnswer& answer) {
   const ConfirmedKey* held = find(answer, kConfigurationKey);
   if (!held || isWithoutBody(answer, kConfigurationKey)) return;
-  if (held->acceptedAt > body_.ballot && held->value.version > 0)
-    body_ = {held->acceptedAt, held->value};
+  if (held->acceptedAt > newestBody_.ballot && held->value.version > 0)
+    newestBody_ = {held->acceptedAt, held->value};
 }
 
-// One replica at a time: the body is the same at each of those that accepted it.
-void Freshness::askBody(Instant now, Sends* sends) {
-  if (bodyHolders_.empty()) return;
-  // A later change does not wait for the pause after the one before it.
-  if (now < nextBody_ && bodyAskedFor_ == bodyBallot_) return;
-  nextBody_ = now + kBodyEvery;
-  bodyAskedFor_ = bodyBallot_;
-  const StoreId chosen = bodyHolders_[(sequence_ + bodiesAsked_++) % bodyHolders_.size()];
-  bodyHolders_.clear();
+// Requests the missing body from one replica at a time, as all that accepted it have the same one.
+void Freshness::requestBody(Instant now, Sends* sends) {
+  if (missingBodyHolders_.empty()) return;
+  // The interval applies to requests for the same ballot; a later change doesn't wait for it.
+  if (now < nextBodyRequest_ && bodyRequestedFor_ == missingBodyBallot_) return;
+  nextBodyRequest_ = now + kBodyRequestInterval;
+  bodyRequestedFor_ = missingBodyBallot_;
+  const StoreId chosen =
+      missingBodyHolders_[(sequence_ + bodyRequestCount_++) % missingBodyHolders_.size()];
+  missingBodyHolders_.clear();
   for (const ReplicaMember& member : replicas_.members) {
     if (member.store != chosen) continue;
     Confirm asked = confirmRequest(member.store, false);
@@ -174,39 +180,40 @@
       std::any_of(replicas_.members.begin(), replicas_.members.end(),
                   [&](const ReplicaMember& member) { return member.store == answer.store; });
   if (!isMember || answer.asked != answer.store) return;
-  // What a replica of another fleet holds says nothing about this one, nor what a replica says that
-  // is no member by its own set.
+  // Ignores replicas of another fleet, and replicas that aren't members of their own set: these
+  // answer without keys.
   if (answer.replicas.fleet != replicas_.fleet || answer.keys.empty()) return;
-  // A body of an earlier round is as good as one of a round that is still open.
-  keepBodies(answer);
+  // Bodies are useful even if their round is no longer tracked.
+  rememberBody(answer);
   auto entry = rounds_.find(answer.sequence);
   if (entry == rounds_.end()) return;
   entry->second.answers[answer.store] = answer;
-  Span& span = answerSpan_[answer.store];
-  span = (span * 3 + std::min(now - entry->second.sentAt, kSlowest)) / 4;
+  Span& answerTime = answerTime_[answer.store];
+  answerTime = (answerTime * 3 + std::min(now - entry->second.sentAt, kMaxAnswerTime)) / 4;
   const Instant sentAt = entry->second.sentAt;
   const Round round = entry->second;
   for (const RegisterKey& key : answer.allKeys) {
     if (std::find(knownKeys_.begin(), knownKeys_.end(), key) == knownKeys_.end())
       knownKeys_.push_back(key);
   }
-  // Until the epoch is settled, a value may still stand on a majority of the older set alone; a
-  // majority of this one meets those too.
-  const std::size_t enough = replicas_.settled ? readQuorumOf(replicas_) : majorityOf(replicas_);
+  // Until the epoch is settled, a value may be chosen by a majority of the previous set only. A
+  // majority of the current set intersects those majorities too.
+  const std::size_t neededAnswers =
+      replicas_.settled ? readQuorumOf(replicas_) : majorityOf(replicas_);
   bool current = true;
   const Epoch epochBefore = replicas_.epoch;
   for (const RegisterKey& key : {kReplicaSetKey, kConfigurationKey}) {
-    if (judge(round, key, key == kConfigurationKey ? &configuration_ : &replicaSetValue_) ==
+    if (evaluate(round, key, key == kConfigurationKey ? &configuration_ : &replicaSetValue_) ==
         Verdict::Unsettled) {
       current = false;
       unsettledSince_.try_emplace(key, now);
-    } else if (round.answers.size() >= enough) {
+    } else if (round.answers.size() >= neededAnswers) {
       unsettledSince_.erase(key);
     }
   }
-  if (replicas_.epoch != epochBefore) return;  // ask the new set before vouching for anything
+  if (replicas_.epoch != epochBefore) return;  // the new set must be queried first
   entry->second.unsettled = !current;
-  if (!current || round.answers.size() < enough) return;
+  if (!current || round.answers.size() < neededAnswers) return;
   entry->second.confirmed = true;
   if (!confirmedAt_ || *confirmedAt_ < sentAt) confirmedAt_ = sentAt;
 }
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -1,6 +1,6 @@
 #pragma once
-// Learns chosen values of the configuration and of the replica set, and when they were last known
-// to be the newest. Asks replicas; never guesses from a minority.
+// Learns the chosen values of the configuration and the replica set, and tracks when they were last
+// confirmed to be the newest, by querying replicas. Never draws conclusions from a minority.
 #include <map>
 #include <optional>
 #include <set>
@@ -10,73 +10,80 @@
 
 namespace quayrill {
 
+// A value of the register and the ballot at which it was accepted.
 struct ChosenValue {
   Ballot ballot;
   RegisterValue value;
 };
 
+// Runs confirmation rounds: each queries replicas for what they accepted, without proposing. A
+// round whose answers intersect every majority and show nothing newer confirms the known values.
 class Freshness {
  public:
-  // Sequences begin at a random number of this life: a late answer to an earlier one meets no
-  // round.
+  // Sequence numbers start at a random number per process, so that a late answer to an earlier
+  // process matches no round.
   explicit Freshness(std::uint64_t nonce) : sequence_(nonce >> 1) {}
-  // Replaces the replica set if `copies` is newer; rounds asked of the older set are forgotten.
+  // Replaces the replica set if `replicas` is newer, and forgets the rounds with an older epoch.
   bool adopt(const ReplicaSet& replicas);
   const ReplicaSet& replicas() const { return replicas_; }
   const ChosenValue& configuration() const { return configuration_; }
   std::optional<Instant> confirmedAt() const { return confirmedAt_; }
   const std::vector<RegisterKey>& knownKeys() const { return knownKeys_; }
   std::uint64_t replicaSetVersion() const { return replicaSetValue_.value.version; }
-  // Every key that a majority holds between them, once so many answered from inside this epoch.
+  // Every key that any replica of a majority holds, once a majority answered from within the
+  // current epoch.
   std::optional<std::vector<RegisterKey>> majorityKeys() const;
 
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
-  // Asks as many replicas as meet every majority, those first that answer fastest; all of them
-  // where the caller says so, the epoch is unsettled, or nothing was confirmed for a while.
+  // Starts a round. Queries a read quorum of the replicas that answer fastest, or all of them if
+  // `askAll` is set, the epoch is unsettled, or nothing was confirmed for a while.
   Sends beginRound(Instant now, bool askAll, bool wantsKeys);
-  // The rest of the newest round's replicas, once an answer is overdue or shows something newer,
-  // and one replica for a body that is lacking.
+  // Extends the newest round to all replicas once an answer is overdue or shows something newer.
+  // Also requests a missing body from one replica.
   Sends widenRound(Instant now);
+  // A request of the newest round for `store`, without large bodies.
   Confirm confirmRequest(StoreId store, bool wantsKeys) const;
   void onAnswer(const ConfirmAnswer& answer, Instant now);
-  // A value that a round of this daemon's own proposer proved chosen.
+  // Takes a value that is known to be chosen, for example from this daemon's own proposer.
   void learnChosen(const RegisterKey& key, const ChosenValue& chosen);
-  // The key that needs a read to settle it, once it has stayed unsettled for a while.
+  // A key that has been unsettled for at least `patience` and needs a read to settle it.
   std::optional<RegisterKey> keyToSettle(Instant now, Span patience) const;
 
  private:
+  // One confirmation round.
   struct Round {
     Instant sentAt;
-    std::map<StoreId, ConfirmAnswer> answers;  // of members, under this epoch
+    std::map<StoreId, ConfirmAnswer> answers;  // of members, within the current epoch
     std::set<StoreId> asked;
     bool wantsKeys = false;
     bool unsettled = false;  // an answer shows something newer
     bool confirmed = false;
   };
-  std::optional<RegisterValue> wholeValue(const RegisterKey& key, const ConfirmAnswer& answer,
-                                          const ConfirmedKey& held,
-                                          const ChosenValue& chosen) const;
-  void keepBodies(const ConfirmAnswer& answer);
-  void askBody(Instant now, Sends* sends);
+  std::optional<RegisterValue> completeValue(const RegisterKey& key, const ConfirmAnswer& answer,
+                                             const ConfirmedKey& held,
+                                             const ChosenValue& chosen) const;
+  void rememberBody(const ConfirmAnswer& answer);
+  void requestBody(Instant now, Sends* sends);
   enum class Verdict { Current, Unsettled };
-  Verdict judge(const Round& round, const RegisterKey& key, ChosenValue* chosen);
+  Verdict evaluate(const Round& round, const RegisterKey& key, ChosenValue* chosen);
 
   ReplicaSet replicas_;
-  // chosen values only; their versions never fall
+  // Chosen values only; their versions never decrease.
   ChosenValue configuration_, replicaSetValue_;
-  // The start of the newest round whose answers meet every majority and show nothing newer.
+  // The start of the newest round that confirmed the known values.
   std::optional<Instant> confirmedAt_;
-  std::map<std::uint64_t, Round> rounds_;  // at most kRounds, newest last
+  std::map<std::uint64_t, Round> rounds_;  // at most kMaxRounds, newest last
   std::uint64_t sequence_;
-  std::map<StoreId, Span> answerSpan_;  // smoothed; a guide for whom to ask, never for what holds
+  std::map<StoreId, Span> answerTime_;  // smoothed; used only to select replicas to query
   std::map<RegisterKey, Instant> unsettledSince_;
-  // The newest accepted configuration that came with its body; chosen or not.
-  ChosenValue body_;
-  // Replicas that hold a configuration which a majority accepted and whose body is lacking here.
-  std::vector<StoreId> bodyHolders_;
-  Ballot bodyBallot_, bodyAskedFor_;  // at which they hold it; for which one was asked last
-  std::uint64_t bodiesAsked_ = 0;
-  Instant nextBody_{};
+  // The newest accepted configuration received with its body, whether chosen or not.
+  ChosenValue newestBody_;
+  // Replicas that hold a configuration that a majority accepted and whose body is missing here.
+  std::vector<StoreId> missingBodyHolders_;
+  Ballot missingBodyBallot_,
+      bodyRequestedFor_;  // the ballot at which they hold it; that of the last request
+  std::uint64_t bodyRequestCount_ = 0;
+  Instant nextBodyRequest_{};
   std::vector<RegisterKey> knownKeys_;
 };
 
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kEvery = 100ms;             // ours: from round to round
-constexpr Span kReportSpan = 1500ms;       // ours: a daemon that reported longer ago counts no more
-constexpr Span kZoneSpan = 2s;             // ours: the same for a zone
-constexpr std::size_t kMostBatches = 512;  // ours: kept until the next round
-constexpr std::size_t kMostDigests = 8;    // ours: kept for a data plane that does not take them
+constexpr Span kRoundInterval = 100ms;
+constexpr Span kReportValidity = 1500ms;  // of a daemon's outstanding requests
+constexpr Span kZoneValidity = 2s;        // of a zone's sums
+constexpr std::size_t kMaxBatches = 512;  // kept until the next round
+constexpr std::size_t kMaxDigests = 8;    // kept while the data plane doesn't take them
 
 using Sums = std::map<ServerName, OutstandingRow>;
 
@@ -36,8 +36,8 @@
 
 void append(std::vector<PartEventBatch>* batches, std::vector<PartEventBatch> more) {
   std::move(more.begin(), more.end(), std::back_inserter(*batches));
-  if (batches->size() <= kMostBatches) return;
-  const auto surplus = static_cast<std::ptrdiff_t>(batches->size() - kMostBatches);
+  if (batches->size() <= kMaxBatches) return;
+  const auto surplus = static_cast<std::ptrdiff_t>(batches->size() - kMaxBatches);
   batches->erase(batches->begin(), batches->begin() + surplus);
 }
 
@@ -47,13 +47,13 @@
 }  // namespace
 
 Address aggregatorOf(const std::string& zone, const std::vector<NewsItem>& live) {
-  std::vector<Address> idle, all;
+  std::vector<Address> withoutDataPlane, all;
   for (const NewsItem& item : live) {
     if (item.zone != zone || item.leaving) continue;
     all.push_back(item.source);
-    if (item.proxyAddress.empty()) idle.push_back(item.source);
+    if (item.proxyAddress.empty()) withoutDataPlane.push_back(item.source);
   }
-  return rendezvousOwner("aggregate/" + zone, idle.empty() ? all : idle);
+  return rendezvousOwner("aggregate/" + zone, withoutDataPlane.empty() ? all : withoutDataPlane);
 }
 
 void PlaneExchange::addOwnReport(PlaneReport report) {
@@ -64,22 +64,22 @@
 
 void PlaneExchange::onReport(const Address& from, const PlaneReport& report, Instant now) {
   reports_[from] = {report.outstanding, now};
-  append(&nearBatches_, report.batches);
+  append(&ownZoneBatches_, report.batches);
 }
 
 void PlaneExchange::onDigest(const PlaneDigest& digest, Instant now) {
   if (digest.zone.empty()) {
     digests_.push_back(digest);
-    if (digests_.size() > kMostDigests) digests_.erase(digests_.begin());
+    if (digests_.size() > kMaxDigests) digests_.erase(digests_.begin());
     return;
   }
   zones_[digest.zone] = {digest.outstanding, now - std::chrono::microseconds(digest.agoMicros)};
-  append(&farBatches_, digest.batches);
+  append(&otherZoneBatches_, digest.batches);
 }
 
 std::vector<PlaneDigest> PlaneExchange::takeDigests() { return std::exchange(digests_, {}); }
 
-PlaneDigest PlaneExchange::ownZone(Instant now) const {
+PlaneDigest PlaneExchange::ownZoneDigest(Instant now) const {
   PlaneDigest digest;
   digest.zone = zone_;
   Sums sums;
@@ -91,11 +91,11 @@
   if (!reports_.empty())
     digest.agoMicros = microsOf(age) / static_cast<std::int64_t>(reports_.size());
   digest.outstanding = rowsOf(sums);
-  digest.batches = nearBatches_;
+  digest.batches = ownZoneBatches_;
   return digest;
 }
 
-PlaneDigest PlaneExchange::fleet(PlaneDigest digest, Instant now) const {
+PlaneDigest PlaneExchange::addOtherZones(PlaneDigest digest, Instant now) const {
   digest.zone.clear();
   Sums sums;
   add(&sums, digest.outstanding);
@@ -106,35 +106,35 @@
   }
   digest.agoMicros = age / static_cast<std::int64_t>(zones_.size() + 1);
   digest.outstanding = rowsOf(sums);
-  append(&digest.batches, farBatches_);
+  append(&digest.batches, otherZoneBatches_);
   return digest;
 }
 
 void PlaneExchange::aggregate(const std::vector<NewsItem>& live,
                               const std::map<std::string, Address>& others, Instant now,
                               std::vector<Envelope>* sends) {
-  std::erase_if(reports_, [&](const auto& row) { return now - row.second.at > kReportSpan; });
-  std::erase_if(zones_, [&](const auto& row) { return now - row.second.at > kZoneSpan; });
+  std::erase_if(reports_, [&](const auto& row) { return now - row.second.at > kReportValidity; });
+  std::erase_if(zones_, [&](const auto& row) { return now - row.second.at > kZoneValidity; });
   if (reports_.empty() && zones_.empty()) return;
-  PlaneDigest mine = ownZone(now);
+  PlaneDigest zoneDigest = ownZoneDigest(now);
   if (!reports_.empty()) {
-    for (const auto& [zone, aggregator] : others) sends->push_back({self_, aggregator, mine});
+    for (const auto& [zone, aggregator] : others) sends->push_back({self_, aggregator, zoneDigest});
   }
-  const PlaneDigest told = fleet(std::move(mine), now);
-  nearBatches_.clear();
-  farBatches_.clear();
+  const PlaneDigest fleetDigest = addOtherZones(std::move(zoneDigest), now);
+  ownZoneBatches_.clear();
+  otherZoneBatches_.clear();
   for (const NewsItem& item : live) {
     if (item.zone != zone_ || item.proxyAddress.empty()) continue;
     if (item.source == self_)
-      onDigest(told, now);
+      onDigest(fleetDigest, now);
     else
-      sends->push_back({self_, item.source, told});
+      sends->push_back({self_, item.source, fleetDigest});
   }
 }
 
 void PlaneExchange::onTick(const std::vector<NewsItem>& live, Instant now,
                            std::vector<Envelope>* sends) {
-  nextTick_ = now + kEvery;
+  nextTick_ = now + kRoundInterval;
   const Address aggregator = aggregatorOf(zone_, live);
   if (std::exchange(hasOwn_, false)) {
     const PlaneReport report = std::exchange(own_, {});
@@ -146,8 +146,8 @@
   if (aggregator != self_) {
     reports_.clear();
     zones_.clear();
-    nearBatches_.clear();
-    farBatches_.clear();
+    ownZoneBatches_.clear();
+    otherZoneBatches_.clear();
     return;
   }
   std::map<std::string, Address> others;
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -1,12 +1,12 @@
 #pragma once
-// What the data planes observe, known by all of them: requests at servers, and cache events. Each
-// daemon reports to the aggregator of its zone; aggregators tell each other their zone's sums, and
-// their own zone's daemons the fleet's. So a daemon sends one message and gets one in each round,
-// whatever the size of the fleet.
+// Shares what the data planes observe with all of them: outstanding requests at servers and cache
+// events. Each daemon reports to the aggregator of its zone. Aggregators send the sums of their
+// zone to each other, and the sums of the fleet to the daemons of their own zone. So a daemon sends
+// and receives one message per round, whatever the size of the fleet.
 //
-// Nothing is acknowledged or sent again. A report counts for kReportSpan, a zone's sum for
-// kZoneSpan. While the aggregator of a zone is gone and not yet missed, that zone's daemons know
-// their own requests alone, and cache events read there meanwhile reach nobody else.
+// Messages are neither acknowledged nor resent. A report is valid for kReportValidity, a zone's sum
+// for kZoneValidity. After the aggregator of a zone has failed and until this is detected, that
+// zone's daemons know only their own requests, and cache events read there are lost to all others.
 #include <map>
 #include <set>
 #include <string>
@@ -17,18 +17,19 @@
 
 namespace quayrill {
 
+// The exchange at one daemon, which may also be the aggregator of its zone.
 class PlaneExchange {
  public:
   PlaneExchange(Address self, std::string zone) : self_(std::move(self)), zone_(std::move(zone)) {}
 
-  // What this daemon's data plane observed since it last reported.
+  // Takes what this daemon's data plane observed since its last report.
   void addOwnReport(PlaneReport report);
   void onReport(const Address& from, const PlaneReport& report, Instant now);
   void onDigest(const PlaneDigest& digest, Instant now);
   bool isDue(Instant now) const { return now >= nextTick_; }
-  // `live`: all live daemons, this one too.
+  // `live` has all live daemons, including this one.
   void onTick(const std::vector<NewsItem>& live, Instant now, std::vector<Envelope>* sends);
-  // What came for this daemon's own data plane, oldest first; given out once.
+  // Returns and removes the digests for this daemon's own data plane, oldest first.
   std::vector<PlaneDigest> takeDigests();
 
  private:
@@ -38,28 +39,28 @@
   };
   struct Zone {
     std::vector<OutstandingRow> outstanding;
-    Instant at;  // when its rows were told, on average
+    Instant at;  // the average time at which its rows were reported
   };
   void aggregate(const std::vector<NewsItem>& live, const std::map<std::string, Address>& others,
                  Instant now, std::vector<Envelope>* sends);
-  PlaneDigest ownZone(Instant now) const;
-  // The own zone's digest with those of the others added.
-  PlaneDigest fleet(PlaneDigest digest, Instant now) const;
+  PlaneDigest ownZoneDigest(Instant now) const;
+  // The digest of the fleet: the own zone's `digest` with those of the other zones added.
+  PlaneDigest addOtherZones(PlaneDigest digest, Instant now) const;
 
   Address self_;
   std::string zone_;
   Instant nextTick_{};
   PlaneReport own_;
-  bool hasOwn_ = false;                // its data plane reported since the last round
+  bool hasOwn_ = false;                // the own data plane reported since the last round
   std::map<Address, Report> reports_;  // of this zone's daemons
   std::map<std::string, Zone> zones_;  // of the others
-  // Not yet told on: read in this zone, read in others. Bounded; the oldest go first.
-  std::vector<PartEventBatch> nearBatches_, farBatches_;
+  // Batches to pass on, read in this zone and in the others. Bounded: the oldest are dropped first.
+  std::vector<PartEventBatch> ownZoneBatches_, otherZoneBatches_;
   std::vector<PlaneDigest> digests_;
 };
 
-// The daemon that aggregates for a zone: by rendezvous over those of its live daemons that have no
-// data plane, else over all of them. Address{}: none is there.
+// The aggregator of a zone, by rendezvous hashing over its live daemons without a data plane, or
+// over all its live daemons if there are none. Address{} if the zone has no live daemon.
 Address aggregatorOf(const std::string& zone, const std::vector<NewsItem>& live);
 
 }  // namespace quayrill
