--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -11,15 +11,20 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kQuestionEvery = 250ms;
-constexpr Span kFirstQuestion = 1200ms;
-constexpr Span kReportLag = 600ms;  // a report may be as old as that when it comes
-constexpr Span kOrderAgain = 500ms;
-constexpr Span kNotKnownLongest = 4s;  // ours: between orders of a version that is not known there
-constexpr Span kNoteEvery = 1s;
-constexpr Span kStuckSpan = 10s;   // no word of its new weights for so long: its place goes on
-constexpr double kPlanned = 0.75;  // of the bound: the rest is for what goes wrong
-constexpr double kForced = 0.8;  // of the bound: from here on, half of a model's servers may switch
+constexpr Span kReportInterval = 250ms;
+constexpr Span kMaxFirstReportDelay = 1200ms;
+constexpr Span kMaxReportAge = 600ms;  // the age that a report can have when it arrives
+constexpr Span kOrderRetryDelay = 500ms;
+constexpr Span kMaxUnknownVersionDelay =
+    4s;  // limit of the backoff while a server doesn't know the version
+constexpr Span kNoteInterval = 1s;
+// A server that hasn't reported its new weights for this long no longer counts as switching.
+constexpr Span kStuckAfter = 10s;
+// Switches are planned to be done within this share of the bound; the rest is a reserve for
+// failures.
+constexpr double kPlannedShare = 0.75;
+// After this share of the bound, up to half of a model's servers may switch at once.
+constexpr double kForcedShare = 0.8;
 
 double secondsOf(Span span) { return std::chrono::duration<double>(span).count(); }
 }  // namespace
@@ -30,94 +35,100 @@
   return kNames[static_cast<std::size_t>(answer)];
 }
 
-WeightsVersion Rollout::weightsOf(const RolloutServer& server) const {
-  const auto row = rows_.find(server.name);
-  if (row == rows_.end() || row->second.identity != server.identity || !row->second.reached)
+WeightsVersion Rollout::knownWeights(const RolloutServer& server) const {
+  const auto state = servers_.find(server.name);
+  if (state == servers_.end() || state->second.identity != server.identity ||
+      !state->second.reached)
     return server.weights;
-  return isBehind(server.weights, *row->second.reached) ? *row->second.reached : server.weights;
+  return isBehind(server.weights, *state->second.reached) ? *state->second.reached : server.weights;
 }
 
-bool Rollout::isBehindHere(const RolloutServer& server, const WeightsVersion& wanted) const {
-  if (!server.usable || !isBehind(weightsOf(server), wanted)) return false;
-  const auto row = rows_.find(server.name);
-  return row == rows_.end() || row->second.identity != server.identity ||
-         row->second.refused != wanted;
+bool Rollout::needsOrder(const RolloutServer& server, const WeightsVersion& wanted) const {
+  if (!server.usable || !isBehind(knownWeights(server), wanted)) return false;
+  const auto state = servers_.find(server.name);
+  return state == servers_.end() || state->second.identity != server.identity ||
+         state->second.refusedVersion != wanted;
 }
 
 bool Rollout::wantsLease(const RolloutView& view) const {
-  return std::any_of(view.servers.begin(), view.servers.end(), [&](const RolloutServer& s) {
-    return isBehindHere(s, view.weights.newest());
+  return std::any_of(view.servers.begin(), view.servers.end(), [&](const RolloutServer& server) {
+    return needsOrder(server, view.weights.newest());
   });
 }
 
 bool Rollout::isIdle() const { return switchingCount() == 0; }
 
 bool Rollout::hasOpenOrder() const {
-  return std::any_of(rows_.begin(), rows_.end(), [](const auto& row) { return row.second.open; });
+  return std::any_of(servers_.begin(), servers_.end(),
+                     [](const auto& state) { return state.second.orderPending; });
 }
 
 std::size_t Rollout::switchingCount() const {
-  return static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), [](const auto& row) {
-    return row.second.switching || row.second.open;
-  }));
+  return static_cast<std::size_t>(std::count_if(
+      servers_.begin(), servers_.end(),
+      [](const auto& state) { return state.second.switching || state.second.orderPending; }));
 }
 
 Span Rollout::timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const {
-  const Instant until = view.weights.usableUntil(weightsOf(server), settings_.due);
+  const Instant until = view.weights.usableUntil(knownWeights(server), settings_.weightsBound);
   if (until <= now) return Span{};
-  return std::min(until - now, settings_.due);
+  return std::min(until - now, settings_.weightsBound);
 }
 
-// Those with the least time left come first. Among equals, names go by address, and so by zone;
-// hashes mix them, so that no zone loses all its servers.
-std::vector<Rollout::Waiting> Rollout::waitingServers(const RolloutView& view, Instant now) const {
-  std::vector<Waiting> waiting;
+// Sorted by the time left. Ties are broken by a hash of the name rather than the name: names are
+// addresses, which are grouped by zone, and all servers of a zone might switch at once.
+std::vector<Rollout::BehindServer> Rollout::behindServers(const RolloutView& view,
+                                                          Instant now) const {
+  std::vector<BehindServer> behind;
   for (const RolloutServer& server : view.servers) {
-    if (isBehindHere(server, view.weights.newest()))
-      waiting.push_back({&server, timeLeft(server, view, now)});
+    if (needsOrder(server, view.weights.newest()))
+      behind.push_back({&server, timeLeft(server, view, now)});
   }
-  std::sort(waiting.begin(), waiting.end(), [](const Waiting& a, const Waiting& b) {
-    return std::make_tuple(a.left, stableHash(a.server->name.value)) <
-           std::make_tuple(b.left, stableHash(b.server->name.value));
+  std::sort(behind.begin(), behind.end(), [](const BehindServer& a, const BehindServer& b) {
+    return std::make_tuple(a.remaining, stableHash(a.server->name.value)) <
+           std::make_tuple(b.remaining, stableHash(b.server->name.value));
   });
-  return waiting;
+  return behind;
 }
 
-// A server that answers nothing serves nobody either: it is no reason to spare another.
-bool Rollout::holdsPlace(const Row& row) { return row.open || (row.switching && !row.isUnclear); }
+// A server that doesn't answer serves no requests either, so it doesn't keep others from switching.
+bool Rollout::occupiesSwitchSlot(const ServerState& state) {
+  return state.orderPending || (state.switching && !state.isUnresponsive);
+}
 
-// As many as the time left makes necessary: of the servers up to each one that waits, all have to
-// be done before that one is due.
-std::size_t Rollout::mostAtOnce(const std::vector<Waiting>& waiting) const {
-  const double reserve = secondsOf(settings_.due) * (1 - kPlanned);
-  std::size_t most = 1;
-  for (std::size_t count = 1; count <= waiting.size(); ++count) {
-    const double planned = secondsOf(waiting[count - 1].left) - reserve;
-    const double work = static_cast<double>(count) * secondsOf(switchSpan_);
+// The smallest number of concurrent switches such that, for each server in order, this server and
+// all before it are done before its time runs out.
+std::size_t Rollout::requiredConcurrency(const std::vector<BehindServer>& behind) const {
+  const double reserve = secondsOf(settings_.weightsBound) * (1 - kPlannedShare);
+  std::size_t concurrency = 1;
+  for (std::size_t count = 1; count <= behind.size(); ++count) {
+    const double planned = secondsOf(behind[count - 1].remaining) - reserve;
+    const double work = static_cast<double>(count) * secondsOf(expectedSwitchTime_);
     const bool isAllAtOnce = planned * static_cast<double>(count) <= work;
-    most =
-        std::max(most, isAllAtOnce ? count : static_cast<std::size_t>(std::ceil(work / planned)));
+    concurrency = std::max(
+        concurrency, isAllAtOnce ? count : static_cast<std::size_t>(std::ceil(work / planned)));
   }
-  return most;
+  return concurrency;
 }
 
-// Whether one more server may switch now beside `switching` others. Loads that run at once slow
-// each other down, so more than a third of the usable ones do so only for a server whose own bound
-// is near or past, and never more than half: the first half then serves again before the rest
-// could.
-bool Rollout::maySwitch(const Waiting& next, std::size_t switching, std::size_t most,
+// Whether one more server may switch now besides `switching` others. Concurrent loads slow each
+// other down, so more than a third of the usable servers switch at once only for a server whose
+// time is nearly or entirely used up. It is never more than half, so that the first half serves
+// again before the rest stops.
+bool Rollout::maySwitch(const BehindServer& next, std::size_t switching, std::size_t concurrency,
                         std::size_t usable, bool mayStart) const {
-  const bool isNear = secondsOf(next.left) <= secondsOf(settings_.due) * (1 - kForced);
+  const bool isNear =
+      secondsOf(next.remaining) <= secondsOf(settings_.weightsBound) * (1 - kForcedShare);
   if (!isNear && !mayStart) return false;
   const std::size_t cap = std::max<std::size_t>(1, isNear ? (usable + 1) / 2 : usable / 3);
-  return switching < std::min(most, cap);
+  return switching < std::min(concurrency, cap);
 }
 
-// A fence that follows the last own one directly was taken from nobody else.
-void Rollout::meetFence(const RolloutView& view, Instant now) {
+// A fence that directly follows the last own one means that no other daemon held the lease between.
+void Rollout::onFence(const RolloutView& view, Instant now) {
   if (!view.fence || view.fence == lastFence_) return;
-  const bool own = lastFence_ && view.fence->value == lastFence_->value + 1;
-  if (!own) mayOrderAt_ = now + settings_.takeoverWait;
+  const bool isOwnSuccessor = lastFence_ && view.fence->value == lastFence_->value + 1;
+  if (!isOwnSuccessor) mayOrderAt_ = now + settings_.takeoverWait;
   lastFence_ = view.fence;
 }
 
@@ -125,157 +136,167 @@
   return view.fence && now >= mayOrderAt_ && !isFencedOff(*view.fence);
 }
 
-void Rollout::note(const ServerName& server, Row& row, const WeightsVersion& reached, Instant now,
-                   RolloutEffects* effects) {
-  row.notedAt = now;
+void Rollout::publishNote(const ServerName& server, ServerState& state,
+                          const WeightsVersion& reached, Instant now, RolloutEffects* effects) {
+  state.lastNoteAt = now;
   effects->notes.push_back(
-      {server, row.identity, model_, reached, row.switching, row.fence, ++noteSequence_});
+      {server, state.identity, model_, reached, state.switching, state.fence, ++noteSequence_});
 }
 
-void Rollout::finish(const ServerName& server, Row& row, const WeightsVersion& weights, Instant now,
-                     RolloutEffects* effects) {
-  if (row.switching) switchSpan_ = (switchSpan_ * 7 + (now - row.begunAt) * 3) / 10;
-  row.switching = row.again = false;
-  row.reached = weights;
-  note(server, row, weights, now, effects);
+void Rollout::completeSwitch(const ServerName& server, ServerState& state,
+                             const WeightsVersion& weights, Instant now, RolloutEffects* effects) {
+  if (state.switching)
+    expectedSwitchTime_ = (expectedSwitchTime_ * 7 + (now - state.switchStartedAt) * 3) / 10;
+  state.switching = state.retryOrder = false;
+  state.reached = weights;
+  publishNote(server, state, weights, now, effects);
 }
 
-void Rollout::order(const RolloutServer& server, const RolloutView& view, Instant now,
-                    RolloutEffects* effects) {
-  Row& row = rows_[server.name];
-  row.identity = server.identity;
-  if (!row.switching) row.begunAt = now;
-  row.switching = row.open = true;
-  row.again = false;
-  row.orderedAt = now;
-  row.ordered = view.weights.newest();
-  row.fence = *view.fence;
-  effects->orders.push_back({server.name, server.identity, row.ordered, *view.fence});
-  note(server.name, row, {}, now, effects);
+void Rollout::sendOrder(const RolloutServer& server, const RolloutView& view, Instant now,
+                        RolloutEffects* effects) {
+  ServerState& state = servers_[server.name];
+  state.identity = server.identity;
+  if (!state.switching) state.switchStartedAt = now;
+  state.switching = state.orderPending = true;
+  state.retryOrder = false;
+  state.orderedAt = now;
+  state.ordered = view.weights.newest();
+  state.fence = *view.fence;
+  effects->orders.push_back({server.name, server.identity, state.ordered, *view.fence});
+  publishNote(server.name, state, {}, now, effects);
 }
 
-// Goes on with an order that was given before.
-void Rollout::follow(const RolloutServer& server, const RolloutView& view, Row& row, Instant now,
-                     RolloutEffects* effects) {
-  if (!row.switching) return;
-  if (!row.open && now - row.orderedAt > kStuckSpan) {
-    row.switching = false;
-    row.nextOrder = now + kOrderAgain;
-    note(server.name, row, {}, now, effects);
+// Continues an order that was sent before: retries it, requests a report and repeats the note.
+void Rollout::continueOrder(const RolloutServer& server, const RolloutView& view,
+                            ServerState& state, Instant now, RolloutEffects* effects) {
+  if (!state.switching) return;
+  if (!state.orderPending && now - state.orderedAt > kStuckAfter) {
+    state.switching = false;
+    state.nextOrder = now + kOrderRetryDelay;
+    publishNote(server.name, state, {}, now, effects);
     return;
   }
-  if (!row.open && row.again && now >= row.nextOrder && server.usable && mayOrder(view, now))
-    order(server, view, now, effects);
+  if (!state.orderPending && state.retryOrder && now >= state.nextOrder && server.usable &&
+      mayOrder(view, now))
+    sendOrder(server, view, now, effects);
   if (!view.fence) return;
-  if (now - row.notedAt >= kNoteEvery) note(server.name, row, {}, now, effects);
-  if (!row.open && !row.asking && !row.again && now >= row.nextQuestion) {
-    row.asking = true;
-    row.nextQuestion = now + kQuestionEvery;
-    effects->reportRequests.push_back({server.name, row.identity});
+  if (now - state.lastNoteAt >= kNoteInterval) publishNote(server.name, state, {}, now, effects);
+  if (!state.orderPending && !state.reportPending && !state.retryOrder &&
+      now >= state.nextReportRequest) {
+    state.reportPending = true;
+    state.nextReportRequest = now + kReportInterval;
+    effects->reportRequests.push_back({server.name, state.identity});
   }
 }
 
-// Orders as many of those that wait as may switch beside `switching` others.
-void Rollout::begin(const RolloutView& view, std::size_t switching, Instant now,
-                    RolloutEffects* effects) {
-  const std::vector<Waiting> waiting = waitingServers(view, now);
-  const std::size_t most = mostAtOnce(waiting);
-  const auto usable = static_cast<std::size_t>(std::count_if(
-      view.servers.begin(), view.servers.end(), [](const RolloutServer& s) { return s.usable; }));
-  // Who orders may be lost soon, and is followed late: the first ones go out at once.
-  const bool isFirst = !hasBegun_;
-  for (const Waiting& next : waiting) {
-    if (!maySwitch(next, switching, most, usable, isFirst || now >= nextStart_)) break;
+// Sends orders to as many servers that are behind as may switch besides `switching` others.
+void Rollout::startOrders(const RolloutView& view, std::size_t switching, Instant now,
+                          RolloutEffects* effects) {
+  const std::vector<BehindServer> behind = behindServers(view, now);
+  const std::size_t concurrency = requiredConcurrency(behind);
+  const auto usable = static_cast<std::size_t>(
+      std::count_if(view.servers.begin(), view.servers.end(),
+                    [](const RolloutServer& server) { return server.usable; }));
+  // This daemon may fail, and its successor would start late, so the first orders are sent at once.
+  const bool isFirst = !hasStarted_;
+  for (const BehindServer& next : behind) {
+    if (!maySwitch(next, switching, concurrency, usable, isFirst || now >= nextStart_)) break;
     const RolloutServer& server = *next.server;
-    const auto row = rows_.find(server.name);
-    const bool ours = row != rows_.end();
-    if (ours && (row->second.switching || row->second.open || now < row->second.nextOrder))
+    const auto state = servers_.find(server.name);
+    const bool hasState = state != servers_.end();
+    if (hasState &&
+        (state->second.switching || state->second.orderPending || now < state->second.nextOrder))
       continue;
-    // Where another holder's order is being done, ours takes its place and no further one.
+    // If another holder's order is in progress, this order replaces it and the count is unchanged.
     if (!server.switching) ++switching;
-    order(server, view, now, effects);
-    nextStart_ = now + switchSpan_ / static_cast<Span::rep>(most);
-    hasBegun_ = true;
+    sendOrder(server, view, now, effects);
+    nextStart_ = now + expectedSwitchTime_ / static_cast<Span::rep>(concurrency);
+    hasStarted_ = true;
   }
-  if (waiting.empty()) hasBegun_ = false;
+  if (behind.empty()) hasStarted_ = false;
 }
 
 void Rollout::onTick(const RolloutView& view, Instant now, RolloutEffects* effects) {
-  meetFence(view, now);
-  std::erase_if(rows_, [&](const auto& row) {
-    return std::none_of(view.servers.begin(), view.servers.end(), [&](const RolloutServer& s) {
-      return s.name == row.first && s.identity == row.second.identity;
+  onFence(view, now);
+  std::erase_if(servers_, [&](const auto& state) {
+    return std::none_of(view.servers.begin(), view.servers.end(), [&](const RolloutServer& server) {
+      return server.name == state.first && server.identity == state.second.identity;
     });
   });
   std::size_t switching = 0;
   for (const RolloutServer& server : view.servers) {
-    const auto entry = rows_.find(server.name);
-    if (entry != rows_.end()) follow(server, view, entry->second, now, effects);
-    // Notes of our own orders tell nothing beyond our own row.
-    const bool isOurs = entry != rows_.end() && (entry->second.switching || entry->second.open);
-    const bool counts = isOurs ? holdsPlace(entry->second) : server.switching;
+    const auto entry = servers_.find(server.name);
+    if (entry != servers_.end()) continueOrder(server, view, entry->second, now, effects);
+    // For this daemon's own orders its state is at least as new as its notes.
+    const bool isOwnOrder =
+        entry != servers_.end() && (entry->second.switching || entry->second.orderPending);
+    const bool counts = isOwnOrder ? occupiesSwitchSlot(entry->second) : server.switching;
     switching += counts ? 1 : 0;
   }
-  if (mayOrder(view, now)) begin(view, switching, now, effects);
+  if (mayOrder(view, now)) startOrders(view, switching, now, effects);
 }
 
 void Rollout::onOrderAnswer(const WeightsOrder& order, OrderAnswer answer, Instant now,
                             RolloutEffects* effects) {
-  if (answer == OrderAnswer::Fenced) fencedOff_ = std::max(fencedOff_, order.fence);
-  const auto entry = rows_.find(order.server);
-  if (entry == rows_.end() || entry->second.identity != order.identity || !entry->second.open)
+  if (answer == OrderAnswer::Fenced)
+    highestRejectedFence_ = std::max(highestRejectedFence_, order.fence);
+  const auto entry = servers_.find(order.server);
+  if (entry == servers_.end() || entry->second.identity != order.identity ||
+      !entry->second.orderPending)
     return;
-  Row& row = entry->second;
-  row.open = false;
-  row.isUnclear = answer == OrderAnswer::Unclear;
-  row.answeredAt = now;
-  row.nextQuestion = now + kQuestionEvery;
-  if (answer != OrderAnswer::UnknownVersion) row.notKnown = 0;
+  ServerState& state = entry->second;
+  state.orderPending = false;
+  state.isUnresponsive = answer == OrderAnswer::Unclear;
+  state.answeredAt = now;
+  state.nextReportRequest = now + kReportInterval;
+  if (answer != OrderAnswer::UnknownVersion) state.unknownVersionCount = 0;
   switch (answer) {
     case OrderAnswer::Taken:
-      // Questions are priced: the first comes no sooner than the new weights could be there.
-      row.nextQuestion = now + std::min(switchSpan_ / 2, kFirstQuestion);
+      // Reports cost calls, so the first is requested only when the switch may be complete.
+      state.nextReportRequest = now + std::min(expectedSwitchTime_ / 2, kMaxFirstReportDelay);
       return;
     case OrderAnswer::Unclear:
-      return;  // its report will tell
+      return;  // a report will show the result
     case OrderAnswer::AlreadyHolds:
-      row.switching = false;  // it did not switch now, so this tells nothing of how long that takes
+      state.switching = false;  // no switch took place, so its duration must not be averaged
       nextStart_ = std::min(nextStart_, now);
-      return finish(order.server, row, order.weights, now, effects);
+      return completeSwitch(order.server, state, order.weights, now, effects);
     case OrderAnswer::Busy:
-      return;  // the same: once it is busy no more, it may still be behind
+      return;  // a report will show the result; the server may still be behind afterwards
     case OrderAnswer::Refused:
-      row.refused = order.weights;
+      state.refusedVersion = order.weights;
       break;
     case OrderAnswer::UnknownVersion:
-      row.nextOrder =
-          now + std::min(kNotKnownLongest, kOrderAgain * (1 << std::min(row.notKnown, 8U)));
-      ++row.notKnown;
+      state.nextOrder =
+          now + std::min(kMaxUnknownVersionDelay,
+                         kOrderRetryDelay * (1 << std::min(state.unknownVersionCount, 8U)));
+      ++state.unknownVersionCount;
       break;
     case OrderAnswer::Fenced:
-      row.nextOrder = now + kOrderAgain;
+      state.nextOrder = now + kOrderRetryDelay;
       break;
   }
-  row.switching = false;
-  nextStart_ = std::min(nextStart_, now);  // nothing was begun there
-  note(order.server, row, {}, now, effects);
+  state.switching = false;
+  nextStart_ = std::min(nextStart_, now);  // no switch was started
+  publishNote(order.server, state, {}, now, effects);
 }
 
-void Rollout::onReport(const ReportRequest& asked, const std::optional<WeightsReport>& report,
+void Rollout::onReport(const ReportRequest& request, const std::optional<WeightsReport>& report,
                        Instant askedAt, Instant now, RolloutEffects* effects) {
-  const auto entry = rows_.find(asked.server);
-  if (entry == rows_.end() || entry->second.identity != asked.identity) return;
-  Row& row = entry->second;
-  row.asking = false;
-  if (report) row.isUnclear = false;
-  if (!report || !row.switching || row.open || report->busy) return;
-  // Where newer weights were named meanwhile it serves on these until its turn comes again: one
-  // that went on at once might never serve, and keep the place of those with less time left.
-  if (!isBehind(report->weights, row.ordered))
-    return finish(asked.server, row, report->weights, now, effects);
-  if (askedAt >= row.answeredAt + kReportLag) {
-    row.again = true;  // the order was not taken, or has come to nothing
-    row.nextOrder = now;
+  const auto entry = servers_.find(request.server);
+  if (entry == servers_.end() || entry->second.identity != request.identity) return;
+  ServerState& state = entry->second;
+  state.reportPending = false;
+  if (report) state.isUnresponsive = false;
+  if (!report || !state.switching || state.orderPending || report->busy) return;
+  // Even if newer weights have been named since, the server first serves with these until it is
+  // selected again. If it continued at once, it might never serve, and it would delay servers with
+  // less time left.
+  if (!isBehind(report->weights, state.ordered))
+    return completeSwitch(request.server, state, report->weights, now, effects);
+  if (askedAt >= state.answeredAt + kMaxReportAge) {
+    state.retryOrder = true;  // the order was not accepted, or it failed
+    state.nextOrder = now;
   }
 }
 
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -1,8 +1,8 @@
 #pragma once
-// Brings one model's servers to the weights that were named last, each before the first naming that
-// superseded its own weights is too long ago: the server with the least time left goes first. It
-// orders only under a lease, and no more servers at a time than the time left for the rest makes
-// necessary, for a server that switches serves nobody.
+// Rolls out the newest weights of one model to its servers. Superseded weights may be used only for
+// a bounded time, so the server with the least time left is switched first. Orders are sent only
+// under a lease. A server that is switching serves no requests, so no more servers switch at once
+// than the time left for the others requires.
 #include <map>
 #include <optional>
 #include <vector>
@@ -14,44 +14,49 @@
 
 namespace quayrill {
 
-// What became of an order, as far as its answer tells.
+// A server's answer to an order.
 enum class OrderAnswer {
-  Taken,           // it is being done
-  AlreadyHolds,    // the version was there before
-  Busy,            // another is under way
-  Fenced,          // a higher fence was seen there
-  Refused,         // it will not be done: another server is there
-  UnknownVersion,  // the server knows no such version now; it may learn of it
-  Unclear,         // no answer; it may have been taken
+  Taken,           // accepted and in progress
+  AlreadyHolds,    // the server had these weights before
+  Busy,            // another order is in progress
+  Fenced,          // the server has seen a higher fence
+  Refused,         // rejected for good: another server is at this address
+  UnknownVersion,  // the server doesn't know the version at present, but may learn of it
+  Unclear,         // no answer; the order may have been accepted
 };
+// The answer's name in the decision log.
 const char* orderAnswerName(OrderAnswer answer);
 
-// What a server says when it is asked about its weights.
+// A server's report about its weights.
 struct WeightsReport {
   ModelName model;
   WeightsVersion weights;
-  bool busy = false;  // an order is under way there
+  bool busy = false;  // an order is in progress
 };
 
+// Settings of a rollout.
 struct RolloutSettings {
-  Span due{};           // of a naming: by then no server is to begin on weights older than it
-  Span takeoverWait{};  // after a lease was taken over, before the first order under it
+  Span weightsBound{};  // how long requests may still start on weights after they were superseded
+  Span takeoverWait{};  // from taking over a lease to the first order under it
 };
 
+// A server as the daemon knows it now.
 struct RolloutServer {
   ServerName name;
   ServerIdentity identity;
   WeightsVersion weights;
-  bool usable = false;     // it may be ordered: it is up and does not leave
-  bool switching = false;  // an order of some holder is known to be under way there
+  bool usable = false;     // can take orders: it is up and not leaving
+  bool switching = false;  // an order of any lease holder is known to be in progress
 };
 
+// What a rollout decides on.
 struct RolloutView {
   WeightsHistory weights;              // of the model
-  std::vector<RolloutServer> servers;  // all of the model that are listed
-  std::optional<Fence> fence;          // while the lease is sure to outlast an order
+  std::vector<RolloutServer> servers;  // all listed servers of the model
+  std::optional<Fence> fence;          // set while the lease is certain to outlast an order
 };
 
+// An order to a server to switch to other weights.
 struct WeightsOrder {
   ServerName server;
   ServerIdentity identity;
@@ -59,17 +64,20 @@
   Fence fence;
 };
 
+// A request to a server to report its weights.
 struct ReportRequest {
   ServerName server;
   ServerIdentity identity;
 };
 
+// What the caller must do after an event.
 struct RolloutEffects {
-  std::vector<WeightsOrder> orders;           // each is answered through onOrderAnswer, in any time
-  std::vector<ReportRequest> reportRequests;  // each is answered through onReport
-  std::vector<ServerNote> notes;              // for all daemons, this one among them
+  std::vector<WeightsOrder> orders;  // each must be followed by onOrderAnswer, after any time
+  std::vector<ReportRequest> reportRequests;  // each must be followed by onReport
+  std::vector<ServerNote> notes;              // to send to all daemons, including this one
 };
 
+// The rollout of one model as a state machine.
 class Rollout {
  public:
   Rollout(ModelName model, RolloutSettings settings)
@@ -78,74 +86,77 @@
   void onTick(const RolloutView& view, Instant now, RolloutEffects* effects);
   void onOrderAnswer(const WeightsOrder& order, OrderAnswer answer, Instant now,
                      RolloutEffects* effects);
-  // nullopt: the server gave none.
-  void onReport(const ReportRequest& asked, const std::optional<WeightsReport>& report,
+  // `report` is nullopt if the server did not answer.
+  void onReport(const ReportRequest& request, const std::optional<WeightsReport>& report,
                 Instant askedAt, Instant now, RolloutEffects* effects);
 
-  // Servers are behind that may be ordered.
+  // Some server is behind and can take an order.
   bool wantsLease(const RolloutView& view) const;
-  // No order of this daemon is open or being done, so the lease may go.
+  // No order of this daemon is unanswered or in progress, so the lease can be released.
   bool isIdle() const;
-  // This fence is of no more use: a server has seen a higher one.
-  bool isFencedOff(Fence fence) const { return fence <= fencedOff_; }
+  // A server has seen a higher fence, so orders under `fence` would be rejected.
+  bool isFencedOff(Fence fence) const { return fence <= highestRejectedFence_; }
   std::size_t switchingCount() const;
-  // An order of this daemon may still be sent, or be on its way.
+  // An order of this daemon is unanswered.
   bool hasOpenOrder() const;
 
  private:
-  // One life of a server. `switching` lasts from the first order until the new weights are seen
-  // there; `open` is true while an order's answer is awaited, so orders to one server are serial.
-  struct Row {
+  // The state of one server process. `switching` lasts from the first order until the new weights
+  // are reported. While `orderPending` is set, the answer to an order is awaited; orders to one
+  // server are sent one at a time.
+  struct ServerState {
     ServerIdentity identity;
-    WeightsVersion ordered;                 // by the last order
-    std::optional<WeightsVersion> reached;  // seen there after an order
+    WeightsVersion ordered;                 // the version in the last order
+    std::optional<WeightsVersion> reached;  // reported after an order
     Fence fence;
-    bool switching = false, open = false, asking = false;
-    bool isUnclear = false;  // neither the last order was answered nor a question since
-    bool again = false;      // the last order was not taken
-    std::optional<WeightsVersion> refused;  // not ordered again in this life
-    std::uint32_t notKnown = 0;             // answers of that kind in a row
-    Instant begunAt, orderedAt, answeredAt, nextOrder, nextQuestion, notedAt;
+    bool switching = false, orderPending = false, reportPending = false;
+    bool isUnresponsive = false;  // neither the last order nor a report request since was answered
+    bool retryOrder = false;      // the last order was not accepted
+    std::optional<WeightsVersion> refusedVersion;  // not ordered again from this process
+    std::uint32_t unknownVersionCount = 0;         // consecutive UnknownVersion answers
+    Instant switchStartedAt, orderedAt, answeredAt, nextOrder, nextReportRequest, lastNoteAt;
   };
-  // A server that is behind, and how long requests may still begin on its weights.
-  struct Waiting {
+  // A server that is behind, and how long requests may still start on its weights.
+  struct BehindServer {
     const RolloutServer* server;
-    Span left;
+    Span remaining;
   };
-  WeightsVersion weightsOf(const RolloutServer& server) const;
-  bool isBehindHere(const RolloutServer& server, const WeightsVersion& wanted) const;
+  WeightsVersion knownWeights(const RolloutServer& server) const;
+  bool needsOrder(const RolloutServer& server, const WeightsVersion& wanted) const;
   bool mayOrder(const RolloutView& view, Instant now) const;
-  // Zero where none is left.
+  // How long requests may still start on the server's weights; zero if that time has passed.
   Span timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const;
-  // One of those that may switch at once.
-  static bool holdsPlace(const Row& row);
-  std::vector<Waiting> waitingServers(const RolloutView& view, Instant now) const;
-  std::size_t mostAtOnce(const std::vector<Waiting>& waiting) const;
-  bool maySwitch(const Waiting& next, std::size_t switching, std::size_t most, std::size_t usable,
-                 bool mayStart) const;
-  void meetFence(const RolloutView& view, Instant now);
-  void follow(const RolloutServer& server, const RolloutView& view, Row& row, Instant now,
-              RolloutEffects* effects);
-  void begin(const RolloutView& view, std::size_t switching, Instant now, RolloutEffects* effects);
-  void order(const RolloutServer& server, const RolloutView& view, Instant now,
-             RolloutEffects* effects);
-  void finish(const ServerName& server, Row& row, const WeightsVersion& weights, Instant now,
-              RolloutEffects* effects);
-  // `reached`: the weights seen there after an order; empty where that is not known now.
-  void note(const ServerName& server, Row& row, const WeightsVersion& reached, Instant now,
-            RolloutEffects* effects);
+  // Whether the server counts towards the number that may switch at once.
+  static bool occupiesSwitchSlot(const ServerState& state);
+  std::vector<BehindServer> behindServers(const RolloutView& view, Instant now) const;
+  std::size_t requiredConcurrency(const std::vector<BehindServer>& behind) const;
+  bool maySwitch(const BehindServer& next, std::size_t switching, std::size_t concurrency,
+                 std::size_t usable, bool mayStart) const;
+  void onFence(const RolloutView& view, Instant now);
+  void continueOrder(const RolloutServer& server, const RolloutView& view, ServerState& state,
+                     Instant now, RolloutEffects* effects);
+  void startOrders(const RolloutView& view, std::size_t switching, Instant now,
+                   RolloutEffects* effects);
+  void sendOrder(const RolloutServer& server, const RolloutView& view, Instant now,
+                 RolloutEffects* effects);
+  void completeSwitch(const ServerName& server, ServerState& state, const WeightsVersion& weights,
+                      Instant now, RolloutEffects* effects);
+  // `reached` has the weights reported after an order; empty if not known.
+  void publishNote(const ServerName& server, ServerState& state, const WeightsVersion& reached,
+                   Instant now, RolloutEffects* effects);
 
   ModelName model_;
   RolloutSettings settings_;
-  std::map<ServerName, Row> rows_;  // of listed servers only
+  std::map<ServerName, ServerState> servers_;  // of listed servers only
   std::optional<Fence> lastFence_;
-  Fence fencedOff_;
+  Fence highestRejectedFence_;
   Instant mayOrderAt_{};
-  Span switchSpan_ = std::chrono::milliseconds(2500);  // from order to new weights, by experience
-  // Starts are spread over the time that one switch takes: servers in step would all wait for
-  // their streams at the same time, and then share the loading.
+  Span expectedSwitchTime_ =
+      std::chrono::milliseconds(2500);  // moving average, from order to new weights
+  // Starts are spread over the duration of one switch. Servers that start together would all wait
+  // for their open streams at the same time and then load at the same time, slowing each other.
   Instant nextStart_{};
-  bool hasBegun_ = false;  // since all servers had the newest weights last
+  bool hasStarted_ = false;  // a server was ordered since all servers last had the newest weights
   std::uint64_t noteSequence_ = 0;
 };
 
