--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -1,7 +1,7 @@
 #pragma once
-// The platform's list of servers, and how old its reading is. Calls to the platform are few, so one
-// daemon reads for all: the others leave a question with it, which it answers once it knows a newer
-// reading. Whoever comes next in the daemons' order steps in for an overdue reading.
+// The platform's list of servers and its age. The platform limits the rate of calls, so one daemon
+// reads the list for all. The others send it requests, which it answers once it has a newer list
+// (long polling). If a new list is overdue, the next daemons in a fixed order read it instead.
 #include <map>
 #include <optional>
 #include <vector>
@@ -11,77 +11,85 @@
 
 namespace quayrill {
 
+// Settings of the list.
 struct ListSettings {
   Address self;
-  Span every = std::chrono::milliseconds(400);  // a reading this old is to be replaced
-  double callsPerS = 50;                        // of all daemons together
+  Span interval = std::chrono::milliseconds(400);  // the age at which the list is read again
+  double callsPerS = 50;                           // limit on calls over all daemons
 };
 
-// The daemons in the order in which they read, this one among them, and the most that were ever
-// known to live at once: cut off from the others, each still keeps to its share of the rate.
+// The daemons, including this one, in the order in which they read, and the largest number of
+// daemons ever known to be live at once. The latter determines this daemon's share of the call
+// rate, so that all of them together keep to the limit even when they are partitioned.
 struct ListPeers {
   std::vector<Address> order;
   std::size_t peakPeerCount = 1;
 };
 
+// The newest list known to one daemon, and the requests that it sent and received.
 class ServerList {
  public:
   explicit ServerList(ListSettings settings = {}) : settings_(std::move(settings)) {}
 
-  void setLimits(Span every, double callsPerS) {
-    settings_.every = every;
+  void setLimits(Span interval, double callsPerS) {
+    settings_.interval = interval;
     settings_.callsPerS = callsPerS;
   }
 
-  // True: the platform is to be read now. It is until `onRead` or `onReadFailed` that no other is
-  // begun.
+  // Returns true if the caller must read the platform's list now. No other read starts until
+  // `onRead` or `onReadFailed` is called.
   bool onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends);
-  // A reading of the platform's own list, begun at `askedAt`, which took so many calls.
+  // The platform's list was read, by a read that began at `askedAt` and took `calls` calls.
   void onRead(std::vector<ListRow> rows, Instant askedAt, std::size_t calls, Instant now,
               std::vector<Envelope>* sends);
+  // A read failed. `overRate`: the platform reported that the call rate is exceeded.
   void onReadFailed(std::size_t calls, bool overRate, Instant now);
-  // Answered at once where this daemon knows a newer reading, else kept until it does.
+  // Answers the request at once if this daemon has a newer list, otherwise once it does.
   void onAsk(const Address& from, const ListAsk& ask, Instant now, std::vector<Envelope>* sends);
-  // When the answer was given, at the earliest; nullopt: it answers nothing that was asked.
+  // Returns the earliest time at which the answer can have been sent; nullopt if it matches no
+  // pending request.
   std::optional<Instant> onAnswer(const ListAnswer& answer, Instant now,
                                   std::vector<Envelope>* sends);
 
   const std::vector<ListRow>& rows() const { return rows_; }
   std::uint64_t digest() const { return digest_; }
-  // The start of the reading, wherever it was made; only ever too old, never too young.
+  // When the read of the list began, on whichever daemon. The estimate errs only towards too early.
   std::optional<Instant> readAt() const { return readAt_; }
 
  private:
-  struct KeptAsk {
+  // A request of another daemon that waits for a newer list.
+  struct PendingRequest {
     ListAsk ask;
-    Instant cameAt;
+    Instant receivedAt;
   };
-  struct SentAsk {
+  // A request of this daemon that wasn't answered yet.
+  struct SentRequest {
     Address to;
     Instant at;
   };
-  // What must be overdue before this daemon reads.
-  Span patience(const ListPeers& peers) const;
+  // How long a new list must be overdue before this daemon reads it.
+  Span readDelay(const ListPeers& peers) const;
   Span overdue(Instant now) const;
-  bool isNewer(const ListAsk& ask, Span sinceCame, Instant now) const;
-  Envelope answer(const Address& to, const KeptAsk& kept, Instant now) const;
+  bool isNewer(const ListAsk& ask, Span sinceReceived, Instant now) const;
+  Envelope makeAnswer(const Address& to, const PendingRequest& pending, Instant now) const;
   bool replace(std::vector<ListRow> rows, std::uint64_t digest, Instant readAt);
-  void answerKept(Instant now, std::vector<Envelope>* sends);
-  Envelope ask(const Address& to, Instant now);
+  void answerPending(Instant now, std::vector<Envelope>* sends);
+  Envelope makeRequest(const Address& to, Instant now);
 
   ListSettings settings_;
-  std::vector<ListRow> rows_;  // sorted, so that one content has one digest
+  std::vector<ListRow> rows_;  // sorted, so that equal content has the same digest
   std::uint64_t digest_ = 0;
-  std::optional<Instant> readAt_;   // never falls
-  std::optional<Instant> firstAt_;  // the first tick; stands for a reading where there is none
+  std::optional<Instant> readAt_;       // never decreases
+  std::optional<Instant> firstTickAt_;  // the first tick; used as long as there is no list
   std::uint64_t sequence_ = 0;
-  std::map<std::uint64_t, SentAsk> asked_;  // the newest few
-  std::map<Address, KeptAsk> kept_;         // one for each asker, at most kKept
-  Instant nextAsk_{};                       // further ones, while the reading is overdue
+  std::map<std::uint64_t, SentRequest> sentRequests_;  // the newest kMaxSentRequests
+  std::map<Address, PendingRequest>
+      pendingRequests_;         // one per daemon, kMaxPendingRequests at most
+  Instant nextExtraRequest_{};  // next additional request while a new list is overdue
   bool reading_ = false;
   Instant nextRead_{};
-  std::size_t callsEach_ = 1;  // that the last reading took
-  Span backOff_{};             // 0: the platform did not say that the rate is passed
+  std::size_t callsPerRead_ = 1;  // calls that the last read took
+  Span backoff_{};                // 0: the platform didn't report that the rate is exceeded
 };
 
 }  // namespace quayrill
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -1,6 +1,6 @@
 #pragma once
-// What those who order weights have learned of servers and told at once, laid over a list that
-// shows it later.
+// Notes about servers from the daemons that order weights. They are sent at once and complement the
+// server list, which shows the same changes later.
 #include <map>
 #include <optional>
 #include <vector>
@@ -11,25 +11,29 @@
 
 namespace quayrill {
 
+// A server's weights as far as they are known from the list and the notes.
 struct ServerWeightsState {
   WeightsVersion weights;
-  bool switching = false;  // it takes nothing until its weights are there
+  bool switching = false;  // the server takes no requests until its new weights are loaded
 };
 
+// The newest note about each server.
 class ServerNotes {
  public:
   void onNote(const ServerNote& note, Instant now);
-  // `shown` is what the server's own list row or report says, which may be older than a note.
+  // Combines `shown`, the version in the server's list row or report, with the newest note about
+  // the server, which may be more recent.
   ServerWeightsState overlay(const ServerName& server, const ServerIdentity& identity,
                              const WeightsVersion& shown, Instant now) const;
-  // Forgets servers that are gone; notes of a life that the list does not show are kept a while.
+  // Forgets servers that aren't listed; their notes are kept for a while, as a server may not be
+  // listed yet.
   void forgetUnlisted(const std::vector<ListRow>& rows, Instant now);
-  // The last sign of somebody who orders this model's weights; nullopt: none yet.
+  // When the last note about a server of this model arrived; nullopt: none yet.
   std::optional<Instant> lastActivity(const ModelName& model) const;
 
  private:
-  // The newest note of a server by (fence, sequence): a holder's later one, or a later holder's.
-  // `reached` is of the same life, from the newest note that told weights.
+  // The newest note about a server by (fence, sequence): the latest one of the latest lease holder.
+  // `reached` comes from the newest note with weights about the same server process.
   struct Row {
     ServerNote note;
     Instant at;
@@ -37,7 +41,7 @@
     Instant reachedAt;
   };
   std::map<ServerName, Row> rows_;
-  std::map<ModelName, Instant> signs_;
+  std::map<ModelName, Instant> lastActivity_;
 };
 
 }  // namespace quayrill
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -10,23 +10,24 @@
   for (const auto& [model, version] : weights) rows_[model].name(version, confirmedAt);
 }
 
-void WeightsHistories::merge(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
-  for (const SupersededWeights& told : superseded) {
-    const auto row = rows_.find(told.model);
-    if (row == rows_.end() || told.agoMicros < 0) continue;
-    row->second.noteNewestAt(told.weights, toldAt - std::chrono::microseconds(told.agoMicros));
+void WeightsHistories::merge(const std::vector<SupersededWeights>& superseded, Instant reportedAt) {
+  for (const SupersededWeights& entry : superseded) {
+    const auto row = rows_.find(entry.model);
+    if (row == rows_.end() || entry.agoMicros < 0) continue;
+    row->second.noteNewestAt(entry.weights,
+                             reportedAt - std::chrono::microseconds(entry.agoMicros));
   }
 }
 
 std::vector<SupersededWeights> WeightsHistories::report(Instant now) const {
-  std::vector<SupersededWeights> told;
+  std::vector<SupersededWeights> report;
   for (const auto& [model, history] : rows_) {
     for (const auto& [version, newestAt] : history.superseded()) {
       const auto ago = std::chrono::ceil<std::chrono::microseconds>(now - newestAt);
-      told.push_back({model, version, ago.count()});
+      report.push_back({model, version, ago.count()});
     }
   }
-  return told;
+  return report;
 }
 
 void WeightsHistories::forgetBefore(Instant before) {
--- a/src/agent/core/weights_histories.h
+++ b/src/agent/core/weights_histories.h
@@ -1,6 +1,6 @@
 #pragma once
-// How long each model's superseded weights may still be used, as far as is known here. What is
-// known is shared: every word of another daemon is a fact, and only ever adds to it.
+// Tracks how long the superseded weights of each model may still be used. Daemons share what they
+// know; information from other daemons only adds to the local state and never contradicts it.
 #include <map>
 #include <optional>
 #include <vector>
@@ -11,20 +11,23 @@
 
 namespace quayrill {
 
+// One WeightsHistory per model of the configuration.
 class WeightsHistories {
  public:
-  // The configuration in force names these. The one before it was known to be the newest at
-  // `confirmedAt`; nullopt: there was none, or it is not known when.
+  // The configuration in force names these weights. The previous configuration was last known to be
+  // the newest at `confirmedAt`; nullopt if there was none or the time isn't known.
   void onConfiguration(const std::map<ModelName, WeightsVersion>& weights,
                        std::optional<Instant> confirmedAt);
-  // Another daemon's word, as of `toldAt` at the earliest.
-  void merge(const std::vector<SupersededWeights>& superseded, Instant toldAt);
+  // Takes a report of another daemon that was sent at `reportedAt` at the earliest.
+  void merge(const std::vector<SupersededWeights>& superseded, Instant reportedAt);
+  // The superseded weights known here, with ages relative to `now`.
   std::vector<SupersededWeights> report(Instant now) const;
-  // Forgets what was superseded before `before`, when it may be used no more.
+  // Forgets weights that were superseded before `before`, when they may no longer be used.
   void forgetBefore(Instant before);
   // nullptr: the configuration in force names no weights of this model.
   const WeightsHistory* of(const ModelName& model) const;
-  // WeightsHistory::usableUntil. Where the configuration names no weights, any may be used.
+  // See WeightsHistory::usableUntil. Instant::max() if the configuration names no weights of the
+  // model, since any weights may be used then.
   Instant usableUntil(const ModelName& model, const WeightsVersion& weights, Span bound) const;
 
  private:
