--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -147,6 +147,7 @@
   bool isHandingOver(Instant now) const;
 
  private:
+  // What an operation on the register is for; it determines who handles the outcome.
   enum class Purpose { External, Settle, Lease, Replicas, Sweep };
   void onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
@@ -161,6 +162,7 @@
   void foundWhenGranted(Instant now, AgentEffects* effects);
   // False if `replicas` was founded by another founding than the one that this machine granted.
   bool mayAdopt(const ReplicaSet& replicas, Instant now) const;
+  // Asks other daemons for a newer replica set if this daemon can't confirm its own.
   void queryNewerReplicaSet(Instant now, AgentEffects* effects);
   void tickFounding(Instant now, AgentEffects* effects);
   void tickConfirm(Instant now, AgentEffects* effects);
@@ -192,6 +194,7 @@
   // Whether replacing the surplus member by `joining` moves a replica to a region or zone that has
   // at least two members fewer.
   bool improvesSpread(const ReplicaMember& joining, Instant now) const;
+  // The spare store that should join next, if any.
   std::optional<ReplicaMember> joinCandidate(Instant now) const;
   void tickSweep(Instant now, AgentEffects* effects);
   void begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects);
@@ -202,6 +205,7 @@
   void enqueueReplicaWork(ReplicaWork work, AgentEffects* effects);
   bool isReplicaBacklogFull() const;
   void sendAll(std::vector<std::pair<ReplicaMember, Message>> sends, AgentEffects* effects);
+  // The set that should replace the current one, if any.
   std::optional<ReplicaSet> nextReplicaSet(Instant now) const;
   // The candidates for leader roles. Empty until this daemon has had time to discover the others: a
   // lease that it acquires by mistake would have to expire before the actual owner could act.
@@ -266,9 +270,10 @@
   };
   std::uint64_t ownFleet_ = 0;  // the fleet that this process would found
   Grant grant_;
-  std::map<std::uint64_t, FoundingRound>
-      foundingRounds_;                         // by nonce; at most kSeedAnswerValidity old
-  std::map<Address, SeedAnswer> seedAnswers_;  // each seed's last answer that it knows no fleet
+  // By nonce; at most kSeedAnswerValidity old.
+  std::map<std::uint64_t, FoundingRound> foundingRounds_;
+  // Each seed's last answer that it knows no fleet.
+  std::map<Address, SeedAnswer> seedAnswers_;
   EpochSweep epochSweep_;
   // Stores that answered recently; silentSince_ has the members of the replica set that did not.
   struct Contact {
--- a/src/agent/core/freshness.h
+++ b/src/agent/core/freshness.h
@@ -80,8 +80,7 @@
   ChosenValue newestBody_;
   // Replicas that hold a configuration that a majority accepted and whose body is missing here.
   std::vector<StoreId> missingBodyHolders_;
-  Ballot missingBodyBallot_,
-      bodyRequestedFor_;  // the ballot at which they hold it; that of the last request
+  Ballot missingBodyBallot_, bodyRequestedFor_;  // of that value; of the last requested value
   std::uint64_t bodyRequestCount_ = 0;
   Instant nextBodyRequest_{};
   std::vector<RegisterKey> knownKeys_;
--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -15,8 +15,8 @@
 constexpr Span kMaxFirstReportDelay = 1200ms;
 constexpr Span kMaxReportAge = 600ms;  // the age that a report can have when it arrives
 constexpr Span kOrderRetryDelay = 500ms;
-constexpr Span kMaxUnknownVersionDelay =
-    4s;  // limit of the backoff while a server doesn't know the version
+// Limit of the backoff while a server doesn't know the ordered version.
+constexpr Span kMaxUnknownVersionDelay = 4s;
 constexpr Span kNoteInterval = 1s;
 // A server that hasn't reported its new weights for this long no longer counts as switching.
 constexpr Span kStuckAfter = 10s;
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -128,8 +128,10 @@
   Span timeLeft(const RolloutServer& server, const RolloutView& view, Instant now) const;
   // Whether the server counts towards the number that may switch at once.
   static bool occupiesSwitchSlot(const ServerState& state);
+  // Sorted so that the server with the least time left comes first.
   std::vector<BehindServer> behindServers(const RolloutView& view, Instant now) const;
   std::size_t requiredConcurrency(const std::vector<BehindServer>& behind) const;
+  // Whether one more server may start to switch.
   bool maySwitch(const BehindServer& next, std::size_t switching, std::size_t concurrency,
                  std::size_t usable, bool mayStart) const;
   void onFence(const RolloutView& view, Instant now);
@@ -151,8 +153,8 @@
   std::optional<Fence> lastFence_;
   Fence highestRejectedFence_;
   Instant mayOrderAt_{};
-  Span expectedSwitchTime_ =
-      std::chrono::milliseconds(2500);  // moving average, from order to new weights
+  // Moving average of the time from an order to the new weights.
+  Span expectedSwitchTime_ = std::chrono::milliseconds(2500);
   // Starts are spread over the duration of one switch. Servers that start together would all wait
   // for their open streams at the same time and then load at the same time, slowing each other.
   Instant nextStart_{};
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -47,7 +47,7 @@
   std::erase_if(sentRequests_,
                 [&](const auto& row) { return now - row.second.at > settings_.interval + 1s; });
   // One request is always pending at the first daemon in the order, or at the second if this daemon
-  // is the first. While a new list is overdue, the others are request at the times when they would
+  // is the first. While a new list is overdue, the others are asked at the times when they would
   // start to read.
   const auto reader = std::find_if(peers.order.begin(), peers.order.end(),
                                    [&](const Address& peer) { return peer != settings_.self; });
