--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -1,4 +1,4 @@
-// The agent's parts against scripted the peers, on a fake clock.
+// The parts of the agent core with scripted peers and a simulated clock.
 #include <catch2/catch.hpp>
 
 #include <set>
@@ -18,14 +18,14 @@
 Address member(int number) { return Address{"10.0.0." + std::to_string(number) + ":7"}; }
 
 template <class Body>
-std::vector<Envelope> only(const std::vector<Envelope>& sends) {
+std::vector<Envelope> messagesOf(const std::vector<Envelope>& sends) {
   std::vector<Envelope> found;
   for (const Envelope& envelope : sends) {
     if (std::holds_alternative<Body>(envelope.body)) found.push_back(envelope);
   }
   return found;
 }
-NewsItem newsOf(const Address& source, std::uint64_t incarnation, std::uint64_t counter,
+NewsItem itemOf(const Address& source, std::uint64_t incarnation, std::uint64_t counter,
                 std::uint64_t nonce = 7) {
   NewsItem item;
   item.source = source;
@@ -40,13 +40,13 @@
   Instant now{1s};
   std::vector<Envelope> sends;
   membership.onTick(now, &sends);
-  const auto probes = only<Probe>(sends);
+  const auto probes = messagesOf<Probe>(sends);
   REQUIRE(probes.size() == 1);
   const Address subject = probes[0].to;
   sends.clear();
   membership.onTick(now + 350ms, &sends);
   std::size_t indirect = 0;
-  for (const Envelope& probe : only<Probe>(sends))
+  for (const Envelope& probe : messagesOf<Probe>(sends))
     indirect += probe.to != subject && std::get<Probe>(probe.body).subject == subject ? 1 : 0;
   CHECK(indirect >= 1);
   membership.onTick(now + 950ms, &sends);
@@ -59,7 +59,7 @@
   Instant now{1s};
   std::vector<Envelope> sends;
   membership.onTick(now, &sends);
-  const auto probe = only<Probe>(sends).at(0);
+  const auto probe = messagesOf<Probe>(sends).at(0);
   const auto sequence = std::get<Probe>(probe.body).sequence;
   membership.onMessage({member(9), kSelf, ProbeAnswer{sequence, probe.to}}, now + 500ms, &sends);
   membership.onTick(now + 950ms, &sends);
@@ -71,13 +71,13 @@
   Membership membership(kSelf, {member(2)}, 1);
   std::vector<Envelope> sends;
   membership.onMessage({member(5), kSelf, Probe{77, member(6)}}, Instant{1s}, &sends);
-  const auto asked = only<Probe>(sends);
+  const auto asked = messagesOf<Probe>(sends);
   REQUIRE(asked.size() == 1);
   CHECK(asked[0].to == member(6));
   sends.clear();
   const auto sequence = std::get<Probe>(asked[0].body).sequence;
   membership.onMessage({member(6), kSelf, ProbeAnswer{sequence, member(6)}}, Instant{1s}, &sends);
-  const auto answered = only<ProbeAnswer>(sends);
+  const auto answered = messagesOf<ProbeAnswer>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(5));
   CHECK(std::get<ProbeAnswer>(answered[0].body).sequence == 77);
@@ -98,34 +98,35 @@
 }
 
 TEST_CASE("news: a source is live while its version rises, and an echo revives nobody") {
-  Gossip news(kSelf, 1);
+  Gossip gossip(kSelf, 1);
   Instant now{1s};
-  news.onAnswer({{newsOf(member(2), 1, 5)}}, now);
-  CHECK(news.isLive(member(2), now + 5s));
-  news.onAnswer({{newsOf(member(2), 1, 5)}}, now + 5s);  // another member's echo
-  CHECK_FALSE(news.isLive(member(2), now + 7s));
-  news.onAnswer({{newsOf(member(2), 1, 4)}}, now + 7s);
-  CHECK_FALSE(news.isLive(member(2), now + 7s));
-  news.onAnswer({{newsOf(member(2), 1, 6)}}, now + 8s);
-  CHECK(news.isLive(member(2), now + 8s));
+  gossip.onAnswer({{itemOf(member(2), 1, 5)}}, now);
+  CHECK(gossip.isLive(member(2), now + 5s));
+  gossip.onAnswer({{itemOf(member(2), 1, 5)}},
+                  now + 5s);  // the same item, by way of another member
+  CHECK_FALSE(gossip.isLive(member(2), now + 7s));
+  gossip.onAnswer({{itemOf(member(2), 1, 4)}}, now + 7s);
+  CHECK_FALSE(gossip.isLive(member(2), now + 7s));
+  gossip.onAnswer({{itemOf(member(2), 1, 6)}}, now + 8s);
+  CHECK(gossip.isLive(member(2), now + 8s));
 }
 
 TEST_CASE("news: only what is lacked is pulled") {
-  Gossip news(kSelf, 1);
-  news.onAnswer({{newsOf(member(2), 1, 5), newsOf(member(3), 2, 1)}}, Instant{1s});
+  Gossip gossip(kSelf, 1);
+  gossip.onAnswer({{itemOf(member(2), 1, 5), itemOf(member(3), 2, 1)}}, Instant{1s});
   NewsAsk ask;
   ask.known = {{member(2), {Incarnation{1}, 5}}, {member(3), {Incarnation{1}, 99}}};
-  const auto answer = news.answerRequest(ask);
+  const auto answer = gossip.answerRequest(ask);
   std::set<Address> sources;
   for (const NewsItem& item : answer.items) sources.insert(item.source);
   CHECK(sources == std::set<Address>{kSelf, member(3)});
 }
 
 TEST_CASE("news: a restarted daemon outlives the version of its former life") {
-  Gossip news(kSelf, 2);
-  news.advanceHeartbeat(Instant{1s});
-  news.onAnswer({{newsOf(kSelf, 3, 400, /*nonce of the former life*/ 1)}}, Instant{1s});
-  const auto own = news.item(kSelf);
+  Gossip gossip(kSelf, 2);
+  gossip.advanceHeartbeat(Instant{1s});
+  gossip.onAnswer({{itemOf(kSelf, 3, 400, /*nonce of the earlier run*/ 1)}}, Instant{1s});
+  const auto own = gossip.item(kSelf);
   CHECK(own->version > NewsVersion{Incarnation{3}, 400});
   CHECK(own->nonce == 2);
 }
@@ -149,7 +150,7 @@
 }
 
 namespace {
-// The register's side of a lease, played by the test.
+// Simulates the register's side of a lease.
 struct LeaseScript {
   RegisterKey role{"hold/x"};
   RegisterValue value;
@@ -160,8 +161,8 @@
     value = {value.version + 1, {}, {}, asked.body};
     return {{}, role, ChangeResult::Chosen, value, {}, {}};
   }
-  void step(Leases& holds, Instant now) {
-    if (const auto asked = holds.tryAcquire(role, now)) holds.onDone(answer(*asked), now);
+  void step(Leases& leases, Instant now) {
+    if (const auto asked = leases.tryAcquire(role, now)) leases.onDone(answer(*asked), now);
   }
 };
 }  // namespace
@@ -170,7 +171,7 @@
   LeaseScript script;
   Leases first(member(1), 11), second(member(2), 22);
   Instant now{100s};
-  const auto step = [&](Leases& holds) { script.step(holds, now); };
+  const auto step = [&](Leases& leases) { script.step(leases, now); };
   step(first);
   step(first);
   REQUIRE(first.heldFence(script.role, 0s, now) == Fence{1});
@@ -187,7 +188,7 @@
   CHECK(second.heldFence(script.role, 0s, now) == Fence{2});
   CHECK(now - taken >= 4s);
   CHECK_FALSE(first.heldFence(script.role, 0s, now));
-  step(first);  // its renewal meets the new holder
+  step(first);  // its renewal conflicts with the new holder's lease
   CHECK_FALSE(first.heldFence(script.role, 0s, now));
 }
 
@@ -197,14 +198,14 @@
   LeaseScript script;
   Leases first(member(1), 11), second(member(2), 22);
   Instant now{100s};
-  const auto step = [&](Leases& holds) { script.step(holds, now); };
+  const auto step = [&](Leases& leases) { script.step(leases, now); };
   step(first);
   step(first);
   CHECK(first.heldFence(script.role, 3s, now));
   CHECK_FALSE(first.heldFence(script.role, 4s, now));
   const auto released = first.release(script.role, now);
   REQUIRE(released);
-  CHECK_FALSE(first.heldFence(script.role, 0s, now));  // from the moment it asks to let go
+  CHECK_FALSE(first.heldFence(script.role, 0s, now));  // from the start of the release
   first.onDone(script.answer(*released), now);
   step(second);
   step(second);
@@ -213,7 +214,7 @@
   const auto renewal = second.tryAcquire(script.role, now);
   REQUIRE(renewal);
   second.onDone({{}, script.role, ChangeResult::Unknown, {}, {}, {}}, now);
-  CHECK(second.heldFence(script.role, 0s, now));  // the old term still runs
+  CHECK(second.heldFence(script.role, 0s, now));  // the old term has not expired
   now += 2s;
   CHECK_FALSE(second.heldFence(script.role, 0s, now));
 }
@@ -225,8 +226,9 @@
   Instant now{100s};
   script.step(first, now);
   script.step(first, now);
-  CHECK(first.heldFence(script.role, 0s, now) == Fence{1});  // nobody held it before
-  // Let go: the rival has the fence at once, and the right a lease after it saw the release.
+  CHECK(first.heldFence(script.role, 0s, now) == Fence{1});  // there was no earlier holder
+  // After a release the rival gets the lease at once, but it is valid only `lease` after the rival
+  // saw the release.
   const auto released = first.release(script.role, now);
   REQUIRE(released);
   first.onDone(script.answer(*released), now);
@@ -238,15 +240,15 @@
     CHECK_FALSE(second.heldFence(script.role, 0s, now));
   }
   CHECK(second.heldFence(script.role, 0s, now) == Fence{2});
-  // Renewed, or let go and taken again by the same life: no second wait.
+  // A process that releases the lease and acquires it again doesn't have to wait.
   const auto again = second.release(script.role, now);
   REQUIRE(again);
   second.onDone(script.answer(*again), now);
   CHECK_FALSE(second.heldFence(script.role, 0s, now));
   script.step(second, now);
   CHECK(second.heldFence(script.role, 0s, now) == Fence{3});
-  // Run out unrenewed, as behind a cut or in a freeze: it stops acting by its own clock, and the
-  // rival acts a lease later at the earliest.
+  // The lease expires without a renewal, as in a partition or while the process is frozen. The
+  // holder stops acting by its own clock, and the rival acts at least `lease` later.
   Instant lastAct{};
   const Instant frozenAt = now;
   for (; now < frozenAt + 30s && !first.heldFence(script.role, 0s, now); now += 50ms) {
@@ -255,8 +257,8 @@
   }
   CHECK(first.heldFence(script.role, 0s, now) == Fence{4});
   CHECK(now - lastAct >= lease);
-  CHECK_FALSE(second.heldFence(script.role, 0s, now));  // woken
-  // A later life of the same machine is another holder.
+  CHECK_FALSE(second.heldFence(script.role, 0s, now));  // the process resumed
+  // A restarted process on the same machine counts as another holder.
   Leases later(member(1), 33, lease);
   const Instant restartedAt = now;
   for (; now < restartedAt + 30s && !later.heldFence(script.role, 0s, now); now += 50ms)
@@ -285,39 +287,39 @@
       fresh{{ServerName{"a"}, "z", true}};
   std::vector<Envelope> sends;
   own.onRead(old, now, 1, now, &sends);
-  // The other's clock has nothing in common with this one.
-  const Instant elsewhere{5s};
-  const auto questions = [&](Span later) {
+  // The clocks of the two daemons are unrelated.
+  const Instant otherNow{5s};
+  const auto requestsAfter = [&](Span later) {
     std::vector<Envelope> made;
     CHECK_FALSE(own.onTick(peers, now + later, &made));
-    return only<ListAsk>(made);
+    return messagesOf<ListAsk>(made);
   };
-  const auto asked = questions(1s);
+  const auto asked = requestsAfter(1s);
   REQUIRE(asked.size() == 1);
   CHECK(asked[0].to == member(2));
-  CHECK(questions(1100ms).empty());  // one question at a time
+  CHECK(requestsAfter(1100ms).empty());  // one request at a time
   const auto& ask = std::get<ListAsk>(asked[0].body);
-  other.onAsk(member(1), ask, elsewhere, &sends);
-  CHECK(only<ListAnswer>(sends).empty());  // it knows no reading yet
-  other.onRead(fresh, elsewhere + 100ms, 1, elsewhere + 300ms, &sends);
-  const auto answered = only<ListAnswer>(sends);
+  other.onAsk(member(1), ask, otherNow, &sends);
+  CHECK(messagesOf<ListAnswer>(sends).empty());  // it has no list yet
+  other.onRead(fresh, otherNow + 100ms, 1, otherNow + 300ms, &sends);
+  const auto answered = messagesOf<ListAnswer>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(1));
   const auto& answer = std::get<ListAnswer>(answered[0].body);
-  ListAnswer unasked = answer;
-  ++unasked.sequence;
-  CHECK_FALSE(own.onAnswer(unasked, now + 2s, &sends));  // an answer to nothing that was asked
+  ListAnswer unsolicited = answer;
+  ++unsolicited.sequence;
+  CHECK_FALSE(own.onAnswer(unsolicited, now + 2s, &sends));  // matches no request
   CHECK(own.rows() == old);
-  // However long it was on the way, its age counts from before it was asked for: the question was
-  // kept for 300 ms, and the reading begun 200 ms before its end.
+  // However long the answer took, the age is computed from when the request was sent: the request
+  // was held for 300 ms, and the read began 200 ms before that time ended.
   CHECK(own.onAnswer(answer, now + 2s, &sends) == now + 1s + 300ms);
   CHECK(own.rows() == fresh);
   CHECK(own.readAt() == now + 1100ms);
-  CHECK_FALSE(own.onAnswer(answer, now + 2s, &sends));  // each question is answered once
-  const auto later = questions(2s);
+  CHECK_FALSE(own.onAnswer(answer, now + 2s, &sends));  // each request is answered once
+  const auto later = requestsAfter(2s);
   REQUIRE(later.size() >= 1);
   ListAnswer aged{std::get<ListAsk>(later[0].body).sequence, 0, 2900000, 77, old, {}};
-  own.onAnswer(aged, now + 2s, &sends);  // read at 99.1 s: older than what is here
+  own.onAnswer(aged, now + 2s, &sends);  // read at 99.1 s, before the known list
   CHECK(own.rows() == fresh);
   CHECK(own.readAt() == now + 1100ms);
 }
@@ -332,5 +334,5 @@
     ranks.insert(rank);
     CHECK((rank == 0) == (rendezvousOwner("orders/s", live) == self));
   }
-  CHECK(ranks.size() == 9);  // one order, the same at every daemon
+  CHECK(ranks.size() == 9);  // the same order at every daemon
 }
--- a/tests/epoch_sweep_tests.cpp
+++ b/tests/epoch_sweep_tests.cpp
@@ -1,4 +1,4 @@
-// The steps of the replica set: what is asked of the register, and when.
+// The steps of a reconfiguration: which register operations are started, and when.
 #include <catch2/catch.hpp>
 
 #include "register/epoch_sweep.h"
@@ -19,46 +19,47 @@
   EpochSweep sweep;
   ReplicaSet replicas = setOf(2, {1, 2, 3, 4});
   const ReplicaSet following = setOf(3, {1, 2, 3});
-  const auto ended = [](const RegisterKey& key, std::uint64_t epoch, ChangeResult result) {
-    ChangeOutcome done;
-    done.key = key;
-    done.ballot.epoch = Epoch{epoch};
-    done.result = result;
-    return done;
+  const auto outcomeOf = [](const RegisterKey& key, std::uint64_t epoch, ChangeResult result) {
+    ChangeOutcome outcome;
+    outcome.key = key;
+    outcome.ballot.epoch = Epoch{epoch};
+    outcome.result = result;
+    return outcome;
   };
-  // Without the list of keys one read brings the replicas into the epoch.
-  auto asks = sweep.next(replicas, 7, std::nullopt, following, now);
-  REQUIRE(asks.size() == 1);
-  CHECK(asks[0].isRead);
-  sweep.onReadDone(ended(kReplicaSetKey, 2, ChangeResult::Chosen));
+  // As long as the keys aren't known, a read moves the replicas into the epoch.
+  auto requests = sweep.next(replicas, 7, std::nullopt, following, now);
+  REQUIRE(requests.size() == 1);
+  CHECK(requests[0].isRead);
+  sweep.onReadDone(outcomeOf(kReplicaSetKey, 2, ChangeResult::Chosen));
   CHECK(
       sweep.next(replicas, 7, std::vector<RegisterKey>{kConfigurationKey}, following, now).empty());
   CHECK(sweep.next(replicas, 7, std::nullopt, following, now).size() == 2);
-  sweep.onReadDone(ended(kReplicaSetKey, 2, ChangeResult::Chosen));
-  sweep.onReadDone(ended(kConfigurationKey, 1, ChangeResult::Chosen));  // under the older epoch
+  sweep.onReadDone(outcomeOf(kReplicaSetKey, 2, ChangeResult::Chosen));
   sweep.onReadDone(
-      ended(kConfigurationKey, 2, ChangeResult::Unknown));  // perhaps on a minority only
-  asks = sweep.next(replicas, 7, std::nullopt, following, now);
-  REQUIRE(asks.size() == 1);
-  CHECK(asks[0].isRead);
-  CHECK(asks[0].key == kConfigurationKey);
-  sweep.onReadDone(ended(kConfigurationKey, 2, ChangeResult::Chosen));
-  asks = sweep.next(replicas, 7, std::nullopt, following, now);
-  REQUIRE(asks.size() == 1);
-  CHECK_FALSE(asks[0].isRead);
-  CHECK(asks[0].expectedVersion == 7);
-  ReplicaSet asked;
-  REQUIRE(decodeValue(asks[0].body, &asked));
-  CHECK(asked.epoch == replicas.epoch);
-  CHECK(asked.settled);
-  // The set that follows is asked for once this one is settled, and a new epoch begins anew.
+      outcomeOf(kConfigurationKey, 1, ChangeResult::Chosen));  // chosen in the previous epoch
+  sweep.onReadDone(outcomeOf(kConfigurationKey, 2,
+                             ChangeResult::Unknown));  // possibly accepted by a minority only
+  requests = sweep.next(replicas, 7, std::nullopt, following, now);
+  REQUIRE(requests.size() == 1);
+  CHECK(requests[0].isRead);
+  CHECK(requests[0].key == kConfigurationKey);
+  sweep.onReadDone(outcomeOf(kConfigurationKey, 2, ChangeResult::Chosen));
+  requests = sweep.next(replicas, 7, std::nullopt, following, now);
+  REQUIRE(requests.size() == 1);
+  CHECK_FALSE(requests[0].isRead);
+  CHECK(requests[0].expectedVersion == 7);
+  ReplicaSet proposed;
+  REQUIRE(decodeValue(requests[0].body, &proposed));
+  CHECK(proposed.epoch == replicas.epoch);
+  CHECK(proposed.settled);
+  // The following set is proposed once this one is settled, and its epoch starts a new sweep.
   replicas.settled = true;
-  asks = sweep.next(replicas, 8, std::nullopt, following, now);
-  REQUIRE(asks.size() == 1);
-  REQUIRE(decodeValue(asks[0].body, &asked));
-  CHECK(asked.epoch == Epoch{3});
+  requests = sweep.next(replicas, 8, std::nullopt, following, now);
+  REQUIRE(requests.size() == 1);
+  REQUIRE(decodeValue(requests[0].body, &proposed));
+  CHECK(proposed.epoch == Epoch{3});
   CHECK(sweep.next(replicas, 8, std::nullopt, std::nullopt, now).empty());
-  asks = sweep.next(following, 9, std::nullopt, std::nullopt, now);
-  REQUIRE(asks.size() == 1);
-  CHECK(asks[0].isRead);
+  requests = sweep.next(following, 9, std::nullopt, std::nullopt, now);
+  REQUIRE(requests.size() == 1);
+  CHECK(requests[0].isRead);
 }
--- a/tests/freshness_tests.cpp
+++ b/tests/freshness_tests.cpp
@@ -1,4 +1,5 @@
-// How a configuration gets from its replicas to a daemon: its body once, whatever its size.
+// How a daemon learns the configuration from the replicas, and that a large body is transferred
+// once.
 #include <catch2/catch.hpp>
 
 #include "agent/core/freshness.h"
@@ -9,7 +10,7 @@
 namespace {
 constexpr std::size_t kLarge = 200000;
 
-// Five replicas that accepted one configuration, and a daemon that asks them.
+// Five replicas and a daemon that queries them.
 struct Register {
   std::vector<RegisterReplica> replicas;
   ReplicaSet set;
@@ -88,7 +89,7 @@
 TEST_CASE("freshness: a body that does not come is asked of the others") {
   Register fleet;
   fleet.accept(fleet.valueOf(1, kLarge), 0, 5);
-  // Whoever is asked for the body says nothing for the first second.
+  // The first replica that is asked for the body never answers that request.
   std::set<StoreId> asked;
   const Instant began = fleet.now;
   while (fleet.now - began < 4s && fleet.freshness.configuration().value.version == 0) {
--- a/tests/plane_exchange_tests.cpp
+++ b/tests/plane_exchange_tests.cpp
@@ -1,5 +1,5 @@
-// What data planes observe, on its way through the fleet: a scripted clock, and a network that
-// loses what a test wants lost.
+// The exchange of observations between data planes, with a simulated clock and a network that drops
+// the messages of failed daemons.
 #include <catch2/catch.hpp>
 #include <functional>
 
@@ -27,12 +27,12 @@
   return batch;
 }
 
-// Two zones of three edges each; the first zone has a daemon without a data plane besides.
+// Two zones of three edge daemons each. The first zone also has a daemon without a data plane.
 struct Fleet {
   std::vector<NewsItem> live;
   std::map<Address, PlaneExchange> exchanges;
-  std::set<Address> dead;  // they neither send nor get anything
-  std::map<Address, std::vector<PlaneDigest>> told;
+  std::set<Address> dead;  // these neither send nor receive messages
+  std::map<Address, std::vector<PlaneDigest>> received;
   Instant now{100s};
   std::size_t messages = 0;
 
@@ -46,7 +46,7 @@
   }
   PlaneExchange& at(const std::string& address) { return exchanges.at(Address{address}); }
 
-  // One round at each daemon; messages arrive before the next.
+  // One round at each daemon; all messages arrive before the next round.
   void round() {
     std::vector<Envelope> sends;
     for (auto& [address, exchange] : exchanges) {
@@ -62,10 +62,10 @@
     }
     now += 400ms;
     for (auto& [address, exchange] : exchanges) {
-      for (PlaneDigest& digest : exchange.takeDigests()) told[address].push_back(digest);
+      for (PlaneDigest& digest : exchange.takeDigests()) received[address].push_back(digest);
     }
   }
-  // Each live edge has `requests` at one server, and reports it in each round.
+  // Each live edge daemon has `requests` at one server and reports them in each round.
   void reportedRounds(int rounds, std::uint32_t requests) {
     for (int i = 0; i < rounds; ++i) {
       for (const NewsItem& item : live) {
@@ -75,15 +75,15 @@
       round();
     }
   }
-  std::uint32_t lastTold(const std::string& address) {
-    const auto& rows = told[Address{address}];
+  std::uint32_t lastReceived(const std::string& address) {
+    const auto& rows = received[Address{address}];
     if (rows.empty() || rows.back().outstanding.empty()) return 0;
     return rows.back().outstanding.front().requests;
   }
-  // How often a batch of that source was told to the daemon.
-  std::size_t batchesTold(const std::string& address, const std::string& source) {
+  // How many batches of the source the daemon received.
+  std::size_t batchesReceived(const std::string& address, const std::string& source) {
     std::size_t count = 0;
-    for (const PlaneDigest& digest : told[Address{address}]) {
+    for (const PlaneDigest& digest : received[Address{address}]) {
       for (const PartEventBatch& batch : digest.batches) count += batch.source.value == source;
     }
     return count;
@@ -105,13 +105,13 @@
   Fleet fleet;
   fleet.reportedRounds(6, 2);
   for (const char* edge : {"n1", "n2", "n3", "s1", "s2", "s3"}) {
-    CHECK(fleet.lastTold(edge) == 12);
-    const PlaneDigest& last = fleet.told[Address{edge}].back();
+    CHECK(fleet.lastReceived(edge) == 12);
+    const PlaneDigest& last = fleet.received[Address{edge}].back();
     CHECK(last.outstanding.front().unreadTokens == 600);
     CHECK(last.agoMicros >= 0);
     CHECK(last.agoMicros <= 1200000);
   }
-  CHECK(fleet.told[Address{"core"}].empty());
+  CHECK(fleet.received[Address{"core"}].empty());
 }
 
 TEST_CASE("exchange: a daemon sends and gets one message a round, whatever the fleet's size") {
@@ -119,8 +119,8 @@
   fleet.reportedRounds(4, 1);
   fleet.messages = 0;
   fleet.reportedRounds(1, 1);
-  // Reports: three in the north, two in the south; between the two aggregators one each way;
-  // digests: three in the north, two in the south.
+  // Reports: three in the north and two in the south. Between the aggregators: one in each
+  // direction. Digests: three in the north and two in the south.
   CHECK(fleet.messages == 12);
 }
 
@@ -131,8 +131,8 @@
   fleet.at("n1").addOwnReport({{}, {batchOf("b", 0, 3)}});
   fleet.reportedRounds(6, 1);
   for (const char* edge : {"n1", "n2", "n3", "s1", "s2", "s3"}) {
-    CHECK(fleet.batchesTold(edge, "a") == 1);
-    CHECK(fleet.batchesTold(edge, "b") == 1);
+    CHECK(fleet.batchesReceived(edge, "a") == 1);
+    CHECK(fleet.batchesReceived(edge, "b") == 1);
   }
 }
 
@@ -140,13 +140,13 @@
   Fleet fleet;
   fleet.reportedRounds(4, 1);
   fleet.dead.insert(Address{"core"});
-  const std::size_t before = fleet.told[Address{"n1"}].size();
+  const std::size_t before = fleet.received[Address{"n1"}].size();
   fleet.reportedRounds(6, 1);
-  CHECK(fleet.told[Address{"n1"}].size() == before);  // nothing old is told again
-  CHECK(fleet.lastTold("s1") == 3);                   // the south alone
+  CHECK(fleet.received[Address{"n1"}].size() == before);  // old sums aren't repeated
+  CHECK(fleet.lastReceived("s1") == 3);                   // the sum of the south only
   std::erase_if(fleet.live, [](const NewsItem& item) { return item.source.value == "core"; });
   fleet.reportedRounds(6, 1);
-  for (const char* edge : {"n1", "s1"}) CHECK(fleet.lastTold(edge) == 6);
+  for (const char* edge : {"n1", "s1"}) CHECK(fleet.lastReceived(edge) == 6);
 }
 
 TEST_CASE("exchange: a daemon that is gone counts for moments only") {
@@ -154,8 +154,8 @@
   fleet.reportedRounds(4, 1);
   fleet.dead.insert(Address{"n2"});
   fleet.reportedRounds(7, 1);
-  CHECK(fleet.lastTold("n1") == 5);
-  CHECK(fleet.lastTold("s1") == 5);
+  CHECK(fleet.lastReceived("n1") == 5);
+  CHECK(fleet.lastReceived("s1") == 5);
 }
 
 TEST_CASE("exchange: what is not taken stays bounded") {
--- a/tests/register_tests.cpp
+++ b/tests/register_tests.cpp
@@ -1,3 +1,4 @@
+// The proposer and the replicas of the register, with every message delivered by the test.
 #include <catch2/catch.hpp>
 
 #include "register/proposer.h"
@@ -7,13 +8,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Copies on a table: the test carries every message by hand.
-struct Bench {
+// Replicas in memory without a network: the test decides which message reaches which replica.
+struct ReplicaBench {
   std::vector<RegisterReplica> replicas;
   ReplicaSet set;
   Instant now{1s};
 
-  explicit Bench(std::size_t count) {
+  explicit ReplicaBench(std::size_t count) {
     set.epoch = Epoch{1};
     set.settled = true;
     for (std::size_t i = 1; i <= count; ++i) {
@@ -22,7 +23,8 @@
     }
     for (RegisterReplica& replica : replicas) replica.adopt(set);
   }
-  std::optional<ReplicaAnswer> at(std::size_t index, const Message& message) {
+  // Delivers one message to a replica.
+  std::optional<ReplicaAnswer> deliver(std::size_t index, const Message& message) {
     ReplicaEffects effects;
     if (const auto* prepare = std::get_if<Prepare>(&message))
       effects = replicas[index].onPrepare(*prepare);
@@ -32,16 +34,17 @@
     return std::get<ReplicaAnswer>(*effects.answer);
   }
   using Sends = std::vector<std::pair<ReplicaMember, Message>>;
-  // Delivers to the replicas in `reach` and the answers back, until nothing moves.
-  std::vector<ChangeOutcome> carry(Proposer& proposer, Sends sends,
-                                   const std::vector<std::size_t>& reach) {
+  // Delivers messages to the replicas in `reachable` and the answers to the proposer, until there
+  // are no more messages.
+  std::vector<ChangeOutcome> deliverAll(Proposer& proposer, Sends sends,
+                                        const std::vector<std::size_t>& reachable) {
     std::vector<ChangeOutcome> done;
     while (!sends.empty()) {
       Sends next;
       for (const auto& [member, message] : sends) {
         const std::size_t index = member.store.value - 1;
-        if (std::find(reach.begin(), reach.end(), index) == reach.end()) continue;
-        if (const auto answer = at(index, message)) {
+        if (std::find(reachable.begin(), reachable.end(), index) == reachable.end()) continue;
+        if (const auto answer = deliver(index, message)) {
           for (auto& send : proposer.onAnswer(*answer, now, &done)) next.push_back(send);
         }
       }
@@ -60,15 +63,15 @@
 }  // namespace
 
 TEST_CASE("register: a change is chosen at a majority, and only with the value it expects") {
-  Bench bench(4);
+  ReplicaBench bench(4);
   Proposer proposer(ProposerId{1}, 1);
-  auto done = bench.carry(proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now),
-                          {0, 1, 2});
+  auto done = bench.deliverAll(
+      proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1, 2});
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Chosen);
   CHECK(done[0].value.version == 1);
-  done = bench.carry(proposer, proposer.begin(bench.change(2, 0, "b"), bench.set, bench.now),
-                     {1, 2, 3});
+  done = bench.deliverAll(proposer, proposer.begin(bench.change(2, 0, "b"), bench.set, bench.now),
+                          {1, 2, 3});
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Conflict);
   CHECK(done[0].value.body == "a");
@@ -77,132 +80,133 @@
 }
 
 TEST_CASE("register: half of the replicas choose nothing, and unsent is told from unknown") {
-  Bench bench(4);
+  ReplicaBench bench(4);
   Proposer proposer(ProposerId{1}, 1);
-  auto done =
-      bench.carry(proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
+  auto done = bench.deliverAll(
+      proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
   CHECK(done.empty());
   bench.now += 4s;
   proposer.onTick(bench.set, bench.now, &done);
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::NotTried);
 
-  // Promised by three, accepted by one: nobody may call that change dead.
+  // A majority promised and one replica accepted, so the change may still be chosen later.
   auto prepares = proposer.begin(bench.change(2, 0, "b"), bench.set, bench.now);
-  Bench::Sends accepts;
+  ReplicaBench::Sends accepts;
   done.clear();
   for (const auto& [member, message] : prepares) {
-    if (const auto answer = bench.at(member.store.value - 1, message)) {
+    if (const auto answer = bench.deliver(member.store.value - 1, message)) {
       for (auto& send : proposer.onAnswer(*answer, bench.now, &done)) accepts.push_back(send);
     }
   }
   REQUIRE(accepts.size() == 4);
-  bench.at(0, accepts[0].second);
+  bench.deliver(0, accepts[0].second);
   bench.now += 4s;
   proposer.onTick(bench.set, bench.now, &done);
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Unknown);
-  // A read that meets the lone copy finishes the change, and any later read agrees.
+  // A read that finds the one accepted value completes the change, and any later read agrees.
   Proposer reader(ProposerId{2}, 2);
-  done = bench.carry(reader, reader.begin(bench.read(3), bench.set, bench.now), {0, 1, 2});
-  CHECK(done.empty());  // its first ballot is too low; it rests and comes back with a higher one
+  done = bench.deliverAll(reader, reader.begin(bench.read(3), bench.set, bench.now), {0, 1, 2});
+  CHECK(done.empty());  // its first ballot is too low; it backs off and retries with a higher one
   bench.now += 200ms;
-  done = bench.carry(reader, reader.onTick(bench.set, bench.now, &done), {0, 1, 2});
+  done = bench.deliverAll(reader, reader.onTick(bench.set, bench.now, &done), {0, 1, 2});
   REQUIRE(done.size() == 1);
   CHECK(done[0].value.body == "b");
-  done = bench.carry(reader, reader.begin(bench.read(4), bench.set, bench.now), {1, 2, 3});
+  done = bench.deliverAll(reader, reader.begin(bench.read(4), bench.set, bench.now), {1, 2, 3});
   REQUIRE(done.size() == 1);
   CHECK(done[0].value.body == "b");
 }
 
 TEST_CASE("register: a conflict is told only once what stands in the way is chosen") {
-  Bench bench(3);
-  Proposer mine(ProposerId{1}, 1), rival(ProposerId{2}, 2), reader(ProposerId{3}, 3);
+  ReplicaBench bench(3);
+  Proposer own(ProposerId{1}, 1), rival(ProposerId{2}, 2), reader(ProposerId{3}, 3);
   std::vector<ChangeOutcome> done;
-  const auto promised = [&](Proposer& proposer, const Bench::Sends& prepares,
-                            const std::vector<std::size_t>& reach) {
-    Bench::Sends accepts;
-    for (const std::size_t index : reach) {
-      const auto answer = bench.at(index, prepares[index].second);
+  const auto promised = [&](Proposer& proposer, const ReplicaBench::Sends& prepares,
+                            const std::vector<std::size_t>& reachable) {
+    ReplicaBench::Sends accepts;
+    for (const std::size_t index : reachable) {
+      const auto answer = bench.deliver(index, prepares[index].second);
       REQUIRE(answer);
       for (auto& send : proposer.onAnswer(*answer, bench.now, &done)) accepts.push_back(send);
     }
     return accepts;
   };
-  // Mine is promised by the first two and asked to be accepted; nobody has heard of that yet.
-  const auto late =
-      promised(mine, mine.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
-  REQUIRE(late.size() == 3);
-  // Its time passes. A rival is promised by the same two, and mine is accepted by the third.
+  // The first two replicas promise to the first proposer. Its accept messages are delayed.
+  const auto delayedAccepts =
+      promised(own, own.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
+  REQUIRE(delayedAccepts.size() == 3);
+  // Its phase times out. The same two replicas promise to a rival, and the third replica accepts
+  // the first proposer's delayed value.
   bench.now += 1s;
-  mine.onTick(bench.set, bench.now, &done);
+  own.onTick(bench.set, bench.now, &done);
   bench.now += 200ms;
-  const auto again = mine.onTick(bench.set, bench.now, &done);
-  REQUIRE(again.size() == 3);
-  const auto rivals =
+  const auto retry = own.onTick(bench.set, bench.now, &done);
+  REQUIRE(retry.size() == 3);
+  const auto rivalAccepts =
       promised(rival, rival.begin(bench.change(2, 0, "b"), bench.set, bench.now), {0, 1});
-  REQUIRE(rivals.size() == 3);
-  REQUIRE(bench.at(2, late[2].second)->granted);
-  // The rival's value stands on the second alone, where mine finds it.
-  REQUIRE(bench.at(1, rivals[1].second)->granted);
-  auto settling = promised(mine, again, {0, 1});
-  CHECK(done.empty());  // the third may yet bring mine up: nobody may call it dead
+  REQUIRE(rivalAccepts.size() == 3);
+  REQUIRE(bench.deliver(2, delayedAccepts[2].second)->granted);
+  // The rival's value is accepted only by the second replica, where the first proposer finds it.
+  REQUIRE(bench.deliver(1, rivalAccepts[1].second)->granted);
+  auto ownAccepts = promised(own, retry, {0, 1});
+  CHECK(done.empty());  // the value at the third replica can still be chosen, so no conflict yet
   SECTION("a read that misses the rival's value ends in mine") {
     const auto read = [&] {
       auto sends = reader.begin(bench.read(3), bench.set, bench.now);
-      auto ended = bench.carry(reader, sends, {0, 2});
-      while (ended.empty() && bench.now < Instant{10s}) {
+      auto outcomes = bench.deliverAll(reader, sends, {0, 2});
+      while (outcomes.empty() && bench.now < Instant{10s}) {
         bench.now += 200ms;
-        sends = reader.onTick(bench.set, bench.now, &ended);
-        if (ended.empty()) ended = bench.carry(reader, sends, {0, 2});
+        sends = reader.onTick(bench.set, bench.now, &outcomes);
+        if (outcomes.empty()) outcomes = bench.deliverAll(reader, sends, {0, 2});
       }
-      return ended;
+      return outcomes;
     }();
     REQUIRE(read.size() == 1);
     REQUIRE(read[0].result == ChangeResult::Chosen);
     CHECK(read[0].value.body == "a");
     bench.now = Instant{10s};
-    mine.onTick(bench.set, bench.now, &done);
+    own.onTick(bench.set, bench.now, &done);
     REQUIRE(done.size() == 1);
     CHECK(done[0].result == ChangeResult::Unknown);
   }
   SECTION("once a majority accepted the rival's value, no read can show mine") {
-    done = bench.carry(mine, settling, {0, 1});
+    done = bench.deliverAll(own, ownAccepts, {0, 1});
     REQUIRE(done.size() == 1);
     CHECK(done[0].result == ChangeResult::Conflict);
     CHECK(done[0].value.body == "b");
-    for (const std::vector<std::size_t>& reach : {std::vector<std::size_t>{0, 2}, {1, 2}}) {
-      Proposer each(ProposerId{4 + reach[0]}, 1);
-      std::vector<ChangeOutcome> ended;
-      auto sends = each.begin(bench.read(10 + reach[0]), bench.set, bench.now);
-      for (int round = 0; ended.empty() && round < 10; ++round) {
-        ended = bench.carry(each, sends, reach);
+    for (const std::vector<std::size_t>& reachable : {std::vector<std::size_t>{0, 2}, {1, 2}}) {
+      Proposer otherReader(ProposerId{4 + reachable[0]}, 1);
+      std::vector<ChangeOutcome> outcomes;
+      auto sends = otherReader.begin(bench.read(10 + reachable[0]), bench.set, bench.now);
+      for (int round = 0; outcomes.empty() && round < 10; ++round) {
+        outcomes = bench.deliverAll(otherReader, sends, reachable);
         bench.now += 200ms;
-        if (ended.empty()) sends = each.onTick(bench.set, bench.now, &ended);
+        if (outcomes.empty()) sends = otherReader.onTick(bench.set, bench.now, &outcomes);
       }
-      REQUIRE(ended.size() == 1);
-      CHECK(ended[0].value.body == "b");
+      REQUIRE(outcomes.size() == 1);
+      CHECK(outcomes[0].value.body == "b");
     }
   }
 }
 
 TEST_CASE("register: a replica of an emptied disk is no voter, and an old epoch is turned away") {
-  Bench bench(3);
+  ReplicaBench bench(3);
   Prepare prepare{
       OperationId{1}, kConfigurationKey, {Epoch{1}, 1, ProposerId{1}}, StoreId{1}, bench.set};
   RegisterReplica emptied(StoreId{9});
-  CHECK_FALSE(emptied.onPrepare(prepare).answer);  // addressed to the store that is gone
+  CHECK_FALSE(emptied.onPrepare(prepare).answer);  // addressed to the store that was lost
   ReplicaSet later = bench.set;
   later.epoch = Epoch{2};
   bench.replicas[0].adopt(later);
-  const auto answer = bench.at(0, prepare);
+  const auto answer = bench.deliver(0, prepare);
   REQUIRE(answer);
   CHECK_FALSE(answer->granted);
   CHECK(answer->replicas.epoch == Epoch{2});
 }
 
 TEST_CASE("register: of two fleets founded under one epoch a replica votes in the first alone") {
-  Bench bench(3);
+  ReplicaBench bench(3);
   bench.set.fleet = 5;
   ReplicaSet first = bench.set, second = bench.set;
   second.fleet = 6;
@@ -221,7 +225,7 @@
 }
 
 TEST_CASE("register: what is on disk is what was said, and a write error ends voting") {
-  Bench bench(3);
+  ReplicaBench bench(3);
   RegisterReplica& replica = bench.replicas[0];
   std::map<std::string, std::string> disk;
   const auto keep = [&](const std::vector<DiskWrite>& writes) {
@@ -237,13 +241,13 @@
   REQUIRE(restarted.restore(disk));
   CHECK(restarted.store() == StoreId{1});
   restarted.adopt(bench.set);
-  const auto late =
+  const auto lowBallotEffects =
       restarted.onAccept({OperationId{3}, kConfigurationKey, low, StoreId{1}, bench.set, value});
-  REQUIRE(late.answer);
-  CHECK_FALSE(std::get<ReplicaAnswer>(*late.answer).granted);
-  const auto asked = restarted.onPrepare(
+  REQUIRE(lowBallotEffects.answer);
+  CHECK_FALSE(std::get<ReplicaAnswer>(*lowBallotEffects.answer).granted);
+  const auto prepared = restarted.onPrepare(
       {OperationId{4}, kConfigurationKey, {Epoch{1}, 9, ProposerId{1}}, StoreId{1}, bench.set});
-  CHECK(std::get<ReplicaAnswer>(*asked.answer).value == value);
+  CHECK(std::get<ReplicaAnswer>(*prepared.answer).value == value);
   restarted.stopVoting();
   CHECK_FALSE(restarted
                   .onPrepare({OperationId{5},
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -1,5 +1,5 @@
-// The platform's list among daemons: who reads it, who hears of it and when. Fake clocks, network
-// and platform.
+// How daemons share the platform's list: which of them reads it, and when the others learn of it.
+// Clocks, network and platform are simulated.
 #include <catch2/catch.hpp>
 
 #include <functional>
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kDelay = 2ms;     // of a message
-constexpr Span kReading = 40ms;  // that the platform takes to answer
-constexpr Span kForgotten = 6s;  // until the others count a silent daemon out
+constexpr Span kDelay = 2ms;            // delay of a message
+constexpr Span kReadTime = 40ms;        // time that the platform takes to answer
+constexpr Span kFailureDetection = 6s;  // until the others no longer count a silent daemon as live
 
 Address daemon(std::size_t number) { return Address{"10.0.0." + std::to_string(number) + ":7"}; }
 
@@ -26,10 +26,11 @@
   return rows;
 }
 
+// A fleet of daemons. `alone`: partitioned from all others; `blind`: the platform doesn't answer.
 struct Fleet {
   struct Node {
     ServerList list;
-    Span offset;  // clocks have nothing in common
+    Span offset;  // of the node's clock, as clocks are unrelated
     bool up = true, alone = false, blind = false;
     std::optional<Instant> downAt{};
     std::optional<Instant> readingSince{};
@@ -40,21 +41,22 @@
     std::size_t to;
     Envelope envelope;
   };
-  Fleet(std::size_t count, double rate, Span every) {
+  Fleet(std::size_t count, double rate, Span interval) {
     for (std::size_t i = 0; i < count; ++i)
-      nodes.push_back({ServerList({daemon(i), every, rate}), 1000s * static_cast<int>(i + 1)});
+      nodes.push_back({ServerList({daemon(i), interval, rate}), 1000s * static_cast<int>(i + 1)});
   }
   Instant local(const Node& node) const { return now + node.offset; }
   ListPeers peers(std::size_t self) const {
     ListPeers peers{{}, nodes.size()};
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      const bool forgotten = nodes[i].downAt && now - *nodes[i].downAt > kForgotten;
-      const bool apart = (nodes[self].alone || nodes[i].alone) && cutFor > kForgotten;
-      if (i == self || (!forgotten && !apart)) peers.order.push_back(daemon(i));
+      const bool isFailed = nodes[i].downAt && now - *nodes[i].downAt > kFailureDetection;
+      const bool isPartitioned =
+          (nodes[self].alone || nodes[i].alone) && partitionedFor > kFailureDetection;
+      if (i == self || (!isFailed && !isPartitioned)) peers.order.push_back(daemon(i));
     }
     return peers;
   }
-  void carry(std::size_t from, std::vector<Envelope> sends) {
+  void deliver(std::size_t from, std::vector<Envelope> sends) {
     for (Envelope& envelope : sends) {
       for (std::size_t to = 0; to < nodes.size(); ++to) {
         if (envelope.to != daemon(to) || nodes[from].alone || nodes[to].alone) continue;
@@ -67,14 +69,14 @@
   void step() {
     now += 1ms;
     if (std::any_of(nodes.begin(), nodes.end(), [](const Node& n) { return n.alone; }))
-      cutFor += 1ms;
-    std::vector<Flight> due;
+      partitionedFor += 1ms;
+    std::vector<Flight> arrived;
     std::erase_if(flights, [&](Flight& flight) {
       if (flight.at > now) return false;
-      due.push_back(std::move(flight));
+      arrived.push_back(std::move(flight));
       return true;
     });
-    for (Flight& flight : due) {
+    for (Flight& flight : arrived) {
       Node& node = nodes[flight.to];
       if (!node.up) continue;
       std::vector<Envelope> sends;
@@ -82,13 +84,13 @@
         node.list.onAsk(flight.envelope.from, *ask, local(node), &sends);
       if (const auto* answer = std::get_if<ListAnswer>(&flight.envelope.body))
         node.list.onAnswer(*answer, local(node), &sends);
-      carry(flight.to, std::move(sends));
+      deliver(flight.to, std::move(sends));
     }
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       Node& node = nodes[i];
       if (!node.up) continue;
       std::vector<Envelope> sends;
-      if (node.readingSince && now - *node.readingSince >= kReading) {
+      if (node.readingSince && now - *node.readingSince >= kReadTime) {
         const Instant askedAt = *node.readingSince + node.offset;
         node.readingSince.reset();
         if (node.blind || platformDown) {
@@ -105,9 +107,9 @@
         node.calledAt = now;
         node.readingSince = now;
       }
-      carry(i, std::move(sends));
+      deliver(i, std::move(sends));
       if (node.list.readAt()) {
-        // An age may only be too high: no daemon believes a reading younger than the newest made.
+        // The estimated age may only be too high: no list may appear newer than the newest call.
         if (local(node) - *node.list.readAt() < now - newestCall()) tooYoung = true;
       }
     }
@@ -122,9 +124,9 @@
     });
   }
   Span untilAllKnow(const std::vector<ListRow>& rows, Span limit) {
-    const Instant begun = now;
-    while (!allKnow(rows) && now - begun < limit) step();
-    return now - begun;
+    const Instant startedAt = now;
+    while (!allKnow(rows) && now - startedAt < limit) step();
+    return now - startedAt;
   }
   Span oldest() const {
     Span age{};
@@ -148,7 +150,7 @@
   }
 
   Instant now{100s};
-  Span cutFor{};
+  Span partitionedFor{};
   std::vector<Node> nodes;
   std::vector<Flight> flights;
   std::vector<ListRow> content = rowsOf(1);
@@ -202,7 +204,7 @@
     fleet.loses = {};
     fleet.content = rowsOf(version);
     while (fleet.lastReading == before) fleet.step();
-    fleet.flights.clear();  // what the reader told at once is lost on the way
+    fleet.flights.clear();  // the answers that the reader sent at once are lost
     CHECK(fleet.untilAllKnow(rowsOf(version), 3s) <= 600ms);
     fleet.run(700ms);
   }
@@ -216,7 +218,7 @@
     fleet.nodes[killed].readingSince.reset();
     fleet.nodes[killed].downAt = fleet.now;
     fleet.content = rowsOf(static_cast<int>(killed) + 2);
-    // A second until it is due, and 0.3 s for each that is down before the next in order.
+    // One second until a new list is overdue, and 0.3 s for each failed daemon in the order.
     CHECK(fleet.untilAllKnow(fleet.content, 5s) <=
           1s + 300ms * static_cast<int>(killed + 1) + 250ms);
     fleet.run(500ms);
@@ -226,7 +228,7 @@
     fleet.run(100ms);
     worst = std::max(worst, fleet.oldest());
   }
-  CHECK(worst <= 2200ms);  // three of them gone, until the others count them out
+  CHECK(worst <= 2200ms);  // with three failed, until the others no longer count them as live
   fleet.run(3s);
   CHECK(fleet.oldest() <= 1200ms);
   CHECK(fleet.mostCallsIn(1s) <= 4);
@@ -248,14 +250,14 @@
 }
 
 TEST_CASE("server list: cut off from each other, all together stay within the platform's rate") {
-  for (const auto& [count, rate, every] :
+  for (const auto& [count, rate, interval] :
        {std::tuple<std::size_t, double, Span>{17, 47, 1s}, {40, 47, 1s}, {13, 50, 400ms}}) {
-    Fleet fleet(count, rate, every);
+    Fleet fleet(count, rate, interval);
     fleet.run(5s);
     for (auto& node : fleet.nodes) node.alone = true;
     fleet.run(20s);
     CHECK(static_cast<double>(fleet.mostCallsIn(1s)) <= rate);
-    for (auto& node : fleet.nodes) CHECK(fleet.local(node) - *node.list.readAt() <= 2 * every);
+    for (auto& node : fleet.nodes) CHECK(fleet.local(node) - *node.list.readAt() <= 2 * interval);
   }
   Fleet large(120, 47, 1s);
   large.run(5s);
@@ -263,7 +265,8 @@
   large.run(12s);
   const Instant since = large.now;
   large.run(20s);
-  CHECK(static_cast<double>(large.callsSince(since)) <= 47 * 20 + 120);  // in all, not each second
+  CHECK(static_cast<double>(large.callsSince(since)) <=
+        47 * 20 + 120);  // on average, not in each second
 }
 
 TEST_CASE("server list: while the platform is down or turns calls away, few are made") {
@@ -287,10 +290,10 @@
   std::vector<Envelope> sends;
   list.onRead(rowsOf(1), Instant{1s}, 1, Instant{1s}, &sends);
   const auto digest = list.digest();
-  auto turned = rowsOf(1);
-  std::reverse(turned.begin(), turned.end());
-  list.onRead(turned, Instant{2s}, 1, Instant{2s}, &sends);
-  CHECK(list.digest() == digest);  // the order on the pages means nothing
+  auto reversed = rowsOf(1);
+  std::reverse(reversed.begin(), reversed.end());
+  list.onRead(reversed, Instant{2s}, 1, Instant{2s}, &sends);
+  CHECK(list.digest() == digest);  // the order of the rows is irrelevant
   list.onRead(rowsOf(2), Instant{3s}, 1, Instant{3s}, &sends);
   CHECK(list.digest() != digest);
   CHECK(list.rows() == rowsOf(2));
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -1,4 +1,4 @@
-// What is known of servers beside the list, on a fake clock.
+// What notes add to the server list, with a simulated clock.
 #include <catch2/catch.hpp>
 
 #include "agent/core/server_notes.h"
@@ -14,20 +14,20 @@
   ServerNotes notes;
   const Instant now{10s};
   const ServerName server{"s"};
-  const ServerIdentity life{"i"};
+  const ServerIdentity identity{"i"};
   const WeightsVersion one{"1"}, two{"2"}, ten{"10"};
-  notes.onNote({server, life, kModel, {}, true, Fence{3}, 1}, now);
-  CHECK(notes.overlay(server, life, one, now).switching);
-  CHECK(notes.overlay(server, life, one, now).weights == one);
-  CHECK_FALSE(notes.overlay(server, life, one, now + 3s).switching);
-  notes.onNote({server, life, kModel, two, false, Fence{3}, 2}, now + 1s);
-  notes.onNote({server, life, kModel, {}, true, Fence{3}, 1}, now + 1s);  // late
-  CHECK_FALSE(notes.overlay(server, life, one, now + 1s).switching);
-  CHECK(notes.overlay(server, life, one, now + 30s).weights == two);
-  CHECK(notes.overlay(server, life, ten, now + 30s).weights == ten);
-  // The next order says nothing of its weights, so those reached before stay known.
-  notes.onNote({server, life, kModel, {}, true, Fence{4}, 1}, now + 2s);
-  CHECK(notes.overlay(server, life, one, now + 2s).weights == two);
+  notes.onNote({server, identity, kModel, {}, true, Fence{3}, 1}, now);
+  CHECK(notes.overlay(server, identity, one, now).switching);
+  CHECK(notes.overlay(server, identity, one, now).weights == one);
+  CHECK_FALSE(notes.overlay(server, identity, one, now + 3s).switching);
+  notes.onNote({server, identity, kModel, two, false, Fence{3}, 2}, now + 1s);
+  notes.onNote({server, identity, kModel, {}, true, Fence{3}, 1}, now + 1s);  // late
+  CHECK_FALSE(notes.overlay(server, identity, one, now + 1s).switching);
+  CHECK(notes.overlay(server, identity, one, now + 30s).weights == two);
+  CHECK(notes.overlay(server, identity, ten, now + 30s).weights == ten);
+  // The note on the next order has no weights, so the weights reached before remain known.
+  notes.onNote({server, identity, kModel, {}, true, Fence{4}, 1}, now + 2s);
+  CHECK(notes.overlay(server, identity, one, now + 2s).weights == two);
   CHECK(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
   CHECK_FALSE(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).switching);
   CHECK(notes.lastActivity(kModel) == now + 2s);
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -1,4 +1,4 @@
-// How long superseded weights may still be used, on a fake clock.
+// How long superseded weights may still be used, with a simulated clock.
 #include <catch2/catch.hpp>
 
 #include "agent/core/weights_histories.h"
@@ -25,7 +25,7 @@
   CHECK(history.usableUntil(kTwo, kBound) == kNow + 22s);
   CHECK(history.usableUntil(kThree, kBound) == kNow + 29s);
   CHECK(history.usableUntil(kFour, kBound) == Instant::max());
-  // A server may have been brought to weights that are not in force here yet.
+  // A server may already have weights that this daemon's configuration doesn't name yet.
   CHECK(history.usableUntil(WeightsVersion{"5"}, kBound) == Instant::max());
 }
 
@@ -34,12 +34,12 @@
   restarted.name(kThree, std::nullopt);
   CHECK(restarted.usableUntil(kTwo, kBound) == Instant::min());
   CHECK(restarted.usableUntil(kThree, kBound) == Instant::max());
-  // While an older version was the newest, no later one was superseded.
+  // While an older version was the newest, no later version was superseded.
   restarted.noteNewestAt(kOne, kNow);
   CHECK(restarted.usableUntil(kTwo, kBound) == kNow + 15s);
   CHECK(restarted.usableUntil(WeightsVersion{"0"}, kBound) == Instant::min());
   restarted.noteNewestAt(kTwo, kNow + 4s);
-  restarted.noteNewestAt(kTwo, kNow + 2s);  // tells less
+  restarted.noteNewestAt(kTwo, kNow + 2s);  // earlier, so it adds nothing
   CHECK(restarted.usableUntil(kTwo, kBound) == kNow + 19s);
   CHECK(restarted.usableUntil(kOne, kBound) == kNow + 15s);
   restarted.forgetBefore(kNow + 1s);
@@ -98,7 +98,8 @@
   CHECK(mine.report(kNow) == std::vector<SupersededWeights>{{kModel, kOne, 300000}});
   others.onConfiguration({{kModel, kTwo}}, std::nullopt);
   CHECK(others.usableUntil(kModel, kOne, kBound) == Instant::min());
-  others.merge({{kModel, kOne, -1}, {ModelName{"other"}, kOne, 5}}, kNow);  // bad, and of no use
+  others.merge({{kModel, kOne, -1}, {ModelName{"other"}, kOne, 5}},
+               kNow);  // invalid; unknown model
   CHECK(others.usableUntil(kModel, kOne, kBound) == Instant::min());
   others.merge(mine.report(kNow + 1s), kNow + 900ms);
   CHECK(others.usableUntil(kModel, kOne, kBound) == kNow - 400ms + kBound);
