--- a/tests/founding_tests.cpp
+++ b/tests/founding_tests.cpp
@@ -1,4 +1,4 @@
-// A grant to a founder outlives the seed's process, and no answer leaves before it is on the disk.
+// A seed's grant to a founder survives a restart of the seed, and is on disk before it is answered.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -23,12 +23,12 @@
   return settings;
 }
 
-// The seed's process with its disk: each piece of work is synced, then its answer leaves.
+// A seed process with its disk: each unit of replica work is synced, then its answer is sent.
 struct Seed {
   std::map<std::string, std::string> disk;
   std::optional<AgentCore> core;
   std::vector<Envelope> answers;
-  std::size_t answersAtOnce = 0;  // before any sync
+  std::size_t answersAtOnce = 0;  // answers sent before any sync
 
   void start() {
     core.emplace(seedSettings(), disk);
@@ -41,23 +41,23 @@
       core->onReplicaWorkDone();
     }
   }
-  void take(const Address& from, Message body, Instant now, bool losesPower = false) {
+  void receive(const Address& from, Message body, Instant now, bool losesPower = false) {
     AgentEffects effects;
     core->onMessage({from, kSeed, std::move(body)}, now, &effects);
     answersAtOnce += effects.sends.size();
     answers.insert(answers.end(), effects.sends.begin(), effects.sends.end());
     if (!losesPower) sync(effects.replicaWork);
   }
-  ReplicaSet founding(std::uint64_t fleet) const {
+  ReplicaSet foundedSet(std::uint64_t fleet) const {
     ReplicaSet set{Epoch{1}, fleet, true, {}};
     set.members = {{StoreId{1}, kFounder}, {core->store(), kSeed}, {StoreId{3}, kOther}};
     std::sort(set.members.begin(), set.members.end());
     return set;
   }
-  void takeFounding(std::uint64_t fleet, Instant now) {
+  void receiveFounding(std::uint64_t fleet, Instant now) {
     const Ballot ballot{Epoch{1}, 1, ProposerId{4}};
-    take(kFounder, Prepare{OperationId{1}, kReplicaSetKey, ballot, core->store(), founding(fleet)},
-         now);
+    receive(kFounder,
+            Prepare{OperationId{1}, kReplicaSetKey, ballot, core->store(), foundedSet(fleet)}, now);
   }
 };
 }  // namespace
@@ -65,10 +65,10 @@
 TEST_CASE("founding: the grant is on the disk before the answer leaves") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s}, /*losesPower=*/true);
+  seed.receive(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s}, /*losesPower=*/true);
   CHECK(seed.answersAtOnce == 0);
   CHECK(seed.answers.empty());
-  seed.take(kFounder, FoundAsk{2, kGrantedFleet}, Instant{10s});
+  seed.receive(kFounder, FoundAsk{2, kGrantedFleet}, Instant{10s});
   REQUIRE(seed.answers.size() == 1);
   const auto& answer = std::get<FoundAnswer>(seed.answers[0].body);
   CHECK(answer.unfounded);
@@ -78,32 +78,33 @@
 TEST_CASE("founding: a seed that restarts takes no founding but the one that it granted") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kEarlierFleet}, Instant{10s});
-  seed.take(kFounder, FoundAsk{2, kGrantedFleet}, Instant{11s});  // the founder's next life
+  seed.receive(kFounder, FoundAsk{1, kEarlierFleet}, Instant{10s});
+  seed.receive(kFounder, FoundAsk{2, kGrantedFleet}, Instant{11s});  // the restarted founder
   seed.start();
-  // Late, of the life that ended, also after the first tick of the seed's new life.
-  seed.takeFounding(kEarlierFleet, Instant{12s});
+  // Delayed messages of the founder's earlier process are rejected, before and after the first tick
+  // of the restarted seed.
+  seed.receiveFounding(kEarlierFleet, Instant{12s});
   CHECK(seed.core->freshness().replicas().epoch == Epoch{0});
   AgentEffects effects;
   seed.core->onTick(Instant{12s}, &effects);
-  seed.takeFounding(kEarlierFleet, Instant{13s});
+  seed.receiveFounding(kEarlierFleet, Instant{13s});
   CHECK(seed.core->freshness().replicas().epoch == Epoch{0});
-  seed.take(kOther, FoundAsk{3, 99}, Instant{14s});
+  seed.receive(kOther, FoundAsk{3, 99}, Instant{14s});
   CHECK_FALSE(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
-  seed.takeFounding(kGrantedFleet, Instant{14s});
+  seed.receiveFounding(kGrantedFleet, Instant{14s});
   CHECK(seed.core->freshness().replicas().fleet == kGrantedFleet);
 }
 
 TEST_CASE("founding: a grant that was never used runs out after a restart too") {
   Seed seed;
   seed.start();
-  seed.take(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s});
+  seed.receive(kFounder, FoundAsk{1, kGrantedFleet}, Instant{10s});
   seed.start();
   AgentEffects effects;
   seed.core->onTick(Instant{12s}, &effects);
-  seed.take(kOther, FoundAsk{2, 99}, Instant{21s});
+  seed.receive(kOther, FoundAsk{2, 99}, Instant{21s});
   CHECK_FALSE(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
-  seed.take(kOther, FoundAsk{3, 99}, Instant{23s});
+  seed.receive(kOther, FoundAsk{3, 99}, Instant{23s});
   CHECK(std::get<FoundAnswer>(seed.answers.back().body).unfounded);
 }
 
@@ -116,7 +117,7 @@
     settings.edgeMachines = 2;
     settings.replicasWanted = 3;
     settings.bootstrap = true;
-    settings.delayHigh = 60ms;  // and 2.4 s for one message in a hundred
+    settings.delayHigh = 60ms;  // one message in a hundred takes 2.4 s
     settings.lossRate = 0.1;
     sim::World world(settings);
     for (int i = 0; i < 6; ++i) {
@@ -131,7 +132,7 @@
     CHECK(fleet != 0);
     for (std::size_t i = 0; i < 4; ++i) {
       CHECK(world.core(i).freshness().replicas().fleet == fleet);
-      CHECK(world.core(i).isWritable());  // nobody took part in another fleet
+      CHECK(world.core(i).isWritable());  // no replica has taken part in another fleet
     }
     CHECK(world.isConverged());
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -1,5 +1,5 @@
-// First starts and losses as the users' platform plays them, by seed: three replicas on four core
-// machines, one of which stands by.
+// First starts and losses of machines in the simulator, by seed: three replicas on four core
+// machines, one of which is a spare.
 #include <catch2/catch.hpp>
 
 #include "sim/scenario.h"
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-WorldSettings coreOfFour(std::uint64_t seed) {
+WorldSettings fourCoreMachines(std::uint64_t seed) {
   WorldSettings settings;
   settings.seed = seed;
   settings.replicasWanted = 3;
@@ -17,27 +17,28 @@
   settings.leaseSpan = 3s;
   return settings;
 }
-// How long until `holds` is true, looked at each 10 ms; `limit` where it is not.
+// The time until `isTrue` holds, checked every 10 ms; about `limit` if it never does.
 template <class Condition>
-Span spanUntil(World& world, Span limit, Condition holds) {
-  const Span from = world.elapsed();
-  while (world.elapsed() - from < limit && !holds()) world.run(10ms);
-  return world.elapsed() - from;
+Span timeUntil(World& world, Span limit, Condition isTrue) {
+  const Span start = world.elapsed();
+  while (world.elapsed() - start < limit && !isTrue()) world.run(10ms);
+  return world.elapsed() - start;
 }
 bool isChosen(World& world, std::uint64_t id) {
   return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
 }
-// Changes the configuration from `machine` until one change is acknowledged; gives its version.
-std::uint64_t acknowledge(World& world, std::size_t machine, const std::string& body) {
+// Changes the configuration from `machine` until a change is acknowledged, and returns its version.
+std::uint64_t changeAcknowledged(World& world, std::size_t machine, const std::string& body) {
   for (int i = 0; i < 10; ++i) {
     const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
     const std::uint64_t id = world.change(machine, known, body);
-    spanUntil(world, 4s, [&] { return world.asked(id).done.has_value(); });
+    timeUntil(world, 4s, [&] { return world.asked(id).done.has_value(); });
     if (isChosen(world, id)) return world.asked(id).done->value.version;
   }
   return 0;
 }
-// Members whose store lives now, of the replica set that `witness` uses.
+// The number of live members in the replica set that `witness` knows; 0 if it isn't settled with
+// three members.
 std::size_t healthyMembers(World& world, std::size_t witness) {
   const ReplicaSet& replicas = world.core(witness).freshness().replicas();
   std::size_t healthy = 0;
@@ -57,8 +58,8 @@
 TEST_CASE("sim: a first start founds the replicas of all seeds at once") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
-    World world(coreOfFour(seed));
-    CHECK(spanUntil(world, 20s, [&] { return world.isConverged(); }) < 2s);
+    World world(fourCoreMachines(seed));
+    CHECK(timeUntil(world, 20s, [&] { return world.isConverged(); }) < 2s);
     const std::uint64_t fleet = world.core(0).freshness().replicas().fleet;
     for (std::size_t i = 0; i < world.size(); ++i) {
       const ReplicaSet& replicas = world.core(i).freshness().replicas();
@@ -75,7 +76,7 @@
   std::size_t founded = 0;
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     INFO("seed " << seed);
-    WorldSettings settings = coreOfFour(seed);
+    WorldSettings settings = fourCoreMachines(seed);
     settings.lossRate = settings.duplicateRate = 0.15;
     settings.delayHigh = seed % 2 ? 60ms : 8ms;
     World world(settings);
@@ -85,24 +86,24 @@
       world.run(std::chrono::milliseconds(random() % 250));
       world.crash(machine, random() % 2 == 0);
       if (random() % 2) world.run(std::chrono::milliseconds(random() % 400));
-      // A disk is lost at most once, as `tolerate` bounds it.
+      // At most one disk is lost, which is what the settings tolerate.
       if (deaths == 0 && seed % 4 < 2) world.wipeDisk(machine);
       world.start(machine);
     }
-    spanUntil(world, 40s, [&] { return world.isConverged() && healthyMembers(world, 5) == 3; });
+    timeUntil(world, 40s, [&] { return world.isConverged() && healthyMembers(world, 5) == 3; });
     CHECK(world.isConverged());
     const std::uint64_t fleet = world.core(5).freshness().replicas().fleet;
     for (std::size_t i = 0; i < world.size(); ++i) {
       CHECK(world.core(i).freshness().replicas().fleet == fleet);
     }
-    founded += acknowledge(world, 6, "first") > 0;
+    founded += changeAcknowledged(world, 6, "first") > 0;
     checkAll(world);
   }
   CHECK(founded == 120);
 }
 
 TEST_CASE("sim: an empty system that was not told that it may found waits to join") {
-  WorldSettings settings = coreOfFour(7);
+  WorldSettings settings = fourCoreMachines(7);
   World world(settings);
   for (std::size_t i = 0; i < 4; ++i) {
     world.crash(i, true);
@@ -118,19 +119,19 @@
   Span slowest{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
-    World world(coreOfFour(seed));
-    spanUntil(world, 20s, [&] { return world.isConverged(); });
+    World world(fourCoreMachines(seed));
+    timeUntil(world, 20s, [&] { return world.isConverged(); });
     world.run(2s);
     for (std::size_t round = 0; round < 6; ++round) {
       const std::string body = "round " + std::to_string(round);
-      const std::uint64_t version = acknowledge(world, 5 + round, body);
+      const std::uint64_t version = changeAcknowledged(world, 5 + round, body);
       REQUIRE(version > 0);
       const std::size_t machine = (seed + round * (seed % 2 ? 1 : 3)) % 4;
       world.crash(machine, true);
       world.wipeDisk(machine);
       world.run(round % 2 ? 3s : 300ms);
       world.start(machine);
-      const Span span = spanUntil(world, 4s, [&] { return healthyMembers(world, 4) == 3; });
+      const Span span = timeUntil(world, 4s, [&] { return healthyMembers(world, 4) == 3; });
       slowest = std::max(slowest, span);
       world.run(4s - span);
       CHECK(world.core(12).freshness().configuration().value.body == body);
@@ -146,17 +147,17 @@
   Span slowest{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
-    World world(coreOfFour(seed));
-    spanUntil(world, 20s, [&] { return world.isConverged(); });
+    World world(fourCoreMachines(seed));
+    timeUntil(world, 20s, [&] { return world.isConverged(); });
     world.run(2s);
-    REQUIRE(acknowledge(world, 9, "kept") > 0);
+    REQUIRE(changeAcknowledged(world, 9, "kept") > 0);
     for (std::size_t i = 0; i < 4; ++i) world.crash(i, seed % 3 == 0);
     world.run(900ms);
     for (std::size_t i = 0; i < 4; ++i) world.start(i);
-    slowest = std::max(slowest, spanUntil(world, 20s, [&] { return world.isConverged(); }));
-    const Span from = world.elapsed();
-    CHECK(acknowledge(world, 8, "after") > 0);
-    CHECK(world.elapsed() - from < 1s);
+    slowest = std::max(slowest, timeUntil(world, 20s, [&] { return world.isConverged(); }));
+    const Span start = world.elapsed();
+    CHECK(changeAcknowledged(world, 8, "after") > 0);
+    CHECK(world.elapsed() - start < 1s);
     CHECK(world.core(7).freshness().replicas().members.size() == 3);
     checkAll(world);
   }
@@ -167,14 +168,14 @@
 TEST_CASE("sim: three of four core machines removed for good, one by one, are replaced") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    World world(coreOfFour(seed));
-    spanUntil(world, 20s, [&] { return world.isConverged(); });
+    World world(fourCoreMachines(seed));
+    timeUntil(world, 20s, [&] { return world.isConverged(); });
     world.run(2s);
     for (std::size_t machine = 0; machine < 4; ++machine) {
       const std::string body = "round " + std::to_string(machine);
-      REQUIRE(acknowledge(world, 6, body) > 0);
+      REQUIRE(changeAcknowledged(world, 6, body) > 0);
       world.replace(machine);
-      CHECK(spanUntil(world, 20s, [&] { return healthyMembers(world, 4) == 3; }) < 9s);
+      CHECK(timeUntil(world, 20s, [&] { return healthyMembers(world, 4) == 3; }) < 9s);
       world.run(4s);
       CHECK(world.core(11).freshness().configuration().value.body == body);
     }
@@ -186,10 +187,10 @@
 TEST_CASE("sim: leader roles fall to machines with a store, and a new holder lets the lease pass") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    World world(coreOfFour(seed));
-    spanUntil(world, 20s, [&] { return world.isConverged(); });
+    World world(fourCoreMachines(seed));
+    timeUntil(world, 20s, [&] { return world.isConverged(); });
     world.wantRole("orders/x");
-    spanUntil(world, 20s, [&] {
+    timeUntil(world, 20s, [&] {
       bool held = false;
       for (std::size_t i = 0; i < 4; ++i)
         held = held ||
@@ -228,11 +229,11 @@
       }
       return last;
     }();
-    spanUntil(world, 30s, [&] { return holder() < world.size(); });
+    timeUntil(world, 30s, [&] { return holder() < world.size(); });
     CHECK(holder() < 4);
     CHECK(holder() != first);
     if (seed % 2) CHECK(world.elapsed() - lastHeld >= 3s);
-    world.run(25s);  // a frozen one wakes
+    world.run(25s);  // a frozen machine resumes
     checkAll(world);
   }
 }
--- a/tests/replica_leaving_tests.cpp
+++ b/tests/replica_leaving_tests.cpp
@@ -1,4 +1,4 @@
-// Members of the replica set that are told to end, restart in turn, or are slow for a while.
+// Members of the replica set that leave, restart one after the other, or are slow for a while.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace {
 constexpr Span kAckBound = 4s;
 
-WorldSettings small(std::uint64_t seed, std::size_t disks, std::size_t wanted) {
+WorldSettings smallDeployment(std::uint64_t seed, std::size_t disks, std::size_t wanted) {
   WorldSettings settings;
   settings.seed = seed;
   settings.bootstrap = true;
@@ -24,14 +24,14 @@
   return settings;
 }
 
-// Operators at the edges ask for one change after the other.
-struct Busy {
+// A continuous load of configuration changes from operators at edge machines, one at a time.
+struct ChangeLoad {
   World& world;
   std::uint64_t asked = 0, newest = 0;
-  std::size_t acknowledged = 0, fewest = 99;
+  std::size_t acknowledged = 0, minMembers = 99;
   Span lastAck{}, longestGap{};
 
-  explicit Busy(World& asking) : world(asking), lastAck(asking.elapsed()) {}
+  explicit ChangeLoad(World& loadedWorld) : world(loadedWorld), lastAck(loadedWorld.elapsed()) {}
   std::size_t edge() const { return world.diskMachines(); }
   const ReplicaSet& replicas() { return world.core(edge()).freshness().replicas(); }
   bool isMember(std::size_t machine) {
@@ -42,7 +42,7 @@
   }
   void step() {
     world.run(25ms);
-    fewest = std::min(fewest, replicas().members.size());
+    minMembers = std::min(minMembers, replicas().members.size());
     longestGap = std::max(longestGap, world.elapsed() - lastAck);
     if (asked != 0 && !world.asked(asked).done) return;
     if (asked != 0 && world.asked(asked).done->result == ChangeResult::Chosen) {
@@ -69,9 +69,9 @@
   }
 };
 
-std::size_t someMember(Busy& busy) {
-  for (std::size_t i = 0; i < busy.world.diskMachines(); ++i) {
-    if (busy.isMember(i)) return i;
+std::size_t someMember(ChangeLoad& load) {
+  for (std::size_t i = 0; i < load.world.diskMachines(); ++i) {
+    if (load.isMember(i)) return i;
   }
   return 0;
 }
@@ -80,76 +80,77 @@
 TEST_CASE("sim leaving: a member hands its vote to the machine that waits while it still runs") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
-    World world(small(seed, 4, 3));
+    World world(smallDeployment(seed, 4, 3));
     REQUIRE(runUntilFounded(world, 20s));
-    Busy busy(world);
-    busy.run(2s);
-    const std::size_t leaver = someMember(busy);
+    ChangeLoad load(world);
+    load.run(2s);
+    const std::size_t leaver = someMember(load);
     world.leave(leaver);
-    const Span told = world.elapsed();
-    while (busy.isMember(leaver) && world.elapsed() - told < 6s) busy.step();
-    CHECK(world.elapsed() - told < 3s);  // as long as the process stays at the least
-    busy.run(1s);
+    const Span leaveStartedAt = world.elapsed();
+    while (load.isMember(leaver) && world.elapsed() - leaveStartedAt < 6s) load.step();
+    CHECK(world.elapsed() - leaveStartedAt < 3s);  // the process runs at least that long
+    load.run(1s);
     CHECK_FALSE(world.core(leaver).isHandingOver(world.localNow(leaver)));
-    CHECK(busy.fewest == 3);
-    // It never comes back, and another member's disk is lost at once.
+    CHECK(load.minMembers == 3);
+    // The machine never comes back, and at the same time another member loses its disk.
     world.crash(leaver, false);
-    const std::size_t other = someMember(busy);
+    const std::size_t other = someMember(load);
     world.crash(other, true);
     world.wipeDisk(other);
     world.run(200ms);
     world.start(other);
-    busy.run(6s);
-    CHECK(busy.longestGap < kAckBound);
-    busy.check();
+    load.run(6s);
+    CHECK(load.longestGap < kAckBound);
+    load.check();
   }
 }
 
 TEST_CASE("sim leaving: where no machine waits a member stays unless the rest bears as much") {
   for (const std::size_t members : {3U, 4U, 5U}) {
     INFO(members << " members");
-    WorldSettings settings = small(7, members, members);
+    WorldSettings settings = smallDeployment(7, members, members);
     settings.reserveMachines = 0;
     World world(settings);
     REQUIRE(runUntilFounded(world, 20s));
-    Busy busy(world);
-    busy.run(2s);
+    ChangeLoad load(world);
+    load.run(2s);
     world.leave(1);
-    busy.run(3s);
-    CHECK(busy.isMember(1) == (members % 2 == 1));
+    load.run(3s);
+    CHECK(load.isMember(1) == (members % 2 == 1));
     CHECK_FALSE(world.core(1).isHandingOver(world.localNow(1)));
-    const Epoch epoch = busy.replicas().epoch;
+    const Epoch epoch = load.replicas().epoch;
     world.crash(1, false);
     world.run(700ms);
     world.start(1);
-    busy.run(5s);
-    CHECK(busy.isMember(1));
-    CHECK(busy.replicas().members.size() == members);
-    if (members % 2 == 1) CHECK(busy.replicas().epoch == epoch);
-    busy.check();
+    load.run(5s);
+    CHECK(load.isMember(1));
+    CHECK(load.replicas().members.size() == members);
+    if (members % 2 == 1) CHECK(load.replicas().epoch == epoch);
+    load.check();
   }
 }
 
 TEST_CASE("sim leaving: all machines restarted in turn, 1.3 s apart, while changes come") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
-    World world(small(seed, 4, 3));
+    World world(smallDeployment(seed, 4, 3));
     REQUIRE(runUntilFounded(world, 20s));
-    Busy busy(world);
-    busy.run(2s);
-    const Span begun = world.elapsed();
-    std::vector<std::optional<Span>> told(4), ended(4);
+    ChangeLoad load(world);
+    load.run(2s);
+    const Span startedAt = world.elapsed();
+    std::vector<std::optional<Span>> leaveStartedAt(4), ended(4);
     std::size_t restarted = 0;
-    while (restarted < 4 && world.elapsed() - begun < 40s) {
-      busy.step();
+    while (restarted < 4 && world.elapsed() - startedAt < 40s) {
+      load.step();
       const Span now = world.elapsed();
       for (std::size_t i = 0; i < 4; ++i) {
-        if (!told[i] && now - begun >= i * 1300ms) {
+        if (!leaveStartedAt[i] && now - startedAt >= i * 1300ms) {
           world.leave(i);
-          told[i] = now;
-        } else if (told[i] && !ended[i]) {
-          const bool handing = world.core(i).isHandingOver(world.localNow(i));
-          if (now - *told[i] < 3s || (handing && now - *told[i] < 6s)) continue;
+          leaveStartedAt[i] = now;
+        } else if (leaveStartedAt[i] && !ended[i]) {
+          const bool isHandingOver = world.core(i).isHandingOver(world.localNow(i));
+          if (now - *leaveStartedAt[i] < 3s || (isHandingOver && now - *leaveStartedAt[i] < 6s))
+            continue;
           world.crash(i, false);
           ended[i] = now;
         } else if (ended[i] && !world.isUp(i) && now - *ended[i] >= 700ms) {
@@ -159,46 +160,46 @@
       }
     }
     CHECK(restarted == 4);
-    busy.run(10s);
-    CHECK(busy.acknowledged > 20);
-    CHECK(busy.longestGap < kAckBound);
-    CHECK(busy.fewest >= 3);
-    CHECK(busy.replicas().members.size() == 3);
-    busy.check();
+    load.run(10s);
+    CHECK(load.acknowledged > 20);
+    CHECK(load.longestGap < kAckBound);
+    CHECK(load.minMembers >= 3);
+    CHECK(load.replicas().members.size() == 3);
+    load.check();
   }
 }
 
 TEST_CASE("sim leaving: a machine whose disk stalls again and again costs a few steps only") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     INFO("seed " << seed);
-    World world(small(seed, 4, 3));
+    World world(smallDeployment(seed, 4, 3));
     REQUIRE(runUntilFounded(world, 20s));
-    Busy busy(world);
-    busy.run(2s);
-    const std::size_t stalled = someMember(busy);
-    const Epoch before = busy.replicas().epoch;
+    ChangeLoad load(world);
+    load.run(2s);
+    const std::size_t stalled = someMember(load);
+    const Epoch before = load.replicas().epoch;
     for (int stall = 0; stall < 8; ++stall) {
       world.slowDisk(stalled, 3500ms);
-      busy.run(100ms);
+      load.run(100ms);
       world.slowDisk(stalled, Span{});
-      busy.run(6s);
+      load.run(6s);
     }
-    CHECK(busy.replicas().epoch.value - before.value <= 4);
-    CHECK(busy.fewest >= 3);
-    CHECK(busy.longestGap < kAckBound);
-    busy.check();
+    CHECK(load.replicas().epoch.value - before.value <= 4);
+    CHECK(load.minMembers >= 3);
+    CHECK(load.longestGap < kAckBound);
+    load.check();
   }
 }
 
 TEST_CASE("sim leaving: a disk thirty times slower costs no step") {
-  World world(small(3, 4, 3));
+  World world(smallDeployment(3, 4, 3));
   REQUIRE(runUntilFounded(world, 20s));
-  Busy busy(world);
-  busy.run(2s);
-  const Epoch before = busy.replicas().epoch;
-  world.slowDisk(someMember(busy), 150ms);
-  busy.run(20s);
-  CHECK(busy.replicas().epoch == before);
-  CHECK(busy.longestGap < kAckBound);
-  busy.check();
+  ChangeLoad load(world);
+  load.run(2s);
+  const Epoch before = load.replicas().epoch;
+  world.slowDisk(someMember(load), 150ms);
+  load.run(20s);
+  CHECK(load.replicas().epoch == before);
+  CHECK(load.longestGap < kAckBound);
+  load.check();
 }
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -1,4 +1,5 @@
-// How many register replicas there are, and where: the plan, the settings, and the simulated fleet.
+// The number and placement of register replicas: the calculation, the settings and the simulated
+// fleet.
 #include <catch2/catch.hpp>
 
 #include <map>
@@ -50,8 +51,8 @@
   return counts;
 }
 
-// The grown deployments: five replicas, two machines may be lost at once.
-WorldSettings grown(std::uint64_t seed, std::size_t disks) {
+// Settings of a large deployment: five replicas, of which two may be lost at once.
+WorldSettings largeDeployment(std::uint64_t seed, std::size_t disks) {
   WorldSettings settings;
   settings.seed = seed;
   settings.bootstrap = true;
@@ -71,7 +72,7 @@
   CHECK(replicasWanted({3, 0, 0}, zonesIn(4, 1)) == 7);
   CHECK(replicasWanted({1, 1, 0}, zonesIn(3, 1)) == 3);
   CHECK(replicasWanted({1, 2, 0}, zonesIn(5, 1)) == 5);
-  CHECK(replicasWanted({1, 2, 0}, zonesIn(4, 1)) == 3);  // no number bears two zones of four
+  CHECK(replicasWanted({1, 2, 0}, zonesIn(4, 1)) == 3);  // losing two of four zones isn't tolerable
   CHECK(replicasWanted({1, 0, 1}, zonesIn(6, 3)) == 3);
   CHECK(replicasWanted({1, 0, 2}, zonesIn(10, 5)) == 5);
   CHECK(replicasWanted({9, 0, 0}, {}) == 9);
@@ -83,14 +84,14 @@
 }
 
 TEST_CASE("platform settings: tolerate and catchupS give the replicas and the span of a repair") {
-  const auto two = platform::readSettings(
+  const auto tolerateTwo = platform::readSettings(
       settingsWith("tolerate.nodes=2\ntolerate.zones=0\ntolerate.regions=0\nbounds.catchupS=6\n"
                    "zones.east=north\nzones.west=north\n"));
-  REQUIRE(two.ok());
-  CHECK(two->replicasWanted == 5);
-  CHECK(two->losses.machines == 2);
-  CHECK(two->catchUp == 6s);
-  CHECK(two->topology.regionOf("east") == "north");
+  REQUIRE(tolerateTwo.ok());
+  CHECK(tolerateTwo->replicasWanted == 5);
+  CHECK(tolerateTwo->losses.machines == 2);
+  CHECK(tolerateTwo->catchUp == 6s);
+  CHECK(tolerateTwo->topology.regionOf("east") == "north");
   const auto zones = platform::readSettings(
       settingsWith("tolerate.nodes=1\ntolerate.zones=2\nzones.a=n\nzones.b=n\nzones.c=n\n"
                    "zones.d=n\nzones.e=n\n"));
@@ -110,13 +111,13 @@
   REQUIRE(plain.ok());
   CHECK(plain->replicasWanted == 4);
   CHECK(plain->losses.machines == 1);
-  const auto two = loadedWith({{"bear_machines", "2"}, {"catch_up_ms", "6000"}});
-  REQUIRE(two.ok());
-  CHECK(two->replicasWanted == 5);
-  CHECK(two->catchUp == 6s);
-  const auto few = loadedWith({{"bear_machines", "2"}, {"copies_wanted", "4"}});
-  REQUIRE_FALSE(few.ok());
-  CHECK_THAT(std::string(few.status().message()), Contains("copies_wanted") && Contains("5"));
+  const auto tolerateTwo = loadedWith({{"bear_machines", "2"}, {"catch_up_ms", "6000"}});
+  REQUIRE(tolerateTwo.ok());
+  CHECK(tolerateTwo->replicasWanted == 5);
+  CHECK(tolerateTwo->catchUp == 6s);
+  const auto tooFew = loadedWith({{"bear_machines", "2"}, {"copies_wanted", "4"}});
+  REQUIRE_FALSE(tooFew.ok());
+  CHECK_THAT(std::string(tooFew.status().message()), Contains("copies_wanted") && Contains("5"));
   const auto zones = loadedWith({{"bear_zones", "1"}});
   REQUIRE_FALSE(zones.ok());
   CHECK_THAT(std::string(zones.status().message()), Contains("region_of_zone"));
@@ -127,7 +128,7 @@
   Span slowest{};
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
-    World world(grown(seed, seed % 2 == 0 ? 8 : 5));
+    World world(largeDeployment(seed, seed % 2 == 0 ? 8 : 5));
     const auto isFull = [&] {
       const ReplicaSet& replicas = setSeenBy(world, world.diskMachines());
       return replicas.members.size() == 5 && replicas.settled;
@@ -139,7 +140,7 @@
     world.run(1s);
     REQUIRE(world.asked(first).done);
     REQUIRE(world.asked(first).done->result == ChangeResult::Chosen);
-    // Two members lose their disks in one moment, right after a yes.
+    // Two members lose their disks at the same time, right after a change was acknowledged.
     for (std::size_t machine : {0U, 1U}) {
       world.crash(machine, true);
       world.wipeDisk(machine);
@@ -163,9 +164,9 @@
 TEST_CASE("sim: while spares wait the replica set never holds fewer than wanted") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
-    World world(grown(seed, 8));
+    World world(largeDeployment(seed, 8));
     REQUIRE(runUntilFounded(world, 20s));
-    // A member is lost for good, then another one; spares wait.
+    // Two members are lost for good, one after the other, while spare machines are available.
     std::size_t fewest = 9, last = 9;
     for (std::size_t machine : {0U, 1U}) {
       world.crash(machine, true);
@@ -184,9 +185,9 @@
 TEST_CASE("sim: replicas are spread over the zones as evenly as the machines allow") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
-    World world(grown(seed, 8));  // two machines in each of four zones
+    World world(largeDeployment(seed, 8));  // two machines in each of four zones
     REQUIRE(runUntilFounded(world, 20s));
-    world.run(3s);  // a zone heard of last is taken in by an exchange
+    world.run(3s);  // time to exchange a member if a zone became known late
     const auto isEven = [&] {
       for (const auto& [zone, count] : zoneCounts(world, 8)) {
         if (count < 1 || count > 2) return false;
@@ -214,7 +215,7 @@
     settings.replicasWanted = 3;
     World world(settings);
     REQUIRE(runUntilFounded(world, 20s));
-    // Zone 0 is away for long: a second replica comes to stand in another zone.
+    // Zone 0 is down for long, so that another zone gets a second replica.
     world.crash(0, true);
     world.crash(3, true);
     world.run(20s);
@@ -225,7 +226,7 @@
     for (const auto& [zone, count] : zoneCounts(world, 6)) {
       if (zone < 3) CHECK(count == 1);
     }
-    // So the loss of any one zone leaves a majority.
+    // Therefore the loss of any one zone leaves a majority.
     const std::uint64_t version = world.core(6).freshness().configuration().value.version;
     world.cut({seed % 3, seed % 3 + 3}, true);
     const std::uint64_t id = world.change(6, version, "kept");
--- a/tests/rollout_order_tests.cpp
+++ b/tests/rollout_order_tests.cpp
@@ -1,4 +1,4 @@
-// The orders of a roll-out: lost, refused, fenced off, given again.
+// The orders of a rollout: lost, refused, fenced off or repeated.
 #include "rollout_stage.h"
 
 using namespace quayrill;
@@ -16,32 +16,32 @@
 }  // namespace
 
 TEST_CASE("rollout: a holder whose fence is passed stops and orders under it no more") {
-  Bench bench(6, 1800ms, 15s);
-  bench.servers[0].highest = bench.servers[1].highest = Fence{9};
-  for (Played& server : bench.servers) server.highest = Fence{9};
-  bench.holders[0].fence = Fence{8};
-  bench.name(2);
-  bench.run(2s);
-  CHECK(bench.holders[0].rollout.isFencedOff(Fence{8}));
-  CHECK(bench.holders[0].rollout.isIdle());
-  const std::size_t before = bench.orders;
+  RolloutSimulation simulation(6, 1800ms, 15s);
+  simulation.servers[0].highest = simulation.servers[1].highest = Fence{9};
+  for (SimulatedServer& server : simulation.servers) server.highest = Fence{9};
+  simulation.holders[0].fence = Fence{8};
+  simulation.name(2);
+  simulation.run(2s);
+  CHECK(simulation.holders[0].rollout.isFencedOff(Fence{8}));
+  CHECK(simulation.holders[0].rollout.isIdle());
+  const std::size_t before = simulation.orders;
   CHECK(before <= 2);
-  bench.run(5s);
-  CHECK(bench.orders == before);
-  bench.holders[0].fence = Fence{10};
-  bench.untilAllOn(2);
-  CHECK(bench.allOn(2));
+  simulation.run(5s);
+  CHECK(simulation.orders == before);
+  simulation.holders[0].fence = Fence{10};
+  simulation.untilAllOn(2);
+  CHECK(simulation.allOn(2));
 }
 
 TEST_CASE("rollout: an order that was lost is given again, one whose answer was lost is not") {
-  Bench lost(6, 1800ms, 15s);
-  lost.losesOrder = 2;
+  RolloutSimulation lost(6, 1800ms, 15s);
+  lost.ordersToLose = 2;
   lost.holders[0].fence = Fence{7};
   lost.name(2);
   CHECK(lost.untilAllOn(2) < 15s);
-  CHECK(lost.orders == 6);  // of those that got there
-  Bench unclear(6, 1800ms, 15s);
-  unclear.losesAnswer = 3;
+  CHECK(lost.orders == 6);  // the orders that arrived
+  RolloutSimulation unclear(6, 1800ms, 15s);
+  unclear.answersToLose = 3;
   unclear.holders[0].fence = Fence{7};
   unclear.name(2);
   CHECK(unclear.untilAllOn(2) < 15s);
@@ -49,52 +49,53 @@
 }
 
 TEST_CASE("rollout: where reports are turned away it takes a little longer, and ends") {
-  Bench bench(18, 1800ms, 15s);
-  bench.refusesReports = true;
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  CHECK(bench.untilAllOn(2) < 18s);
-  CHECK(bench.orders == 18);
+  RolloutSimulation simulation(18, 1800ms, 15s);
+  simulation.losesReports = true;
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  CHECK(simulation.untilAllOn(2) < 18s);
+  CHECK(simulation.orders == 18);
 }
 
 TEST_CASE("rollout: a server that restarts on an old version, and a new one, are ordered too") {
-  Bench bench(6, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  REQUIRE(bench.untilAllOn(2) < 15s);
-  bench.run(5s);
-  Played& back = bench.servers[3];
-  back.identity = ServerIdentity{"again"};
-  back.weights = 1;
-  back.highest = {};
-  back.past.assign(1, {bench.now, {1, false}});
-  bench.run(6s);
-  CHECK(bench.allOn(2));
-  CHECK(bench.orders == 7);
+  RolloutSimulation simulation(6, 1800ms, 15s);
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  REQUIRE(simulation.untilAllOn(2) < 15s);
+  simulation.run(5s);
+  SimulatedServer& restarted = simulation.servers[3];
+  restarted.identity = ServerIdentity{"again"};
+  restarted.weights = 1;
+  restarted.highest = {};
+  restarted.pastStates.assign(1, {simulation.now, {1, false}});
+  simulation.run(6s);
+  CHECK(simulation.allOn(2));
+  CHECK(simulation.orders == 7);
 }
 
 TEST_CASE("rollout: a refusal drops that life of a server until it is listed anew") {
-  Bench bench(3, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
-  Played& other = bench.servers[1];
+  RolloutSimulation simulation(3, 1800ms, 15s);
+  simulation.holders[0].fence = Fence{7};
+  SimulatedServer& other = simulation.servers[1];
   const ServerIdentity listed = other.identity;
-  bench.name(2);
-  // Another server is at its address, and the list does not show it yet.
-  RolloutView view{
-      secondNamedAt(bench.now - 1s), {{other.name, listed, WeightsVersion{"1"}, true}}, Fence{7}};
+  simulation.name(2);
+  // Another server has taken the address, and the list doesn't show it yet.
+  RolloutView view{secondNamedAt(simulation.now - 1s),
+                   {{other.name, listed, WeightsVersion{"1"}, true}},
+                   Fence{7}};
   Rollout rollout(kModel, {15s, {}});
-  RolloutEffects made;
-  rollout.onTick(view, bench.now, &made);
-  REQUIRE(made.orders.size() == 1);
-  rollout.onOrderAnswer(made.orders[0], OrderAnswer::Refused, bench.now, &made);
+  RolloutEffects effects;
+  rollout.onTick(view, simulation.now, &effects);
+  REQUIRE(effects.orders.size() == 1);
+  rollout.onOrderAnswer(effects.orders[0], OrderAnswer::Refused, simulation.now, &effects);
   RolloutEffects later;
-  for (int i = 1; i < 100; ++i) rollout.onTick(view, bench.now + i * 100ms, &later);
+  for (int i = 1; i < 100; ++i) rollout.onTick(view, simulation.now + i * 100ms, &later);
   CHECK(later.orders.empty());
   CHECK(rollout.isIdle());
   CHECK_FALSE(rollout.wantsLease(view));
   view.servers[0].identity = ServerIdentity{"other"};
   CHECK(rollout.wantsLease(view));
-  rollout.onTick(view, bench.now + 11s, &later);
+  rollout.onTick(view, simulation.now + 11s, &later);
   CHECK(later.orders.size() == 1);
 }
 
@@ -106,11 +107,11 @@
   Rollout rollout(kModel, {15s, {}});
   std::vector<Instant> ordered;
   for (Instant now = start; now < start + 20s; now += 50ms) {
-    RolloutEffects made;
-    rollout.onTick(view, now, &made);
-    if (made.orders.empty()) continue;
+    RolloutEffects effects;
+    rollout.onTick(view, now, &effects);
+    if (effects.orders.empty()) continue;
     ordered.push_back(now);
-    rollout.onOrderAnswer(made.orders[0], OrderAnswer::UnknownVersion, now, &made);
+    rollout.onOrderAnswer(effects.orders[0], OrderAnswer::UnknownVersion, now, &effects);
     CHECK(rollout.isIdle());
     CHECK(rollout.wantsLease(view));
   }
@@ -119,11 +120,11 @@
   CHECK(ordered[1] - ordered[0] <= 1s);
   for (std::size_t i = 2; i < ordered.size(); ++i)
     CHECK(ordered[i] - ordered[i - 1] >= ordered[i - 1] - ordered[i - 2]);
-  // Once it knows the version it is brought to it.
-  RolloutEffects made, done;
-  rollout.onTick(view, start + 30s, &made);
-  REQUIRE(made.orders.size() == 1);
-  rollout.onOrderAnswer(made.orders[0], OrderAnswer::AlreadyHolds, start + 30s, &done);
+  // Once the server knows the version, it is switched to it.
+  RolloutEffects effects, done;
+  rollout.onTick(view, start + 30s, &effects);
+  REQUIRE(effects.orders.size() == 1);
+  rollout.onOrderAnswer(effects.orders[0], OrderAnswer::AlreadyHolds, start + 30s, &done);
   CHECK_FALSE(rollout.wantsLease(view));
 }
 
@@ -133,27 +134,27 @@
     view.servers.push_back({ServerName{name}, ServerIdentity{"i"}, WeightsVersion{"1"}, true});
   Rollout rollout(kModel, {15s, {}});
   const Instant now{1000s};
-  RolloutEffects made, later;
-  rollout.onTick(view, now, &made);
-  REQUIRE(made.orders.size() == 2);
-  rollout.onOrderAnswer(made.orders[0], OrderAnswer::Fenced, now, &later);
+  RolloutEffects effects, later;
+  rollout.onTick(view, now, &effects);
+  REQUIRE(effects.orders.size() == 2);
+  rollout.onOrderAnswer(effects.orders[0], OrderAnswer::Fenced, now, &later);
   CHECK(rollout.isFencedOff(Fence{7}));
   CHECK(rollout.hasOpenOrder());
   rollout.onTick(view, now + 50ms, &later);
   CHECK(later.orders.empty());
-  rollout.onOrderAnswer(made.orders[1], OrderAnswer::Unclear, now + 1s, &later);
+  rollout.onOrderAnswer(effects.orders[1], OrderAnswer::Unclear, now + 1s, &later);
   CHECK_FALSE(rollout.hasOpenOrder());
 }
 
 TEST_CASE("rollout: servers that answer nothing hold no places of those that do") {
-  Bench bench(18, 1800ms, 15s);
-  for (std::size_t i = 0; i < 9; ++i) bench.servers[2 * i].mute = true;
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  bench.run(10s);
-  for (std::size_t i = 0; i < 9; ++i) CHECK(bench.servers[2 * i + 1].weights == 2);
-  // Once they answer they are brought there too.
-  for (Played& server : bench.servers) server.mute = false;
-  bench.run(15s);
-  CHECK(bench.allOn(2));
+  RolloutSimulation simulation(18, 1800ms, 15s);
+  for (std::size_t i = 0; i < 9; ++i) simulation.servers[2 * i].unresponsive = true;
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  simulation.run(10s);
+  for (std::size_t i = 0; i < 9; ++i) CHECK(simulation.servers[2 * i + 1].weights == 2);
+  // Once they answer, they are switched too.
+  for (SimulatedServer& server : simulation.servers) server.unresponsive = false;
+  simulation.run(15s);
+  CHECK(simulation.allOn(2));
 }
--- a/tests/rollout_stage.h
+++ b/tests/rollout_stage.h
@@ -1,5 +1,5 @@
 #pragma once
-// Servers, holders of the lease and their clocks, played for the tests of the roll-out.
+// A simulation of servers, lease holders and their clock for the tests of the rollout.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <map>
@@ -10,60 +10,65 @@
 using namespace std::chrono_literals;
 
 inline const ModelName kModel{"m"};
-constexpr Span kListLag = 1800ms;  // the list's own and that of its reading
-constexpr Span kReportLag = 200ms;
-constexpr Span kOrderDue = 1500ms;
+constexpr Span kListAge = 1800ms;  // the age of the list, including the interval between reads
+constexpr Span kReportAge = 200ms;
+constexpr Span kOrderTimeout = 1500ms;
 constexpr Span kStep = 10ms;
 
-struct Played {
+// A simulated server that takes orders and switches its weights.
+struct SimulatedServer {
   ServerName name;
   ServerIdentity identity;
   std::uint64_t weights = 1;
-  std::uint64_t target = 0;  // 0: no order under way
-  Span streams{}, load{};    // what is left of each
+  std::uint64_t target = 0;  // 0: no order in progress
+  Span streams{}, load{};    // time left for open streams, and then for loading
   Fence highest;
   bool leaving = false;
-  bool mute = false;  // it takes nothing and answers nothing, which shows after kOrderDue
-  std::deque<std::pair<Instant, std::pair<std::uint64_t, bool>>> past;  // weights, busy
+  bool unresponsive = false;  // accepts and answers nothing; requests time out after kOrderTimeout
+  std::deque<std::pair<Instant, std::pair<std::uint64_t, bool>>> pastStates;  // weights, busy
   std::size_t orders = 0;
 
   std::pair<std::uint64_t, bool> asOf(Instant at) const {
-    std::pair<std::uint64_t, bool> seen = past.front().second;
-    for (const auto& [when, what] : past) {
+    std::pair<std::uint64_t, bool> seen = pastStates.front().second;
+    for (const auto& [when, what] : pastStates) {
       if (when <= at) seen = what;
     }
     return seen;
   }
 };
 
-struct Holder {
-  explicit Holder(RolloutSettings settings) : rollout(kModel, settings) {}
+// A daemon that may hold the lease.
+struct LeaseHolder {
+  explicit LeaseHolder(RolloutSettings settings) : rollout(kModel, settings) {}
   Rollout rollout;
   ServerNotes notes;
   std::optional<Fence> fence;
   bool up = true;
-  std::vector<std::pair<Instant, WeightsOrder>> calls;                      // open orders
-  std::vector<std::pair<Instant, std::pair<ReportRequest, Instant>>> asks;  // open questions
+  std::vector<std::pair<Instant, WeightsOrder>> pendingOrders;  // unanswered orders
+  std::vector<std::pair<Instant, std::pair<ReportRequest, Instant>>>
+      pendingReports;  // unanswered report requests
 };
 
-struct Bench {
-  Bench(int count, Span load, Span due, Span takeoverWait = {}) : loadSpan(load), due(due) {
+// The simulation. The tests set a holder's fence to give it the lease.
+struct RolloutSimulation {
+  RolloutSimulation(int count, Span load, Span bound, Span takeoverWait = {})
+      : loadSpan(load), bound(bound) {
     for (int i = 0; i < count; ++i) {
-      Played server;
+      SimulatedServer server;
       server.name = ServerName{"10.0." + std::to_string(i / 5) + "." + std::to_string(i) + ":1"};
       server.identity = ServerIdentity{"i" + std::to_string(i)};
-      server.past.push_back({now, {1, false}});
+      server.pastStates.push_back({now, {1, false}});
       servers.push_back(server);
     }
     history.name(WeightsVersion{"1"}, std::nullopt);
-    for (int i = 0; i < 2; ++i) holders.emplace_back(RolloutSettings{due, takeoverWait});
+    for (int i = 0; i < 2; ++i) holders.emplace_back(RolloutSettings{bound, takeoverWait});
   }
-  Played& at(const ServerName& name) {
+  SimulatedServer& at(const ServerName& name) {
     return *std::find_if(servers.begin(), servers.end(),
-                         [&](const Played& server) { return server.name == name; });
+                         [&](const SimulatedServer& server) { return server.name == name; });
   }
-  OrderAnswer take(const WeightsOrder& order) {
-    Played& server = at(order.server);
+  OrderAnswer receiveOrder(const WeightsOrder& order) {
+    SimulatedServer& server = at(order.server);
     ++orders;
     ++server.orders;
     if (order.identity != server.identity) return OrderAnswer::Refused;
@@ -78,12 +83,13 @@
     server.load = loadSpan;
     return OrderAnswer::Taken;
   }
-  void playServers() {
-    const auto loading = std::count_if(servers.begin(), servers.end(), [](const Played& server) {
-      return server.target > 0 && server.streams <= Span{};
-    });
+  void stepServers() {
+    const auto loading =
+        std::count_if(servers.begin(), servers.end(), [](const SimulatedServer& server) {
+          return server.target > 0 && server.streams <= Span{};
+        });
     std::size_t switching = 0;
-    for (Played& server : servers) {
+    for (SimulatedServer& server : servers) {
       if (server.target > 0) {
         ++switching;
         if (server.streams > Span{})
@@ -95,85 +101,86 @@
           server.target = 0;
         }
       }
-      server.past.push_back({now, {server.weights, server.target > 0}});
-      while (server.past.size() > 300) server.past.pop_front();
-      // The naming that put this server's version out of date starts the time it has left.
+      server.pastStates.push_back({now, {server.weights, server.target > 0}});
+      while (server.pastStates.size() > 300) server.pastStates.pop_front();
+      // The time of a version counts from the first naming that superseded it.
       const auto newer = namings.upper_bound(server.weights);
       if (newer != namings.end()) longestBehind = std::max(longestBehind, now - newer->second);
     }
     mostSwitching = std::max(mostSwitching, switching);
   }
-  void apply(Holder& holder, const RolloutEffects& made) {
-    for (const WeightsOrder& order : made.orders)
-      holder.calls.push_back({now + (at(order.server).mute ? kOrderDue : 5ms), order});
-    for (const ReportRequest& ask : made.reportRequests) {
-      holder.asks.push_back({now + 5ms, {ask, now}});
+  void apply(LeaseHolder& holder, const RolloutEffects& effects) {
+    for (const WeightsOrder& order : effects.orders)
+      holder.pendingOrders.push_back(
+          {now + (at(order.server).unresponsive ? kOrderTimeout : 5ms), order});
+    for (const ReportRequest& ask : effects.reportRequests) {
+      holder.pendingReports.push_back({now + 5ms, {ask, now}});
       ++reportRequests;
     }
-    for (const ServerNote& note : made.notes) {
-      for (Holder& other : holders) other.notes.onNote(note, now);
+    for (const ServerNote& note : effects.notes) {
+      for (LeaseHolder& other : holders) other.notes.onNote(note, now);
       ++noteCount;
     }
   }
-  void playHolder(Holder& holder) {
+  void stepHolder(LeaseHolder& holder) {
     if (!holder.up) return;
     if ((now.time_since_epoch() / kStep) % 5 == 0) {
       RolloutView view;
       view.weights = history;
       view.fence = holder.fence;
-      for (const Played& server : servers) {
-        const auto shown = std::to_string(server.asOf(now - kListLag).first);
+      for (const SimulatedServer& server : servers) {
+        const auto shown = std::to_string(server.asOf(now - kListAge).first);
         const auto known =
             holder.notes.overlay(server.name, server.identity, WeightsVersion{shown}, now);
         view.servers.push_back(
             {server.name, server.identity, known.weights, !server.leaving, known.switching});
       }
-      RolloutEffects made;
-      holder.rollout.onTick(view, now, &made);
-      if (!view.fence) CHECK(made.orders.empty());
-      apply(holder, made);
+      RolloutEffects effects;
+      holder.rollout.onTick(view, now, &effects);
+      if (!view.fence) CHECK(effects.orders.empty());
+      apply(holder, effects);
     }
-    const auto calls = std::exchange(holder.calls, {});
-    for (const auto& [when, order] : calls) {
+    const auto pendingOrders = std::exchange(holder.pendingOrders, {});
+    for (const auto& [when, order] : pendingOrders) {
       if (when > now) {
-        holder.calls.push_back({when, order});
+        holder.pendingOrders.push_back({when, order});
         continue;
       }
       OrderAnswer answer = OrderAnswer::Unclear;
-      if (losesOrder > 0)
-        --losesOrder;  // it never gets there
-      else if (!at(order.server).mute)
-        answer = take(order);
-      if (losesAnswer > 0) {
-        --losesAnswer;
+      if (ordersToLose > 0)
+        --ordersToLose;  // the order is lost
+      else if (!at(order.server).unresponsive)
+        answer = receiveOrder(order);
+      if (answersToLose > 0) {
+        --answersToLose;
         answer = OrderAnswer::Unclear;
       }
       answers.push_back(answer);
-      RolloutEffects made;
-      holder.rollout.onOrderAnswer(order, answer, now, &made);
-      apply(holder, made);
+      RolloutEffects effects;
+      holder.rollout.onOrderAnswer(order, answer, now, &effects);
+      apply(holder, effects);
     }
-    const auto asks = std::exchange(holder.asks, {});
-    for (const auto& [when, ask] : asks) {
+    const auto pendingReports = std::exchange(holder.pendingReports, {});
+    for (const auto& [when, ask] : pendingReports) {
       if (when > now) {
-        holder.asks.push_back({when, ask});
+        holder.pendingReports.push_back({when, ask});
         continue;
       }
-      const auto [weights, busy] = at(ask.first.server).asOf(now - kReportLag);
+      const auto [weights, busy] = at(ask.first.server).asOf(now - kReportAge);
       std::optional<WeightsReport> report =
           WeightsReport{kModel, WeightsVersion{std::to_string(weights)}, busy};
-      if (refusesReports && ++refusals % 3 != 0) report.reset();
-      if (at(ask.first.server).mute) report.reset();
-      RolloutEffects made;
-      holder.rollout.onReport(ask.first, report, ask.second, now, &made);
-      apply(holder, made);
+      if (losesReports && ++reportCount % 3 != 0) report.reset();
+      if (at(ask.first.server).unresponsive) report.reset();
+      RolloutEffects effects;
+      holder.rollout.onReport(ask.first, report, ask.second, now, &effects);
+      apply(holder, effects);
     }
   }
   void run(Span span) {
     for (const Instant until = now + span; now < until;) {
       now += kStep;
-      playServers();
-      for (Holder& holder : holders) playHolder(holder);
+      stepServers();
+      for (LeaseHolder& holder : holders) stepHolder(holder);
     }
   }
   void name(std::uint64_t weights) {
@@ -183,26 +190,26 @@
   }
   bool allOn(std::uint64_t weights) const {
     return std::all_of(servers.begin(), servers.end(),
-                       [&](const Played& server) { return server.weights == weights; });
+                       [&](const SimulatedServer& server) { return server.weights == weights; });
   }
   Span untilAllOn(std::uint64_t weights, Span limit = 60s) {
     while (!allOn(weights) && now - namedAt < limit) run(kStep);
     return now - namedAt;
   }
 
-  Span loadSpan, due;
+  Span loadSpan, bound;
   Instant now{1000s};
   Instant namedAt{};
   WeightsHistory history;
-  std::map<std::uint64_t, Instant> namings;  // each version, by when it was named
-  Span longestBehind{};                      // the longest that a server kept a superseded version
-  std::vector<Played> servers;
-  std::deque<Holder> holders;
+  std::map<std::uint64_t, Instant> namings;  // when each version was named
+  Span longestBehind{};  // the longest time that a server kept a superseded version
+  std::vector<SimulatedServer> servers;
+  std::deque<LeaseHolder> holders;
   std::vector<std::pair<Instant, Fence>> arrivals;
   std::vector<OrderAnswer> answers;
   std::size_t mostSwitching = 0, orders = 0, reportRequests = 0, noteCount = 0;
-  int losesOrder = 0, losesAnswer = 0, refusals = 0;
-  bool refusesReports = false;
+  int ordersToLose = 0, answersToLose = 0, reportCount = 0;
+  bool losesReports = false;
 };
 
 }  // namespace quayrill::tests
--- a/tests/rollout_tests.cpp
+++ b/tests/rollout_tests.cpp
@@ -1,4 +1,5 @@
-// The roll-out of weights: how many servers at once, until when, and by whom.
+// The rollout of weights: how many servers switch at once, how long it takes, and under which
+// lease.
 #include "rollout_stage.h"
 
 using namespace quayrill;
@@ -6,66 +7,66 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("rollout: 18 servers are done within the bound, and never more than a third switches") {
-  for (const auto& [load, due] : {std::pair<Span, Span>{1800ms, 15s}, {1100ms, 12s}}) {
-    Bench bench(18, load, due);
-    bench.name(2);
-    bench.run(600ms);  // until the lease is there
-    CHECK(bench.orders == 0);
-    bench.holders[0].fence = Fence{7};
-    CHECK(bench.untilAllOn(2) < due);
-    CHECK(bench.mostSwitching <= 6);
-    CHECK(bench.orders == 18);  // each one priced, none in vain
-    bench.run(5s);
-    CHECK(bench.orders == 18);
-    CHECK(bench.holders[0].rollout.isIdle());
-    CHECK(bench.reportRequests <= 18 * 14);
+  for (const auto& [load, bound] : {std::pair<Span, Span>{1800ms, 15s}, {1100ms, 12s}}) {
+    RolloutSimulation simulation(18, load, bound);
+    simulation.name(2);
+    simulation.run(600ms);  // before the lease is acquired
+    CHECK(simulation.orders == 0);
+    simulation.holders[0].fence = Fence{7};
+    CHECK(simulation.untilAllOn(2) < bound);
+    CHECK(simulation.mostSwitching <= 6);
+    CHECK(simulation.orders == 18);  // every order costs a call, and none is wasted
+    simulation.run(5s);
+    CHECK(simulation.orders == 18);
+    CHECK(simulation.holders[0].rollout.isIdle());
+    CHECK(simulation.reportRequests <= 18 * 14);
   }
 }
 
 TEST_CASE("rollout: few servers go one at a time while there is time") {
-  Bench bench(3, 1800ms, 15s);
-  bench.name(2);
-  bench.holders[0].fence = Fence{7};
-  CHECK(bench.untilAllOn(2) < 12s);
-  CHECK(bench.mostSwitching == 1);
+  RolloutSimulation simulation(3, 1800ms, 15s);
+  simulation.name(2);
+  simulation.holders[0].fence = Fence{7};
+  CHECK(simulation.untilAllOn(2) < 12s);
+  CHECK(simulation.mostSwitching == 1);
 }
 
 TEST_CASE(
     "rollout: a lease that was taken over waits, and so do the orders, which then take no longer") {
-  Bench bench(18, 1800ms, 15s, 3s);
-  bench.name(2);
-  bench.run(600ms);
-  bench.holders[0].fence = Fence{7};
-  bench.run(2900ms);
-  CHECK(bench.orders == 0);
-  // Three loads at a time take 10.8 s in all, so with the wait the whole passes 15 s.
-  CHECK(bench.untilAllOn(2) - 3600ms < 13s);
-  CHECK(bench.arrivals.front().first - bench.namedAt >= 3600ms);
-  // The next fence of the same holder follows nobody else's.
-  bench.holders[0].fence = Fence{8};
-  bench.name(3);
-  bench.run(200ms);
-  CHECK(bench.orders > 18);
+  RolloutSimulation simulation(18, 1800ms, 15s, 3s);
+  simulation.name(2);
+  simulation.run(600ms);
+  simulation.holders[0].fence = Fence{7};
+  simulation.run(2900ms);
+  CHECK(simulation.orders == 0);
+  // With three loads at a time the rollout takes 10.8 s, so with the wait it exceeds 15 s.
+  CHECK(simulation.untilAllOn(2) - 3600ms < 13s);
+  CHECK(simulation.arrivals.front().first - simulation.namedAt >= 3600ms);
+  // The next fence shows that no other daemon held the lease in between.
+  simulation.holders[0].fence = Fence{8};
+  simulation.name(3);
+  simulation.run(200ms);
+  CHECK(simulation.orders > 18);
 }
 
 TEST_CASE("rollout: a holder that crashes midway is followed by another under a higher fence") {
-  Bench bench(18, 1800ms, 15s, 3s);
-  bench.holders[0].fence = Fence{7};
-  bench.run(4s);  // it has long held
-  bench.name(2);
-  bench.run(3s);
-  bench.holders[0].up = false;
-  const std::size_t before = bench.orders;
-  const Instant crashed = bench.now;
+  RolloutSimulation simulation(18, 1800ms, 15s, 3s);
+  simulation.holders[0].fence = Fence{7};
+  simulation.run(4s);  // it has held the lease for a while
+  simulation.name(2);
+  simulation.run(3s);
+  simulation.holders[0].up = false;
+  const std::size_t before = simulation.orders;
+  const Instant crashed = simulation.now;
   CHECK(before > 0);
-  bench.run(4500ms);  // the dead holder's term
-  bench.holders[1].fence = Fence{8};
-  bench.run(2900ms);
-  CHECK(bench.orders == before);
-  bench.untilAllOn(2);
-  CHECK(bench.allOn(2));
+  simulation.run(4500ms);  // the term of the crashed holder
+  simulation.holders[1].fence = Fence{8};
+  simulation.run(2900ms);
+  CHECK(simulation.orders == before);
+  simulation.untilAllOn(2);
+  CHECK(simulation.allOn(2));
   Fence highest;
-  for (const auto& [at, fence] : bench.arrivals) {
+  for (const auto& [at, fence] : simulation.arrivals) {
     CHECK(fence >= highest);
     highest = std::max(highest, fence);
     if (fence == Fence{8}) CHECK(at - crashed >= 7s);
@@ -73,101 +74,103 @@
 }
 
 TEST_CASE("rollout: weights named during a roll-out are gone on with") {
-  Bench bench(18, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  bench.run(4s);
-  bench.name(3);
-  CHECK(bench.untilAllOn(3) < 17s);
-  CHECK(bench.mostSwitching <= 9);
-  CHECK(bench.orders < 18 + 18);  // those that had no order yet skip the version between
+  RolloutSimulation simulation(18, 1800ms, 15s);
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  simulation.run(4s);
+  simulation.name(3);
+  CHECK(simulation.untilAllOn(3) < 17s);
+  CHECK(simulation.mostSwitching <= 9);
+  CHECK(simulation.orders < 18 + 18);  // servers without an order skip version 2
 }
 
 TEST_CASE("rollout: a leaving server gets no order") {
-  Bench bench(6, 1800ms, 15s);
-  bench.servers[2].leaving = true;
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  bench.run(20s);
-  CHECK(bench.servers[2].orders == 0);
-  CHECK(bench.servers[0].weights == 2);
+  RolloutSimulation simulation(6, 1800ms, 15s);
+  simulation.servers[2].leaving = true;
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  simulation.run(20s);
+  CHECK(simulation.servers[2].orders == 0);
+  CHECK(simulation.servers[0].weights == 2);
 }
 
 TEST_CASE("rollout: past the bound half of the servers switch at once, and serve before the rest") {
   for (const int count : {6, 18}) {
     CAPTURE(count);
-    Bench late(count, 1800ms, 15s);
-    late.name(2);
-    late.run(16s);  // nobody held the leader role
-    late.holders[0].fence = Fence{7};
-    late.run(100ms);
+    RolloutSimulation overdue(count, 1800ms, 15s);
+    overdue.name(2);
+    overdue.run(16s);  // no daemon held the lease
+    overdue.holders[0].fence = Fence{7};
+    overdue.run(100ms);
     const auto half = static_cast<std::size_t>(count) / 2;
-    CHECK(late.mostSwitching == half);
-    // Nobody serves until then. Loads share what the servers' stores give: three at full speed.
+    CHECK(overdue.mostSwitching == half);
+    // None of them serves meanwhile. Loads share the bandwidth of the stores, which is enough for
+    // three at full speed.
     const Span all = 1800ms * count / 3;
     const auto reached = [&] {
       return static_cast<std::size_t>(
-          std::count_if(late.servers.begin(), late.servers.end(),
-                        [](const Played& server) { return server.weights == 2; }));
+          std::count_if(overdue.servers.begin(), overdue.servers.end(),
+                        [](const SimulatedServer& server) { return server.weights == 2; }));
     };
-    late.run(500ms + all / 2 + 200ms);
+    overdue.run(500ms + all / 2 + 200ms);
     CHECK(reached() >= half);
-    late.run(all / 2 + 1500ms);
-    CHECK(late.allOn(2));
-    CHECK(late.mostSwitching == half);
-    CHECK(late.orders == static_cast<std::size_t>(count));
+    overdue.run(all / 2 + 1500ms);
+    CHECK(overdue.allOn(2));
+    CHECK(overdue.mostSwitching == half);
+    CHECK(overdue.orders == static_cast<std::size_t>(count));
   }
 }
 
 TEST_CASE("rollout: each version's own bound holds, whatever is named within it") {
-  struct Day {
-    Span load, due;
+  struct Case {
+    Span load, bound;
     std::size_t namings;
     Span gap;
   };
-  for (const Day& day : {Day{1800ms, 15s, 3, 7s}, Day{1100ms, 12s, 3, 7s}, Day{1800ms, 15s, 7, 3s},
-                         Day{1100ms, 12s, 7, 3s}, Day{1800ms, 15s, 12, 2s}}) {
-    CAPTURE(day.due.count(), day.namings, day.gap.count());
-    Bench bench(18, day.load, day.due);
-    bench.holders[0].fence = Fence{7};
-    for (std::size_t i = 0; i < day.namings; ++i) {
-      bench.name(2 + i);
-      bench.run(day.gap);
+  for (const Case& scenario :
+       {Case{1800ms, 15s, 3, 7s}, Case{1100ms, 12s, 3, 7s}, Case{1800ms, 15s, 7, 3s},
+        Case{1100ms, 12s, 7, 3s}, Case{1800ms, 15s, 12, 2s}}) {
+    CAPTURE(scenario.bound.count(), scenario.namings, scenario.gap.count());
+    RolloutSimulation simulation(18, scenario.load, scenario.bound);
+    simulation.holders[0].fence = Fence{7};
+    for (std::size_t i = 0; i < scenario.namings; ++i) {
+      simulation.name(2 + i);
+      simulation.run(scenario.gap);
     }
-    bench.untilAllOn(1 + day.namings);
-    CHECK(bench.allOn(1 + day.namings));
-    CHECK(bench.longestBehind < day.due);
-    CHECK(bench.mostSwitching <= 9);
+    simulation.untilAllOn(1 + scenario.namings);
+    CHECK(simulation.allOn(1 + scenario.namings));
+    CHECK(simulation.longestBehind < scenario.bound);
+    CHECK(simulation.mostSwitching <= 9);
   }
 }
 
 TEST_CASE("rollout: a server that reached a superseded version serves before it is ordered again") {
-  Bench bench(6, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
-  // Never longer without a naming than a server takes to switch.
+  RolloutSimulation simulation(6, 1800ms, 15s);
+  simulation.holders[0].fence = Fence{7};
+  // The interval between namings is shorter than a switch takes.
   for (std::uint64_t version = 2; version < 12; ++version) {
-    bench.name(version);
-    bench.run(2s);
+    simulation.name(version);
+    simulation.run(2s);
   }
-  for (const Played& server : bench.servers) CHECK(server.orders >= 1);
-  CHECK(bench.longestBehind < 15s);
+  for (const SimulatedServer& server : simulation.servers) CHECK(server.orders >= 1);
+  CHECK(simulation.longestBehind < 15s);
 }
 
 TEST_CASE(
     "rollout: the first servers are ordered at once, the others spread over a switch's time") {
-  Bench bench(18, 1800ms, 15s);
-  bench.holders[0].fence = Fence{7};
-  bench.name(2);
-  bench.run(100ms);
-  // Their number is what a holder that is lost now has done.
-  const std::size_t first = bench.orders;
+  RolloutSimulation simulation(18, 1800ms, 15s);
+  simulation.holders[0].fence = Fence{7};
+  simulation.name(2);
+  simulation.run(100ms);
+  // A holder that fails now has ordered this many.
+  const std::size_t first = simulation.orders;
   CHECK(first >= 4);
-  std::size_t most = 0;
-  while (!bench.allOn(2) && bench.now - bench.namedAt < 12s) {
-    const std::size_t before = bench.orders;
-    bench.run(100ms);
-    most = std::max(most, bench.orders - before);
+  std::size_t maxPerStep = 0;
+  while (!simulation.allOn(2) && simulation.now - simulation.namedAt < 12s) {
+    const std::size_t before = simulation.orders;
+    simulation.run(100ms);
+    maxPerStep = std::max(maxPerStep, simulation.orders - before);
   }
-  CHECK(most == 1);
-  CHECK(bench.untilAllOn(2) < 15s);
+  CHECK(maxPerStep == 1);
+  CHECK(simulation.untilAllOn(2) < 15s);
 }
