--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -64,11 +64,14 @@
  public:
   // `disk` has the contents of the data folder; nullopt if there is no data folder.
   AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk);
+  // Returns the first work for the replica's disk; call once, before any event.
   std::vector<ReplicaWork> start();
 
   void onMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onTick(Instant now, AgentEffects* effects);
+  // Starts an operation on the register. Its outcome is returned in AgentEffects::done.
   OperationId requestChange(ChangeRequest change, Instant now, AgentEffects* effects);
+  // A write to the disk failed: the replica stops voting.
   void onDiskError();
   // The data folder was reopened after an error, or opened late: the replica votes again, based on
   // what is actually on the disk. Returns false if the rows can't be decoded.
@@ -86,6 +89,7 @@
                     AgentEffects* effects);
   // One unit of replica work has been synced and answered.
   void onReplicaWorkDone() { --replicaBacklog_; }
+  // Announces that this daemon is leaving, so that its roles and its replica move to others.
   void setLeaving(bool leaving) { leaving_ = leaving; }
   // Replaces the seeds (at least one) that this daemon contacts, starting with the next tick. Known
   // peers, stored state and operations in progress are not affected.
@@ -102,6 +106,7 @@
   bool mayTakeOverRole(const std::string& role, Span overdue, Instant now) const;
   // Starts the next operation, if any, towards acquiring or renewing the lease for `role`.
   void tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects);
+  // Releases the lease for `role` if this daemon holds it.
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
   // The fence of the lease for `role` if this daemon is certain to hold it for another `needed`.
   std::optional<Fence> heldFence(const RegisterKey& role, Span needed, Instant now) const {
@@ -136,11 +141,14 @@
   // restart of all daemons each of them would read everything.
   std::vector<ServerName> eventSources(const std::vector<EventSource>& sources, Instant now) const;
   const Freshness& freshness() const { return freshness_; }
+  // The gossip items of all live daemons, including this one.
   std::vector<NewsItem> live(Instant now) const { return gossip_.live(now); }
   const AgentSettings& settings() const { return settings_; }
   StoreId store() const { return replica_ ? replica_->store() : StoreId{}; }
+  // This daemon has a replica that hasn't stopped voting. isVoting: it is also a member of its set.
   bool isWritable() const { return replica_ && replica_->isVoting(); }
   bool isVoting() const { return replica_ && replica_->isVoting() && replica_->isMember(); }
+  // The members that this daemon exchanges membership messages with.
   std::vector<Address> view() const { return membership_.view(); }
   // This daemon is leaving, its replica is still a member, and the replica set can soon continue
   // without it.
--- a/src/agent/core/gossip.h
+++ b/src/agent/core/gossip.h
@@ -20,8 +20,10 @@
   void setOwnState(const NewsItem& item);
   // Increments the version of the own item, and forgets items that have not changed for long.
   void advanceHeartbeat(Instant now);
+  // A request to another daemon for all items newer than the ones known here.
   NewsAsk makeRequest() const;
   NewsAnswer answerRequest(const NewsAsk& ask);
+  // Takes the items that are newer than the known ones.
   void onAnswer(const NewsAnswer& answer, Instant now);
 
   std::vector<NewsItem> live(Instant now) const;  // sorted by address, always includes self
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -36,6 +36,7 @@
   std::optional<ChangeRequest> tryAcquire(const RegisterKey& role, Instant now, Fence floor = {});
   // The register operation that releases the lease, if this process holds it.
   std::optional<ChangeRequest> release(const RegisterKey& role, Instant now);
+  // Takes the outcome of an operation that was returned by tryAcquire or release.
   void onDone(const ChangeOutcome& done, Instant now);
   // The fence if the lease is certain to stay valid for another `needed`.
   std::optional<Fence> heldFence(const RegisterKey& role, Span needed, Instant now) const;
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -26,6 +26,7 @@
   void addOwnReport(PlaneReport report);
   void onReport(const Address& from, const PlaneReport& report, Instant now);
   void onDigest(const PlaneDigest& digest, Instant now);
+  // Whether the next round should start: onTick runs it.
   bool isDue(Instant now) const { return now >= nextTick_; }
   // `live` has all live daemons, including this one.
   void onTick(const std::vector<NewsItem>& live, Instant now, std::vector<Envelope>* sends);
--- a/src/agent/core/rollout.h
+++ b/src/agent/core/rollout.h
@@ -96,6 +96,7 @@
   bool isIdle() const;
   // A server has seen a higher fence, so orders under `fence` would be rejected.
   bool isFencedOff(Fence fence) const { return fence <= highestRejectedFence_; }
+  // The number of servers with an order of this daemon that is unanswered or in progress.
   std::size_t switchingCount() const;
   // An order of this daemon is unanswered.
   bool hasOpenOrder() const;
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -52,6 +52,7 @@
                                   std::vector<Envelope>* sends);
 
   const std::vector<ListRow>& rows() const { return rows_; }
+  // A hash of the rows; 0 if there is no list.
   std::uint64_t digest() const { return digest_; }
   // When the read of the list began, on whichever daemon. The estimate errs only towards too early.
   std::optional<Instant> readAt() const { return readAt_; }
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -20,6 +20,7 @@
 // The newest note about each server.
 class ServerNotes {
  public:
+  // Takes a note unless a newer one about the server is known.
   void onNote(const ServerNote& note, Instant now);
   // Combines `shown`, the version in the server's list row or report, with the newest note about
   // the server, which may be more recent.
--- a/src/register/proposer.h
+++ b/src/register/proposer.h
@@ -52,6 +52,7 @@
                                                           std::vector<ChangeOutcome>* done);
   std::vector<std::pair<ReplicaMember, Message>> onTick(const ReplicaSet& replicas, Instant now,
                                                         std::vector<ChangeOutcome>* done);
+  // Whether an operation on `key` is in progress.
   bool isBusy(const RegisterKey& key) const;
   // The state except deadlines and jitter, encoded: proposers with equal bytes take the same steps
   // from here on, though possibly at other times. Used by the model checker.
--- a/src/register/replica.h
+++ b/src/register/replica.h
@@ -58,11 +58,13 @@
   // `setVersion`.
   std::vector<DiskWrite> recover(const ReplicaSet& replicas, ProposerId proposer, WriteId write,
                                  const RegisterValue& configuration, std::uint64_t setVersion);
+  // The value that this replica has accepted for `key`; it may not be the chosen one.
   std::optional<RegisterValue> valueOf(const RegisterKey& key) const;
 
   // Loads the state from the data folder; call at most once, before any message. Returns false if
   // the rows can't be decoded.
   bool restore(const std::map<std::string, std::string>& disk);
+  // The writes that record the format and the store id on a new disk.
   std::vector<DiskWrite> identityWrites() const;
   // The whole state except the store id, encoded: replicas with equal bytes and the same id behave
   // identically from here on. Used by the model checker.
