--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -93,7 +93,7 @@
 void Agent::takeDisk(Disk::Rows rows) {
   asio::post(io_, [this, rows = std::move(rows)] {
     AgentEffects effects;
-    if (!core_->onDiskReadAnew(rows, &effects)) {
+    if (!core_->onDiskReloaded(rows, &effects)) {
       LOG(ERROR) << "the data folder is not understood: start with an empty one";
       return;
     }
@@ -122,7 +122,7 @@
       });
     });
   }
-  for (const ChangeDone& done : effects.done) {
+  for (const ChangeOutcome& done : effects.done) {
     const auto waiter = waiters_.find(done.operation);
     if (waiter == waiters_.end()) continue;
     const Waiter wake = std::move(waiter->second);
@@ -146,7 +146,8 @@
                              << ": upgrade this daemon";
     return;
   }
-  core_->nameWeights(parsed->weights, configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
+  core_->onWeightsConfigured(parsed->weights,
+                             configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
   configuration_ = std::move(*parsed);
   configurationVersion_ = value.version;
   ++counters_.configurationChanges;
@@ -185,7 +186,7 @@
     sources.push_back({ServerName{store.address.value}, store.zone});
   }
   const bool isShared = settings_.mechanisms.isEnabled(Mechanism::SharedEvents);
-  eventSources_ = isShared ? core_->eventSources(sources, now) : allOf(sources);
+  eventSources_ = isShared ? core_->eventSources(sources, now) : namesOf(sources);
 }
 
 awaitable<void> Agent::tickLoop() {
@@ -216,7 +217,7 @@
   AgentEffects effects;
   counters_.listCalls += calls;
   if (listed.ok()) {
-    core_->takeList(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
+    core_->onListRead(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
   } else {
     const bool overRate = absl::IsResourceExhausted(listed.status());
     core_->onListFailed(calls, overRate, BootClock::now());
@@ -284,7 +285,8 @@
   state.leaving = row.listed.leaving;
   // How old a told row may be is for the reader of listedAgoMicros to say.
   state.healthy = state.healthy && (row.listed.hasState || now - row.healthyAt < kHealthySpan);
-  const ServerKnown known = core_->notes().over(state.name, state.identity, state.weights, now);
+  const ServerWeightsState known =
+      core_->notes().overlay(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
   state.switching = known.switching;
   if (row.listed.hasState && configuration_) {
@@ -314,7 +316,7 @@
     if (row.state) snapshot.servers.push_back(toSnapshot(stateOf(row, now), now));
   }
   snapshot.eventSources = eventSources_;
-  snapshot.superseded = core_->weights().tell(now);
+  snapshot.superseded = core_->weights().report(now);
   return snapshot;
 }
 
--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -10,23 +10,23 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kReplicaBacklog = 64;
+constexpr std::size_t kMaxReplicaBacklog = 64;
 constexpr char kMayFound[] = "may-found";
-constexpr Duration kHearSpan = 3s;
-constexpr Duration kSettleLater = 1500ms;
-constexpr Duration kConfirmEvery = 250ms;
-constexpr Duration kConfirmEveryUnsettled = 100ms;
-constexpr std::uint64_t kListKeysEvery = 8;
-constexpr Duration kStepInAfter =
-    2s;  // ours: for each daemon that comes before in a leader role's order
+constexpr Duration kDiscoverySpan = 3s;
+constexpr Duration kSettleDelayWithoutReplica = 1500ms;
+constexpr Duration kConfirmInterval = 250ms;
+constexpr Duration kConfirmIntervalUnsettled = 100ms;
+constexpr std::uint64_t kListKeysEveryRounds = 8;
+// How much longer each further candidate for a leader role waits before it takes over.
+constexpr Duration kTakeOverDelayPerRank = 2s;
 }  // namespace
 
 AgentCore::AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk)
     : settings_(std::move(settings)),
-      firstSeeds_(settings_.seeds),
+      initialSeeds_(settings_.seeds),
       random_(settings_.nonce),
       membership_(settings_.self, settings_.seeds, settings_.nonce + 1),
-      news_(settings_.self, settings_.nonce),
+      gossip_(settings_.self, settings_.nonce),
       freshness_(settings_.nonce),
       proposer_(ProposerId{settings_.nonce}, settings_.nonce + 2),
       leases_(settings_.self, settings_.nonce, settings_.leaseSpan),
@@ -38,12 +38,13 @@
   if (!disk->empty() && !replica_->restore(*disk)) replica_->stopVoting();
   if (replica_->replicas().epoch.value > 0) freshness_.adopt(replica_->replicas());
   restoreGrant(*disk);
-  // A founder that ends before it has founded may still do so with the disk it had.
+  // The disk records that an earlier run was allowed to found a fleet. If it ended before it did,
+  // this run may still do so.
   settings_.mayFound = settings_.mayFound || disk->contains(kMayFound);
 }
 
 std::vector<ReplicaWork> AgentCore::start() {
-  settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
+  settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
   if (!replica_) return {};
   ++replicaBacklog_;
   auto writes = replica_->identityWrites();
@@ -62,18 +63,18 @@
   if (replica_) replica_->stopVoting();
 }
 
-bool AgentCore::onDiskReadAnew(const std::map<std::string, std::string>& disk,
+bool AgentCore::onDiskReloaded(const std::map<std::string, std::string>& disk,
                                AgentEffects* effects) {
   if (replica_ && replica_->isVoting()) return true;
-  RegisterReplica read(StoreId{random_() | 1});
-  if (!disk.empty() && !read.restore(disk)) return false;
-  // Rows that are gone make a new identity, as at a start on an empty folder: the old never votes
-  // again.
-  replica_ = std::move(read);
-  if (disk.empty()) hand({replica_->identityWrites(), std::nullopt}, effects);
+  RegisterReplica reloaded(StoreId{random_() | 1});
+  if (!disk.empty() && !reloaded.restore(disk)) return false;
+  // If the rows are gone, the replica gets a new identity, as at a start with an empty folder: the
+  // old identity must never vote again.
+  replica_ = std::move(reloaded);
+  if (disk.empty()) enqueueReplicaWork({replica_->identityWrites(), std::nullopt}, effects);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
-  keepReplicaSet(effects);
+  persistReplicaSet(effects);
   return true;
 }
 
@@ -83,61 +84,62 @@
     effects->sends.push_back({settings_.self, member.address, std::move(message)});
 }
 
-bool AgentCore::isReplicaFull() const { return replicaBacklog_ >= kReplicaBacklog; }
+bool AgentCore::isReplicaBacklogFull() const { return replicaBacklog_ >= kMaxReplicaBacklog; }
 
-void AgentCore::hand(ReplicaWork work, AgentEffects* effects) {
+void AgentCore::enqueueReplicaWork(ReplicaWork work, AgentEffects* effects) {
   ++replicaBacklog_;
   effects->replicaWork.push_back(std::move(work));
 }
 
 void AgentCore::adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects) {
   if (replicas.epoch.value == 0 || !mayAdopt(replicas, now)) return;
-  if (freshness_.adopt(replicas)) keepReplicaSet(effects);
+  if (freshness_.adopt(replicas)) persistReplicaSet(effects);
 }
 
-void AgentCore::keepReplicaSet(AgentEffects* effects) {
+void AgentCore::persistReplicaSet(AgentEffects* effects) {
   if (!replica_) return;
   if (auto writes = replica_->adopt(freshness_.replicas()); !writes.empty())
-    hand({std::move(writes), std::nullopt}, effects);
+    enqueueReplicaWork({std::move(writes), std::nullopt}, effects);
 }
 
-void AgentCore::handleReplica(const Envelope& envelope, Instant now, AgentEffects* effects) {
-  if (!replica_ || isReplicaFull()) return;
+void AgentCore::onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
+  if (!replica_ || isReplicaBacklogFull()) return;
   const auto* prepared = std::get_if<Prepare>(&envelope.body);
   const auto* accepted = std::get_if<Accept>(&envelope.body);
   if ((prepared && !mayAdopt(prepared->replicas, now)) ||
       (accepted && !mayAdopt(accepted->replicas, now)))
     return;
-  ReplicaEffects made;
-  if (prepared) made = replica_->onPrepare(*prepared);
-  if (accepted) made = replica_->onAccept(*accepted);
+  ReplicaEffects replicaEffects;
+  if (prepared) replicaEffects = replica_->onPrepare(*prepared);
+  if (accepted) replicaEffects = replica_->onAccept(*accepted);
   if (const auto* confirm = std::get_if<ConfirmRequest>(&envelope.body))
-    made = replica_->onConfirm(*confirm);
+    replicaEffects = replica_->onConfirm(*confirm);
   if (replica_->replicas().epoch > freshness_.replicas().epoch)
     freshness_.adopt(replica_->replicas());
-  if (made.writes.empty() && !made.answer) return;
-  ReplicaWork work{std::move(made.writes), std::nullopt};
-  if (made.answer) work.answer = Envelope{settings_.self, envelope.from, std::move(*made.answer)};
-  hand(std::move(work), effects);
+  if (replicaEffects.writes.empty() && !replicaEffects.answer) return;
+  ReplicaWork work{std::move(replicaEffects.writes), std::nullopt};
+  if (replicaEffects.answer)
+    work.answer = Envelope{settings_.self, envelope.from, std::move(*replicaEffects.answer)};
+  enqueueReplicaWork(std::move(work), effects);
 }
 
 void AgentCore::onMessage(const Envelope& envelope, Instant now, AgentEffects* effects) {
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   if (const auto* ask = std::get_if<GossipRequest>(&envelope.body)) {
-    effects->sends.push_back({settings_.self, envelope.from, news_.answer(*ask)});
+    effects->sends.push_back({settings_.self, envelope.from, gossip_.answerRequest(*ask)});
   } else if (const auto* answer = std::get_if<GossipResponse>(&envelope.body)) {
-    news_.take(*answer, now);
+    gossip_.onAnswer(*answer, now);
   } else if (const auto* listAsk = std::get_if<ServerListRequest>(&envelope.body)) {
     std::vector<Envelope> sends;
     list_.onAsk(envelope.from, *listAsk, now, &sends);
     sendListAnswers(std::move(sends), now, effects);
-  } else if (const auto* told = std::get_if<ServerListResponse>(&envelope.body)) {
+  } else if (const auto* listAnswer = std::get_if<ServerListResponse>(&envelope.body)) {
     std::vector<Envelope> sends;
-    if (const auto toldAt = list_.onAnswer(*told, now, &sends))
-      weights_.take(told->superseded, *toldAt);
+    if (const auto answeredAt = list_.onAnswer(*listAnswer, now, &sends))
+      weights_.merge(listAnswer->superseded, *answeredAt);
     sendListAnswers(std::move(sends), now, effects);
   } else if (const auto* note = std::get_if<ServerNote>(&envelope.body)) {
-    notes_.take(*note, now);
+    notes_.onNote(*note, now);
   } else if (const auto* report = std::get_if<DataPlaneReport>(&envelope.body)) {
     exchange_.onReport(envelope.from, *report, now);
   } else if (const auto* digest = std::get_if<DataPlaneDigest>(&envelope.body)) {
@@ -146,24 +148,24 @@
     sendAll(proposer_.onAnswer(*replicaAnswer, now, &done), effects);
     adopt(replicaAnswer->replicas, now, effects);
   } else if (const auto* confirmed = std::get_if<ConfirmResponse>(&envelope.body)) {
-    noteContact(envelope.from, *confirmed, now);
+    recordContact(envelope.from, *confirmed, now);
     freshness_.onAnswer(*confirmed, now);
-    sendAll(freshness_.widen(now), effects);
-    keepReplicaSet(effects);
+    sendAll(freshness_.widenRound(now), effects);
+    persistReplicaSet(effects);
   } else if (std::holds_alternative<Prepare>(envelope.body) ||
              std::holds_alternative<Accept>(envelope.body) ||
              std::holds_alternative<ConfirmRequest>(envelope.body)) {
-    handleReplica(envelope, now, effects);
+    onReplicaMessage(envelope, now, effects);
   } else if (std::holds_alternative<FoundingRequest>(envelope.body) ||
              std::holds_alternative<FoundingResponse>(envelope.body)) {
-    handleFounding(envelope, now, effects);
+    onFoundingMessage(envelope, now, effects);
   } else {
     membership_.onMessage(envelope, now, &effects->sends);
   }
   finish(done, now, effects);
 }
 
-void AgentCore::begin(ChangeAsked change, Purpose purpose, Instant now, AgentEffects* effects) {
+void AgentCore::begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects) {
   if (change.operation.value == 0) change.operation = OperationId{++operationCounter_};
   if (change.writeId.value == 0) change.writeId = WriteId{random_() | 1};
   purposes_[change.operation] = purpose;
@@ -174,122 +176,124 @@
   sendAll(proposer_.begin(change, freshness_.replicas(), now), effects);
 }
 
-OperationId AgentCore::askChange(ChangeAsked change, Instant now, AgentEffects* effects) {
+OperationId AgentCore::requestChange(ChangeRequest change, Instant now, AgentEffects* effects) {
   change.operation = OperationId{++operationCounter_};
-  begin(change, Purpose::Outside, now, effects);
+  begin(change, Purpose::External, now, effects);
   return change.operation;
 }
 
-void AgentCore::finish(const std::vector<ChangeDone>& done, Instant now, AgentEffects* effects) {
-  for (const ChangeDone& ended : done) {
-    adopt(ended.replicas, now, effects);
-    const auto purpose = purposes_.find(ended.operation);
+void AgentCore::finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects) {
+  for (const ChangeOutcome& outcome : done) {
+    adopt(outcome.replicas, now, effects);
+    const auto purpose = purposes_.find(outcome.operation);
     if (purpose == purposes_.end()) continue;
-    if (ended.result == ChangeResult::Chosen) {
-      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
-      keepReplicaSet(effects);
+    if (outcome.result == ChangeResult::Chosen) {
+      freshness_.learnChosen(outcome.key, {outcome.ballot, outcome.value});
+      persistReplicaSet(effects);
     }
-    if (purpose->second == Purpose::Outside) effects->done.push_back(ended);
-    if (purpose->second == Purpose::Lease) leases_.onDone(ended, now);
-    if (purpose->second == Purpose::Sweep) epochSweep_.onReadDone(ended);
+    if (purpose->second == Purpose::External) effects->done.push_back(outcome);
+    if (purpose->second == Purpose::Lease) leases_.onDone(outcome, now);
+    if (purpose->second == Purpose::Sweep) epochSweep_.onReadDone(outcome);
     purposes_.erase(purpose);
   }
 }
 
-bool AgentCore::hasHeardOfOthers(Instant now) const {
-  return startedAt_ != Instant{} && now - startedAt_ >= kHearSpan;
+bool AgentCore::hasDiscoveredPeers(Instant now) const {
+  return startedAt_ != Instant{} && now - startedAt_ >= kDiscoverySpan;
 }
 
 std::vector<ServerName> AgentCore::eventSources(const std::vector<EventSource>& sources,
                                                 Instant now) const {
-  if (!hasHeardOfOthers(now)) return {};
-  return sourcesOf(settings_.self, news_.live(now), sources);
+  if (!hasDiscoveredPeers(now)) return {};
+  return assignedEventSources(settings_.self, gossip_.live(now), sources);
 }
 
-std::vector<Address> AgentCore::staying(Instant now) const {
+std::vector<Address> AgentCore::roleCandidates(Instant now) const {
   std::vector<Address> live;
-  if (!hasHeardOfOthers(now)) return live;
-  for (const GossipItem& item : news_.live(now)) {
+  if (!hasDiscoveredPeers(now)) return live;
+  for (const GossipItem& item : gossip_.live(now)) {
     if (!item.leaving && item.store.value != 0) live.push_back(item.source);
   }
   return live;
 }
 
-bool AgentCore::isMine(const std::string& role, Instant now) const {
-  return replica_ && rendezvousOwner(role, staying(now)) == settings_.self;
+bool AgentCore::ownsRole(const std::string& role, Instant now) const {
+  return replica_ && rendezvousOwner(role, roleCandidates(now)) == settings_.self;
 }
 
-bool AgentCore::mayStepIn(const std::string& role, Duration overdue, Instant now) const {
-  const std::vector<Address> live = staying(now);
+bool AgentCore::mayTakeOverRole(const std::string& role, Duration overdue, Instant now) const {
+  const std::vector<Address> live = roleCandidates(now);
   const auto rank = static_cast<int>(rendezvousRank(role, live, settings_.self));
-  return !leaving_ && replica_ && !live.empty() && overdue >= rank * kStepInAfter;
+  return !leaving_ && replica_ && !live.empty() && overdue >= rank * kTakeOverDelayPerRank;
 }
 
-void AgentCore::pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
+void AgentCore::tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
   const FencingToken floor{freshness_.replicas().epoch.value << 20};
-  if (auto change = leases_.pursue(role, now, floor)) begin(*change, Purpose::Lease, now, effects);
+  if (auto change = leases_.tryAcquire(role, now, floor))
+    begin(*change, Purpose::Lease, now, effects);
 }
 
 void AgentCore::releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects) {
   if (auto change = leases_.release(role, now)) begin(*change, Purpose::Lease, now, effects);
 }
 
-// Machines that keep a replica come first: they are few, and carry no requests. At the start only
-// the seeds are known.
+// Also orders the daemons that read the platform's list. Machines with a replica come first: they
+// are few and carry no requests. At the start only the seeds are known.
 void AgentCore::tickList(Instant now, AgentEffects* effects) {
   if (now >= nextListPeers_) {
     nextListPeers_ = now + 400ms;
-    std::set<Address> first(settings_.seeds.begin(), settings_.seeds.end()), then;
-    const std::vector<GossipItem> live = news_.live(now);
+    std::set<Address> preferred(settings_.seeds.begin(), settings_.seeds.end()), others;
+    const std::vector<GossipItem> live = gossip_.live(now);
     for (const GossipItem& item : live) {
-      first.erase(item.source);
+      preferred.erase(item.source);
       if (item.leaving) continue;
-      (item.store.value != 0 ? first : then).insert(item.source);
+      (item.store.value != 0 ? preferred : others).insert(item.source);
     }
     for (const Address& seed : settings_.seeds) {
-      const auto item = news_.item(seed);
-      if (item && !news_.isLive(seed, now)) first.erase(seed);  // it was known, and is gone
+      const auto item = gossip_.item(seed);
+      if (item && !gossip_.isLive(seed, now)) preferred.erase(seed);  // it was known and has failed
     }
-    listPeers_.order = rendezvousOrder("list", {first.begin(), first.end()});
-    const auto rest = rendezvousOrder("list", {then.begin(), then.end()});
-    listPeers_.order.insert(listPeers_.order.end(), rest.begin(), rest.end());
-    listPeers_.mostKnown = std::max(listPeers_.mostKnown, live.size());
+    listPeers_.order = rendezvousOrder("list", {preferred.begin(), preferred.end()});
+    const auto othersOrder = rendezvousOrder("list", {others.begin(), others.end()});
+    listPeers_.order.insert(listPeers_.order.end(), othersOrder.begin(), othersOrder.end());
+    listPeers_.peakPeerCount = std::max(listPeers_.peakPeerCount, live.size());
     notes_.forgetUnlisted(list_.rows(), now);
   }
   effects->readList = list_.onTick(listPeers_, now, &effects->sends);
 }
 
-void AgentCore::takeList(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
-                         Instant now, AgentEffects* effects) {
+void AgentCore::onListRead(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
+                           Instant now, AgentEffects* effects) {
   std::vector<Envelope> sends;
-  list_.take(std::move(rows), askedAt, calls, now, &sends);
+  list_.onRead(std::move(rows), askedAt, calls, now, &sends);
   sendListAnswers(std::move(sends), now, effects);
 }
 
 void AgentCore::sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects) {
   for (Envelope& envelope : sends) {
     if (auto* answer = std::get_if<ServerListResponse>(&envelope.body))
-      answer->superseded = weights_.tell(now);
+      answer->superseded = weights_.report(now);
     effects->sends.push_back(std::move(envelope));
   }
 }
 
-void AgentCore::tellNote(const ServerNote& note, Instant now, AgentEffects* effects) {
-  notes_.take(note, now);
-  for (const GossipItem& item : news_.live(now)) {
+void AgentCore::broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects) {
+  notes_.onNote(note, now);
+  for (const GossipItem& item : gossip_.live(now)) {
     if (item.source != settings_.self)
       effects->sends.push_back({settings_.self, item.source, note});
   }
 }
 
-// Reads mend the replicas they touch; the sweep reads what nobody asked for.
+// A read repairs the replicas that it reaches. This periodic sweep reads every known key, since
+// some of them are otherwise rarely read.
 void AgentCore::tickSweep(Instant now, AgentEffects* effects) {
   if (now < nextSweep_ || !freshness_.replicas().settled) return;
   nextSweep_ = now + 10s + std::chrono::milliseconds(random_() % 1000);
-  if (now - startedAt_ < 5s || !isMine("sweep", now)) return;
+  if (now - startedAt_ < 5s || !ownsRole("sweep", now)) return;
   const RegisterKey role{"hold/sweep"};
-  pursueLease(role, now, effects);
-  if (!leases_.held(role, 500ms, now)) {
+  tryAcquireLease(role, now, effects);
+  if (!leases_.heldFence(role, 500ms, now)) {
     nextSweep_ = now + 500ms;
     return;
   }
@@ -299,36 +303,37 @@
   }
 }
 
-// Machines that keep a store ask all replicas, and the stores that wait to join: they judge who is
-// there and who is gone.
+// Machines with a store query all replicas and the stores that wait to join, because they decide
+// which stores are available.
 void AgentCore::tickConfirm(Instant now, AgentEffects* effects) {
   const ReplicaSet& replicas = freshness_.replicas();
   if (replicas.epoch.value == 0) return;
-  if (!replicas.settled) nextConfirm_ = std::min(nextConfirm_, now + kConfirmEveryUnsettled);
-  if (now < nextConfirm_) return sendAll(freshness_.widen(now), effects);
-  nextConfirm_ = now + (replicas.settled ? kConfirmEvery : kConfirmEveryUnsettled);
-  const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEvery == 0;
-  sendAll(freshness_.begin(now, replica_.has_value(), wantsKeys), effects);
+  if (!replicas.settled) nextConfirm_ = std::min(nextConfirm_, now + kConfirmIntervalUnsettled);
+  if (now < nextConfirm_) return sendAll(freshness_.widenRound(now), effects);
+  nextConfirm_ = now + (replicas.settled ? kConfirmInterval : kConfirmIntervalUnsettled);
+  const bool wantsKeys = replica_ && ++confirmRounds_ % kListKeysEveryRounds == 0;
+  sendAll(freshness_.beginRound(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
-  for (const GossipItem& item : news_.live(now)) {
+  for (const GossipItem& item : gossip_.live(now)) {
     const bool isIn =
         std::any_of(replicas.members.begin(), replicas.members.end(),
                     [&](const ReplicaMember& member) { return member.store == item.store; });
     if (item.store.value != 0 && !isIn)
       effects->sends.push_back(
-          {settings_.self, item.source, freshness_.question(item.store, false)});
+          {settings_.self, item.source, freshness_.confirmRequest(item.store, false)});
   }
 }
 
-// Every second, and at once where this daemon begins to leave, has another store or was taken for
-// an earlier life of its own.
-void AgentCore::tickNews(Instant now, AgentEffects* effects) {
+// Publishes this daemon's state every second, and at once when it starts to leave, has another
+// store or raised its incarnation to supersede an earlier run.
+void AgentCore::tickGossip(Instant now, AgentEffects* effects) {
   const StoreId store = replica_ && replica_->isVoting() ? replica_->store() : StoreId{};
-  const Told told{leaving_, store, news_.item(settings_.self)->version.incarnation};
-  const bool isUrgent = told != told_;
-  if (now < nextBeat_ && !isUrgent) return;
-  nextBeat_ = now + 1s;
-  told_ = told;
+  const Announcement announcement{leaving_, store,
+                                  gossip_.item(settings_.self)->version.incarnation};
+  const bool isUrgent = announcement != lastAnnounced_;
+  if (now < nextHeartbeat_ && !isUrgent) return;
+  nextHeartbeat_ = now + 1s;
+  lastAnnounced_ = announcement;
   GossipItem own;
   own.zone = settings_.zone;
   own.proxyAddress = settings_.proxyAddress;
@@ -336,44 +341,46 @@
   own.configurationInForce = ConfigurationVersion{freshness_.configuration().value.version};
   own.leaving = leaving_;
   own.fleet = replica_ ? replica_->replicas().fleet : 0;
-  news_.describeSelf(own);
-  news_.beat(now);
-  if (isUrgent && replica_) tellStoreHolders(now, effects);
+  gossip_.setOwnState(own);
+  gossip_.advanceHeartbeat(now);
+  if (isUrgent && replica_) notifyStoreHolders(now, effects);
 }
 
-void AgentCore::tellStoreHolders(Instant now, AgentEffects* effects) {
+void AgentCore::notifyStoreHolders(Instant now, AgentEffects* effects) {
   std::set<Address> holders(settings_.seeds.begin(), settings_.seeds.end());
   for (const ReplicaMember& member : freshness_.replicas().members) holders.insert(member.address);
-  for (const GossipItem& item : news_.live(now)) {
+  for (const GossipItem& item : gossip_.live(now)) {
     if (item.store.value != 0) holders.insert(item.source);
   }
   holders.erase(settings_.self);
-  const GossipResponse told{{*news_.item(settings_.self)}};
-  for (const Address& holder : holders) effects->sends.push_back({settings_.self, holder, told});
+  const GossipResponse announcement{{*gossip_.item(settings_.self)}};
+  for (const Address& holder : holders)
+    effects->sends.push_back({settings_.self, holder, announcement});
 }
 
 void AgentCore::onTick(Instant now, AgentEffects* effects) {
   if (startedAt_ == Instant{}) startedAt_ = now;
-  tickNews(now, effects);
+  tickGossip(now, effects);
   membership_.onTick(now, &effects->sends);
-  if (now >= nextPull_) {
-    nextPull_ = now + 400ms;
+  if (now >= nextGossipPull_) {
+    nextGossipPull_ = now + 400ms;
     const Address neighbour = membership_.randomNeighbour();
-    if (neighbour != Address{}) effects->sends.push_back({settings_.self, neighbour, news_.ask()});
+    if (neighbour != Address{})
+      effects->sends.push_back({settings_.self, neighbour, gossip_.makeRequest()});
   }
   tickList(now, effects);
-  if (exchange_.isDue(now)) exchange_.onTick(news_.live(now), now, &effects->sends);
+  if (exchange_.isDue(now)) exchange_.onTick(gossip_.live(now), now, &effects->sends);
   tickFounding(now, effects);
   tickConfirm(now, effects);
-  // Machines that keep a store settle a value first: the others are many.
-  const Duration patience = replica_ ? settlePatience_ : settlePatience_ + kSettleLater;
-  if (const auto key = freshness_.wantsSettling(now, patience); key && !proposer_.isBusy(*key)) {
-    settlePatience_ = std::chrono::milliseconds(300 + random_() % 600);
+  // Machines with a store settle a value first, because the other machines are many.
+  const Duration patience = replica_ ? settleDelay_ : settleDelay_ + kSettleDelayWithoutReplica;
+  if (const auto key = freshness_.keyToSettle(now, patience); key && !proposer_.isBusy(*key)) {
+    settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
   }
-  tickReplicas(now, effects);
+  tickReplicaSet(now, effects);
   tickSweep(now, effects);
-  std::vector<ChangeDone> done;
+  std::vector<ChangeOutcome> done;
   sendAll(proposer_.onTick(freshness_.replicas(), now, &done), effects);
   finish(done, now, effects);
 }
--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -1,15 +1,15 @@
 #pragma once
-// All control logic of one daemon: (state, event, now) -> effects. The shells and the simulator
-// drive the same code.
+// The control logic of one daemon as a state machine: (state, event, now) -> effects. The daemon
+// and the simulator run the same code.
 #include <optional>
 #include <random>
 #include <set>
 
 #include "agent/core/event_sources.h"
 #include "agent/core/freshness.h"
+#include "agent/core/gossip.h"
 #include "agent/core/leases.h"
 #include "agent/core/membership.h"
-#include "agent/core/news.h"
 #include "agent/core/plane_exchange.h"
 #include "agent/core/server_list.h"
 #include "agent/core/server_notes.h"
@@ -21,222 +21,249 @@
 
 namespace quayrill {
 
+// Settings of the control logic. Spans are on this daemon's clock.
 struct AgentSettings {
   Address self;
   std::string zone;
   std::vector<Address> seeds;
   std::string proxyAddress;
-  std::uint64_t nonce = 0;  // random at every start
+  std::uint64_t nonce = 0;  // random at every process start
   std::size_t replicasWanted = 4;
-  bool mayFound = true;  // false: this daemon never founds a fleet, an empty disk waits to join one
-  // How long a founder waits for those who may know of a fleet; none where the platform itself says
-  // that the whole system starts for the first time.
+  bool mayFound = true;  // false: never founds a fleet; with an empty disk it waits to join one
+  // How long a founder waits for a daemon that may know an existing fleet; zero if the platform
+  // states that the whole system is starting for the first time.
   Duration foundingWait = std::chrono::seconds(3);
-  Duration leaseSpan{};  // two holders of one leader role never act within this of each other
+  Duration
+      leaseSpan{};  // minimum time between the last action of one leader and the first of the next
   std::chrono::milliseconds listInterval{400};
-  double listCallsPerSecond = 50;  // for the platform's list, of all daemons together
-  LossesToBear losses{};           // that replicasWanted bear
+  double listCallsPerSecond = 50;  // limit on calls for the platform's list, over all daemons
+  LossTolerance losses{};          // the losses that replicasWanted replicas must tolerate
   Topology topology{};
-  // The next loss may come so long after a lost machine, or its successor, started; 0: not
-  // promised.
+  // The shortest time from the start of a lost machine or its successor to the next loss; 0: no
+  // such guarantee.
   Duration catchUpSpan{};
 };
 
-// One piece of work for the replica's disk: the writes are synced in order, then the answer leaves.
+// One unit of work for the replica's disk: the writes are synced in order, then the answer is sent.
 struct ReplicaWork {
   std::vector<DiskWrite> writes;
   std::optional<Envelope> answer;
 };
 
+// What the caller must do after an event.
 struct AgentEffects {
   std::vector<Envelope> sends;
   std::vector<ReplicaWork> replicaWork;
-  std::vector<ChangeDone> done;  // of the operations asked from outside
-  bool readList = false;         // the platform's list is to be read, and takeList or
-                                 // onListFailed called once
+  std::vector<ChangeOutcome> done;  // outcomes of the operations started by requestChange
+  bool readList = false;  // read the platform's list, then call onListRead or onListFailed
+                          // exactly once
 };
 
+// Membership, gossip, leader roles, the register and its replica set, the server list and the
+// exchange between data planes, tied together.
 class AgentCore {
  public:
-  // `disk` is what the data folder held, or nothing where there is no folder.
+  // `disk` has the contents of the data folder; nullopt if there is no data folder.
   AgentCore(AgentSettings settings, std::optional<std::map<std::string, std::string>> disk);
+  // Returns the first work for the replica's disk; call once, before any event.
   std::vector<ReplicaWork> start();
 
   void onMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
   void onTick(Instant now, AgentEffects* effects);
-  OperationId askChange(ChangeAsked change, Instant now, AgentEffects* effects);
+  // Starts an operation on the register. Its outcome is returned in AgentEffects::done.
+  OperationId requestChange(ChangeRequest change, Instant now, AgentEffects* effects);
+  // A write to the disk failed: the replica stops voting.
   void onDiskError();
-  // The data folder was opened and read anew after a error, or late: the replica votes again by
-  // what is really there. False where the rows can't be understood.
-  bool onDiskReadAnew(const std::map<std::string, std::string>& disk, AgentEffects* effects);
-  // The operator gives the present register up, its majority being lost, and founds a new one on
-  // this machine's disk. `given` is a saved configuration that was in force as `givenVersion`; else
-  // the newest that this daemon knows is kept. Turned away while the register may still live.
+  // The data folder was reopened after an error, or opened late: the replica votes again, based on
+  // what is actually on the disk. Returns false if the rows can't be decoded.
+  bool onDiskReloaded(const std::map<std::string, std::string>& disk, AgentEffects* effects);
+  // On an operator's request, abandons a register whose majority is lost and founds a new one on
+  // this machine's disk. `given` is a saved configuration that had version `givenVersion`; if it is
+  // empty, the newest configuration known to this daemon is used. Rejected while the old register
+  // may still be alive.
   struct Recovered {
-    std::string turnedAway;  // why not; "" when it is done
+    std::string rejection;  // the reason for a rejection; "" on success
     ReplicaSet replicas;
     std::uint64_t configurationVersion = 0;
   };
   Recovered recover(const std::string& given, std::uint64_t givenVersion, Instant now,
                     AgentEffects* effects);
-  // One piece of replica work is synced and answered.
+  // One unit of replica work has been synced and answered.
   void onReplicaWorkDone() { --replicaBacklog_; }
+  // Announces that this daemon is leaving, so that its roles and its replica move to others.
   void setLeaving(bool leaving) { leaving_ = leaving; }
-  // Other seeds stand in the settings now, one at least: from the next tick on this daemon looks
-  // for its fleet there. Nothing that it knows, keeps or has under way changes.
+  // Replaces the seeds (at least one) that this daemon contacts, starting with the next tick. Known
+  // peers, stored state and operations in progress are not affected.
   void setSeeds(std::vector<Address> seeds);
   void setListLimits(Duration every, double callsPerS) { list_.setLimits(every, callsPerS); }
 
-  // True where `duty` falls to this daemon among the live ones. Leader roles fall to machines that
-  // keep a store only: a lease needs a majority of these, so where none of them lives nobody could
+  // True if rendezvous hashing over the live daemons assigns `role` to this one. Only machines with
+  // a store are candidates: a lease needs a majority of them, so without any of them nobody could
   // hold one.
-  bool isMine(const std::string& role, Instant now) const;
-  // For a leader role that should long be done: its owner may be gone and not missed yet, so the
-  // next in order may pursue the lease after a while, and the one after it later. The lease alone
-  // gives the right, so more who pursue it cost messages and nothing else.
-  bool mayStepIn(const std::string& role, Duration overdue, Instant now) const;
-  void pursueLease(const RegisterKey& role, Instant now, AgentEffects* effects);
+  bool ownsRole(const std::string& role, Instant now) const;
+  // For a leader role whose work is overdue: its owner may have failed without this being detected
+  // yet, so the next candidates try to acquire the lease, each some time after the one before it.
+  // Only the lease permits acting, so additional contenders cost nothing but messages.
+  bool mayTakeOverRole(const std::string& role, Duration overdue, Instant now) const;
+  // Starts the next operation, if any, towards acquiring or renewing the lease for `role`.
+  void tryAcquireLease(const RegisterKey& role, Instant now, AgentEffects* effects);
+  // Releases the lease for `role` if this daemon holds it.
   void releaseLease(const RegisterKey& role, Instant now, AgentEffects* effects);
-  std::optional<FencingToken> held(const RegisterKey& role, Duration needed, Instant now) const {
-    return leases_.held(role, needed, now);
+  // The fence of the lease for `role` if this daemon is certain to hold it for another `needed`.
+  std::optional<FencingToken> heldFence(const RegisterKey& role, Duration needed,
+                                        Instant now) const {
+    return leases_.heldFence(role, needed, now);
   }
 
-  void takeList(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls, Instant now,
-                AgentEffects* effects);
+  // The platform's list was read, by a read that began at `askedAt` and took `calls` calls.
+  void onListRead(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls, Instant now,
+                  AgentEffects* effects);
   void onListFailed(std::size_t calls, bool overRate, Instant now) {
     list_.onReadFailed(calls, overRate, now);
   }
   const ServerList& list() const { return list_; }
-  // What this daemon learned of a server whose weights it orders, told to all that live.
-  void tellNote(const ServerNote& note, Instant now, AgentEffects* effects);
+  // Sends what this daemon learned about a server whose weights it controls to all live daemons.
+  void broadcastNote(const ServerNote& note, Instant now, AgentEffects* effects);
   const ServerNotes& notes() const { return notes_; }
-  // The configuration in force names these weights. `confirmedAt`: when the one before it was
-  // certainly still the newest.
-  void nameWeights(const std::map<ModelName, WeightsVersion>& weights,
-                   std::optional<Instant> confirmedAt) {
+  // The configuration in force names these weights. `confirmedAt` is when the previous
+  // configuration was last known to be the newest.
+  void onWeightsConfigured(const std::map<ModelName, WeightsVersion>& weights,
+                           std::optional<Instant> confirmedAt) {
     weights_.onConfiguration(weights, confirmedAt);
   }
-  // Weights that were superseded before `before` are used no more.
+  // Forgets weights that were superseded before `before`: they are no longer used.
   void forgetWeightsBefore(Instant before) { weights_.forgetBefore(before); }
   const WeightsHistories& weights() const { return weights_; }
-  // What the data plane of this daemon observed since its last report.
-  void takePlaneReport(DataPlaneReport report) { exchange_.takeOwn(std::move(report)); }
-  // What the fleet's data planes observed, for the data plane of this daemon.
+  // Takes what the data plane of this daemon observed since its last report.
+  void takePlaneReport(DataPlaneReport report) { exchange_.addOwnReport(std::move(report)); }
+  // Returns and removes what the fleet's data planes observed, for the data plane of this daemon.
   std::vector<DataPlaneDigest> takePlaneDigests() { return exchange_.takeDigests(); }
-  // Those whose cache events this daemon reads for the fleet. None until it has had time to hear of
-  // the others: it would take every source for its own, and after a restart of all daemons each
-  // would read everything.
+  // The sources whose cache events this daemon reads for the fleet. Empty until it has had time to
+  // discover the other daemons: otherwise it would assign every source to itself, and after a
+  // restart of all daemons each of them would read everything.
   std::vector<ServerName> eventSources(const std::vector<EventSource>& sources, Instant now) const;
   const Freshness& freshness() const { return freshness_; }
-  std::vector<GossipItem> live(Instant now) const { return news_.live(now); }
+  // The gossip items of all live daemons, including this one.
+  std::vector<GossipItem> live(Instant now) const { return gossip_.live(now); }
   const AgentSettings& settings() const { return settings_; }
   StoreId store() const { return replica_ ? replica_->store() : StoreId{}; }
+  // This daemon has a replica that hasn't stopped voting. isVoting: it is also a member of its set.
   bool isWritable() const { return replica_ && replica_->isVoting(); }
   bool isVoting() const { return replica_ && replica_->isVoting() && replica_->isMember(); }
+  // The members that this daemon exchanges membership messages with.
   std::vector<Address> view() const { return membership_.view(); }
-  // This daemon leaves, its register replica is still a member, and the set can do without it soon.
+  // This daemon is leaving, its replica is still a member, and the replica set can soon continue
+  // without it.
   bool isHandingOver(Instant now) const;
 
  private:
-  enum class Purpose { Outside, Settle, Lease, Replicas, Sweep };
-  void handleReplica(const Envelope& envelope, Instant now, AgentEffects* effects);
-  void handleFounding(const Envelope& envelope, Instant now, AgentEffects* effects);
-  // Answers what a seed was asked; a grant is on the disk before its answer leaves.
-  void answerFounder(const Address& from, const FoundingRequest& ask, Instant now,
-                     AgentEffects* effects);
+  // What an operation on the register is for; it determines who handles the outcome.
+  enum class Purpose { External, Settle, Lease, Replicas, Sweep };
+  void onReplicaMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
+  void onFoundingMessage(const Envelope& envelope, Instant now, AgentEffects* effects);
+  // Answers a FoundingRequest; a grant is written to disk before the answer is sent.
+  void answerFoundAsk(const Address& from, const FoundingRequest& ask, Instant now,
+                      AgentEffects* effects);
   bool isFounder(Instant now) const;
-  // Founding needs the grants of all seeds, so that any two founders ask one machine in common.
-  // Lists that changed in between hold to this only while each keeps most of the first one.
-  bool keepsMostFirstSeeds() const;
+  // Founding requires the grants of all seeds, so that any two founders need the grant of at least
+  // one common machine. If the seed list changes, this holds only while each list keeps more than
+  // half of the initial one.
+  bool keepsMajorityOfInitialSeeds() const;
   void restoreGrant(const std::map<std::string, std::string>& disk);
   void foundWhenGranted(Instant now, AgentEffects* effects);
-  // False for a founding that is not the one this machine gave its grant to.
+  // False if `replicas` was founded by another founding than the one that this machine granted.
   bool mayAdopt(const ReplicaSet& replicas, Instant now) const;
-  void askAround(Instant now, AgentEffects* effects);
+  // Asks other daemons for a newer replica set if this daemon can't confirm its own.
+  void queryNewerReplicaSet(Instant now, AgentEffects* effects);
   void tickFounding(Instant now, AgentEffects* effects);
   void tickConfirm(Instant now, AgentEffects* effects);
-  void tickReplicas(Instant now, AgentEffects* effects);
-  void tickEpoch(Instant now, AgentEffects* effects);
-  void noteContact(const Address& from, const ConfirmResponse& answer, Instant now);
-  bool isInTouch(StoreId store, Instant now) const;
-  // Gone for certain, or silent for `span`.
+  void tickReplicaSet(Instant now, AgentEffects* effects);
+  void advanceReplicaSet(Instant now, AgentEffects* effects);
+  void recordContact(const Address& from, const ConfirmResponse& answer, Instant now);
+  bool isReachable(StoreId store, Instant now) const;
+  // The member's store was replaced, or it has been unreachable for `span`.
   bool isLost(const ReplicaMember& member, Duration span, Instant now) const;
-  // How long a member may be out of touch where a spare waits, and where none does.
-  Duration silentSpan() const;
-  Duration silentAloneSpan() const;
-  // A member that the set must give up: lost, or leaving by its own word.
-  std::optional<ReplicaMember> departing(bool spareWaits, Instant now) const;
+  // How long a member may be unreachable before it is removed, with and without a spare store that
+  // can take its place.
+  Duration silenceLimit() const;
+  Duration silenceLimitWithoutSpare() const;
+  // A member to remove from the set: it is lost, or has announced that it is leaving.
+  std::optional<ReplicaMember> departingMember(bool spareWaits, Instant now) const;
   bool isLeaving(const ReplicaMember& member) const;
-  // The one to give up where none departs and there are more than wanted.
-  ReplicaMember surplus(Instant now) const;
+  // The member to remove if there are more than wanted and none is departing.
+  ReplicaMember surplusMember(Instant now) const;
   Site siteOf(const Address& address) const;
-  // Without a successor `member` leaves only where the rest bears no less for it.
-  bool mayShrink(const ReplicaMember& member, Instant now) const;
-  // Members in one place; regions count only where their loss is to be borne.
-  struct Crowd {
+  // Whether `member` may be removed without a successor: the rest must not tolerate fewer losses.
+  bool mayRemoveWithoutSuccessor(const ReplicaMember& member, Instant now) const;
+  // The number of members in one region and zone. Regions are counted only if the loss of a region
+  // must be tolerated.
+  struct Occupancy {
     std::size_t inRegion = 0, inZone = 0;
-    auto operator<=>(const Crowd&) const = default;
+    auto operator<=>(const Occupancy&) const = default;
   };
-  Crowd crowdAt(const Site& site, const std::vector<ReplicaMember>& members) const;
-  // In place of the surplus member, `joining` would stand where at least two fewer stand.
-  bool spreadsBetter(const ReplicaMember& joining, Instant now) const;
-  std::optional<ReplicaMember> candidate(Instant now) const;
+  Occupancy occupancyAt(const Site& site, const std::vector<ReplicaMember>& members) const;
+  // Whether replacing the surplus member by `joining` moves a replica to a region or zone that has
+  // at least two members fewer.
+  bool improvesSpread(const ReplicaMember& joining, Instant now) const;
+  // The spare store that should join next, if any.
+  std::optional<ReplicaMember> joinCandidate(Instant now) const;
   void tickSweep(Instant now, AgentEffects* effects);
-  void begin(ChangeAsked change, Purpose purpose, Instant now, AgentEffects* effects);
-  void finish(const std::vector<ChangeDone>& done, Instant now, AgentEffects* effects);
+  void begin(ChangeRequest change, Purpose purpose, Instant now, AgentEffects* effects);
+  void finish(const std::vector<ChangeOutcome>& done, Instant now, AgentEffects* effects);
   void adopt(const ReplicaSet& replicas, Instant now, AgentEffects* effects);
-  // Writes the replica set in use down where this machine holds a replica and has an older one.
-  void keepReplicaSet(AgentEffects* effects);
-  void hand(ReplicaWork work, AgentEffects* effects);
-  bool isReplicaFull() const;
+  // Writes the current replica set to disk if this machine has a replica that knows an older one.
+  void persistReplicaSet(AgentEffects* effects);
+  void enqueueReplicaWork(ReplicaWork work, AgentEffects* effects);
+  bool isReplicaBacklogFull() const;
   void sendAll(std::vector<std::pair<ReplicaMember, Message>> sends, AgentEffects* effects);
+  // The set that should replace the current one, if any.
   std::optional<ReplicaSet> nextReplicaSet(Instant now) const;
-  // Those that a leader role may fall to. Empty until this daemon has had time to hear of the
-  // others: what it would take for its own would have to be watched out by the true owner.
-  std::vector<Address> staying(Instant now) const;
-  bool hasHeardOfOthers(Instant now) const;
+  // The candidates for leader roles. Empty until this daemon has had time to discover the others: a
+  // lease that it acquires by mistake would have to expire before the actual owner could act.
+  std::vector<Address> roleCandidates(Instant now) const;
+  bool hasDiscoveredPeers(Instant now) const;
   void tickList(Instant now, AgentEffects* effects);
-  void tickNews(Instant now, AgentEffects* effects);
-  // Who judges the replica set hears at once of what bears on it.
-  void tellStoreHolders(Instant now, AgentEffects* effects);
+  void tickGossip(Instant now, AgentEffects* effects);
+  // Sends this daemon's own state at once to the machines that decide on the replica set.
+  void notifyStoreHolders(Instant now, AgentEffects* effects);
   void sendListAnswers(std::vector<Envelope> sends, Instant now, AgentEffects* effects);
 
   AgentSettings settings_;
-  const std::vector<Address> firstSeeds_;  // as this process started
+  const std::vector<Address> initialSeeds_;  // at the start of this process
   std::mt19937_64 random_;
   std::optional<RegisterReplica> replica_;
   Membership membership_;
-  News news_;
+  Gossip gossip_;
   Freshness freshness_;
   Proposer proposer_;
   Leases leases_;
   ServerList list_;
-  ListPeers listPeers_;  // as of the last time that it was due to be made anew
+  ListPeers listPeers_;  // recomputed at nextListPeers_
   ServerNotes notes_;
   PlaneExchange exchange_;
   WeightsHistories weights_;
-  std::map<OperationId, Purpose> purposes_;  // one row per operation under way
+  std::map<OperationId, Purpose> purposes_;  // one entry per operation in progress
   std::uint64_t operationCounter_ = 0;
-  // Copy work handed out and not yet done; past the limit the replica takes no more messages, so a
-  // slow disk delays answers by a bounded queue only.
+  // Replica work that was issued and isn't finished. At the limit the replica drops messages, which
+  // bounds the delay of answers by a slow disk.
   std::size_t replicaBacklog_ = 0;
   bool leaving_ = false;
-  Instant startedAt_{};  // of the first tick
-  // What this daemon last told of itself at once.
-  struct Told {
+  Instant startedAt_{};  // the first tick
+  // The parts of this daemon's state that are announced without waiting for the next heartbeat.
+  struct Announcement {
     bool leaving = false;
     StoreId store;
     Incarnation incarnation;
-    bool operator==(const Told&) const = default;
+    bool operator==(const Announcement&) const = default;
   };
-  Told told_;
-  Instant nextBeat_{}, nextPull_{}, nextConfirm_{}, nextFounding_{}, nextReplicas_{}, nextSweep_{},
-      nextListPeers_{};
-  Duration settlePatience_{};
+  Announcement lastAnnounced_;
+  Instant nextHeartbeat_{}, nextGossipPull_{}, nextConfirm_{}, nextFounding_{},
+      nextReplicaSetCheck_{}, nextSweep_{}, nextListPeers_{};
+  Duration settleDelay_{};
   std::uint64_t confirmRounds_ = 0;
-  // Founding. A grant is for one fleet of one founder; the next waits until it has run out, unless
-  // it comes from the same address, whose earlier life is gone. One read back from the disk runs
-  // anew from the first tick: never shorter than it was promised.
+  // Founding. A grant is for one fleet of one founder. Until it expires, only the same address may
+  // get another one, as its earlier process is gone. The time of a grant that was restored from
+  // disk restarts at the first tick, so it is never shorter than promised.
   struct Grant {
     Address to;
     std::uint64_t fleet = 0;
@@ -244,35 +271,37 @@
   };
   struct FoundingRound {
     Instant sentAt;
-    bool wantsGrant = false;
+    bool requestsGrant = false;
   };
-  struct SeedSaid {
+  struct SeedAnswer {
     Instant askedAt;
-    bool granted = false;  // to this life's fleet
+    bool granted = false;  // to the fleet that this process would found
     bool mayFound = false;
     StoreId store;
   };
-  std::uint64_t ownFleet_ = 0;  // the one that this life would found
+  std::uint64_t ownFleet_ = 0;  // the fleet that this process would found
   Grant grant_;
-  std::map<std::uint64_t, FoundingRound> foundingRounds_;  // by nonce; no older than kSaidSpan
-  std::map<Address, SeedSaid> said_;                       // the last 'unfounded' of each seed
+  // By nonce; at most kSeedAnswerValidity old.
+  std::map<std::uint64_t, FoundingRound> foundingRounds_;
+  // Each seed's last answer that it knows no fleet.
+  std::map<Address, SeedAnswer> seedAnswers_;
   EpochSweep epochSweep_;
-  // Stores that answered lately, and since when each member of the replica set has not.
+  // Stores that answered recently; silentSince_ has the members of the replica set that did not.
   struct Contact {
     Address address;
     Instant at;
     std::uint64_t fleet = 0;
-    // The last time that it answered again after a silence, and how often it did so lately.
-    Instant steadySince;
-    int returns = 0;
+    // When it last answered again after being unreachable, and how often that happened recently.
+    Instant stableSince;
+    int reconnects = 0;
   };
   std::map<StoreId, Contact> contacts_;
   std::map<StoreId, Instant> silentSince_;
-  // Members of the present replica set whose address answered as another store when asked for them.
-  std::set<StoreId> replaced_;
+  // Members of the current replica set at whose address another store answers.
+  std::set<StoreId> replacedStores_;
   Instant lastTick_{};
-  Instant workSince_{};  // that the replica set has waited for its next step
-  std::pair<Epoch, bool> workStep_;
+  Instant stepPendingSince_{};  // since when the replica set has been waiting for its next step
+  std::pair<Epoch, bool> pendingStep_;
 };
 
 }  // namespace quayrill
--- a/src/agent/core/event_sources.cpp
+++ b/src/agent/core/event_sources.cpp
@@ -6,8 +6,9 @@
 
 namespace quayrill {
 
-std::vector<ServerName> sourcesOf(const Address& self, const std::vector<GossipItem>& live,
-                                  const std::vector<EventSource>& sources) {
+std::vector<ServerName> assignedEventSources(const Address& self,
+                                             const std::vector<GossipItem>& live,
+                                             const std::vector<EventSource>& sources) {
   std::map<std::string, std::vector<Address>> readersOfZone;
   std::vector<Address> readers;
   for (const GossipItem& item : live) {
@@ -17,15 +18,15 @@
   }
   std::vector<ServerName> own;
   for (const EventSource& source : sources) {
-    const auto near = readersOfZone.find(source.zone);
-    const auto& candidates = near == readersOfZone.end() ? readers : near->second;
+    const auto readersNearby = readersOfZone.find(source.zone);
+    const auto& candidates = readersNearby == readersOfZone.end() ? readers : readersNearby->second;
     if (rendezvousOwner("events/" + source.name.value, candidates) == self)
       own.push_back(source.name);
   }
   return own;
 }
 
-std::vector<ServerName> allOf(const std::vector<EventSource>& sources) {
+std::vector<ServerName> namesOf(const std::vector<EventSource>& sources) {
   std::vector<ServerName> names;
   for (const EventSource& source : sources) names.push_back(source.name);
   return names;
--- a/src/agent/core/news.cpp
+++ b/src/agent/core/gossip.cpp
@@ -1,4 +1,4 @@
-#include "agent/core/news.h"
+#include "agent/core/gossip.h"
 
 #include <algorithm>
 
@@ -8,16 +8,16 @@
 
 namespace {
 constexpr Duration kLiveSpan = 6s;
-constexpr Duration kKeepSpan = 10min;
+constexpr Duration kRetention = 10min;
 }  // namespace
 
-News::News(Address self, std::uint64_t nonce) : self_(std::move(self)) {
+Gossip::Gossip(Address self, std::uint64_t nonce) : self_(std::move(self)) {
   own_.source = self_;
   own_.nonce = nonce;
   own_.version.incarnation = Incarnation{1};
 }
 
-void News::describeSelf(const GossipItem& item) {
+void Gossip::setOwnState(const GossipItem& item) {
   const GossipVersion version = own_.version;
   const std::uint64_t nonce = own_.nonce;
   own_ = item;
@@ -26,28 +26,27 @@
   own_.nonce = nonce;
 }
 
-void News::beat(Instant now) {
+void Gossip::advanceHeartbeat(Instant now) {
   ++own_.version.counter;
-  std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kKeepSpan; });
+  std::erase_if(rows_, [&](const auto& row) { return now - row.second.advancedAt > kRetention; });
 }
 
-// An earlier life of this address had a higher version: outlive it.
-void News::meetOwn(const GossipVersion& version) {
+void Gossip::supersedeEarlierRun(const GossipVersion& version) {
   if (version > own_.version)
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
 
-GossipRequest News::ask() const {
-  GossipRequest ask;
+NewsAsk Gossip::makeRequest() const {
+  NewsAsk ask;
   ask.known.emplace_back(self_, own_.version);
   for (const auto& [source, row] : rows_) ask.known.emplace_back(source, row.item.version);
   return ask;
 }
 
-GossipResponse News::answer(const GossipRequest& ask) {
+NewsAnswer Gossip::answerRequest(const NewsAsk& ask) {
   std::map<Address, GossipVersion> known(ask.known.begin(), ask.known.end());
-  GossipResponse answer;
-  if (const auto mine = known.find(self_); mine != known.end()) meetOwn(mine->second);
+  NewsAnswer answer;
+  if (const auto mine = known.find(self_); mine != known.end()) supersedeEarlierRun(mine->second);
   if (own_.version > known[self_]) answer.items.push_back(own_);
   for (const auto& [source, row] : rows_) {
     if (row.item.version > known[source]) answer.items.push_back(row.item);
@@ -55,10 +54,10 @@
   return answer;
 }
 
-void News::take(const GossipResponse& answer, Instant now) {
+void Gossip::onAnswer(const NewsAnswer& answer, Instant now) {
   for (const GossipItem& item : answer.items) {
     if (item.source == self_) {
-      if (item.nonce != own_.nonce) meetOwn(item.version);
+      if (item.nonce != own_.nonce) supersedeEarlierRun(item.version);
       continue;
     }
     Row& row = rows_[item.source];
@@ -66,13 +65,13 @@
   }
 }
 
-bool News::isLive(const Address& source, Instant now) const {
+bool Gossip::isLive(const Address& source, Instant now) const {
   if (source == self_) return true;
   const auto row = rows_.find(source);
   return row != rows_.end() && now - row->second.advancedAt < kLiveSpan;
 }
 
-std::vector<GossipItem> News::live(Instant now) const {
+std::vector<GossipItem> Gossip::live(Instant now) const {
   std::vector<GossipItem> items{own_};
   for (const auto& [source, row] : rows_) {
     if (isLive(source, now)) items.push_back(row.item);
@@ -82,7 +81,7 @@
   return items;
 }
 
-std::optional<GossipItem> News::item(const Address& source) const {
+std::optional<GossipItem> Gossip::item(const Address& source) const {
   if (source == self_) return own_;
   const auto row = rows_.find(source);
   if (row == rows_.end()) return std::nullopt;
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -1,4 +1,4 @@
-// Who holds register copies: the replica set follows the machines, one at a time.
+// Keeps the replica set in line with the machines that are available, by one change at a time.
 #include <algorithm>
 
 #include "agent/core/agent_core.h"
@@ -9,60 +9,66 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kTouchSpan = 1500ms;
-// A member is silent once it has been out of touch for so long more. Ours, where no bound for
-// repairs is given: before it gives way to one that waits.
-constexpr Duration kSilentSpan = 4s;
-constexpr Duration kLeastSilentSpan = 500ms;  // two rounds of questions
-constexpr Duration kTickGap = 500ms;  // a daemon that did not run for so long judges nobody by it
-constexpr Duration kForgetReturns = 60s;
-constexpr Duration kSilentAloneSpan = 8s;  // ours: before it is taken out where none waits
-constexpr Duration kKeepContact = 10s;
-constexpr Duration kNextStepsInAfter = 700ms;
+// A store is reachable for this long after an answer.
+constexpr Duration kReachableSpan = 1500ms;
+// How long a member must be unreachable before a spare store replaces it, unless the settings bound
+// the time for repairs.
+constexpr Duration kSilenceLimit = 4s;
+constexpr Duration kMinSilenceLimit = 500ms;  // two confirmation rounds
+// A daemon that itself did not run for this long can't tell how long others were unreachable.
+constexpr Duration kMaxTickGap = 500ms;
+constexpr Duration kForgetReturnsAfter = 60s;
+// How long a member must be unreachable before it is removed without a spare store.
+constexpr Duration kSilenceLimitWithoutSpare = 8s;
+constexpr Duration kContactRetention = 10s;
+constexpr Duration kTakeOverDelayPerRank = 700ms;
 }  // namespace
 
-// Half of the time until the next loss is for noticing, half for the steps.
-Duration AgentCore::silentSpan() const {
-  if (settings_.catchUpSpan == Duration{}) return kSilentSpan;
-  return std::clamp<Duration>(settings_.catchUpSpan / 2 - kTouchSpan, kLeastSilentSpan,
-                              kSilentSpan);
+// Half of the time until the next possible loss is for detecting a loss, half for replacing the
+// member.
+Duration AgentCore::silenceLimit() const {
+  if (settings_.catchUpSpan == Duration{}) return kSilenceLimit;
+  return std::clamp<Duration>(settings_.catchUpSpan / 2 - kReachableSpan, kMinSilenceLimit,
+                              kSilenceLimit);
 }
-Duration AgentCore::silentAloneSpan() const { return kSilentAloneSpan; }
+Duration AgentCore::silenceLimitWithoutSpare() const { return kSilenceLimitWithoutSpare; }
 
-void AgentCore::noteContact(const Address& from, const ConfirmResponse& answer, Instant now) {
+void AgentCore::recordContact(const Address& from, const ConfirmResponse& answer, Instant now) {
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
   Contact& contact = row->second;
-  if (isNew) contact.steadySince = now;
-  if (!isNew && now - contact.at >= kTouchSpan) {
-    contact.returns = now - contact.steadySince > kForgetReturns ? 1 : contact.returns + 1;
-    contact.steadySince = now;
+  if (isNew) contact.stableSince = now;
+  if (!isNew && now - contact.at >= kReachableSpan) {
+    contact.reconnects =
+        now - contact.stableSince > kForgetReturnsAfter ? 1 : contact.reconnects + 1;
+    contact.stableSince = now;
   }
   contact.address = from;
   contact.at = now;
   contact.fleet = answer.replicas.fleet;
-  replaced_.erase(answer.store);
-  if (answer.requestedStore != answer.store) replaced_.insert(answer.requestedStore);
+  replacedStores_.erase(answer.store);
+  if (answer.requestedStore != answer.store) replacedStores_.insert(answer.requestedStore);
 }
 
-bool AgentCore::isInTouch(StoreId store, Instant now) const {
+bool AgentCore::isReachable(StoreId store, Instant now) const {
   const auto contact = contacts_.find(store);
-  return contact != contacts_.end() && now - contact->second.at < kTouchSpan;
+  return contact != contacts_.end() && now - contact->second.at < kReachableSpan;
 }
 
 bool AgentCore::isLost(const ReplicaMember& member, Duration span, Instant now) const {
-  if (replaced_.contains(member.store)) return true;
+  if (replacedStores_.contains(member.store)) return true;
   const auto silent = silentSince_.find(member.store);
   return silent != silentSince_.end() && now - silent->second >= span;
 }
 
-// One machine at a time: a store that waits joins, then one that departs is taken out. While any
-// waits, the set never holds fewer than wanted. No set is proposed whose majority is not in touch.
+// Each step adds or removes one member: a spare store joins before a departing member is removed,
+// so that the set doesn't fall below the wanted size while there is a spare. A set without a
+// reachable majority is never proposed.
 std::optional<ReplicaSet> AgentCore::nextReplicaSet(Instant now) const {
   ReplicaSet next = freshness_.replicas();
   next.epoch = Epoch{next.epoch.value + 1};
   next.settled = false;
-  // A store that moved to another address stays the same voter: write its new address down.
-  for (const GossipItem& item : news_.live(now)) {
+  // A store that moved to another address remains the same voter: only its address is updated.
+  for (const GossipItem& item : gossip_.live(now)) {
     if (item.store.value == 0 || item.leaving) continue;
     for (ReplicaMember& member : next.members) {
       if (member.store != item.store || member.address == item.source) continue;
@@ -71,10 +77,10 @@
     }
   }
   const auto ifReachable = [&](ReplicaSet proposed) -> std::optional<ReplicaSet> {
-    const auto reached = static_cast<std::size_t>(
+    const auto reachableCount = static_cast<std::size_t>(
         std::count_if(proposed.members.begin(), proposed.members.end(),
-                      [&](const ReplicaMember& member) { return isInTouch(member.store, now); }));
-    if (reached < majorityOf(proposed)) return std::nullopt;
+                      [&](const ReplicaMember& member) { return isReachable(member.store, now); }));
+    if (reachableCount < majorityOf(proposed)) return std::nullopt;
     return proposed;
   };
   const auto without = [&](const ReplicaMember& member) {
@@ -83,70 +89,73 @@
     return ifReachable(std::move(smaller));
   };
   const std::size_t wanted = std::max<std::size_t>(1, settings_.replicasWanted);
-  const auto joining = candidate(now);
-  const auto leaver = departing(joining.has_value(), now);
-  if (next.members.size() > wanted) return without(leaver ? *leaver : surplus(now));
-  if (joining && (leaver || next.members.size() < wanted || spreadsBetter(*joining, now))) {
+  const auto joining = joinCandidate(now);
+  const auto departing = departingMember(joining.has_value(), now);
+  if (next.members.size() > wanted) return without(departing ? *departing : surplusMember(now));
+  if (joining && (departing || next.members.size() < wanted || improvesSpread(*joining, now))) {
     ReplicaSet larger = next;
     larger.members.push_back(*joining);
     std::sort(larger.members.begin(), larger.members.end());
     if (auto reachable = ifReachable(std::move(larger))) return reachable;
   }
-  if (leaver && mayShrink(*leaver, now)) return without(*leaver);
+  if (departing && mayRemoveWithoutSuccessor(*departing, now)) return without(*departing);
   return std::nullopt;
 }
 
-// Any member may take the replica set's next step: the register orders what they propose, by the
-// version each expects. The first in order does; the others step in one after the other.
-void AgentCore::tickReplicas(Instant now, AgentEffects* effects) {
-  if (now - lastTick_ > kTickGap) silentSince_.clear();
+// Any member may propose the next step: concurrent proposals are serialized by the version that
+// each of them expects. The first daemon in rendezvous order does it, and the others take over one
+// after the other if it doesn't.
+void AgentCore::tickReplicaSet(Instant now, AgentEffects* effects) {
+  if (now - lastTick_ > kMaxTickGap) silentSince_.clear();
   lastTick_ = now;
-  if (now < nextReplicas_ || freshness_.replicas().epoch.value == 0) return;
-  nextReplicas_ = now + 100ms;
+  if (now < nextReplicaSetCheck_ || freshness_.replicas().epoch.value == 0) return;
+  nextReplicaSetCheck_ = now + 100ms;
   const ReplicaSet& replicas = freshness_.replicas();
   for (const ReplicaMember& member : replicas.members) {
     membership_.introduce(member.address);
-    if (isInTouch(member.store, now))
+    if (isReachable(member.store, now))
       silentSince_.erase(member.store);
     else
       silentSince_.try_emplace(member.store,
-                               contacts_.contains(member.store) ? now : now + kTouchSpan);
+                               contacts_.contains(member.store) ? now : now + kReachableSpan);
   }
-  const auto isIn = [&](StoreId store) {
+  const auto isMember = [&](StoreId store) {
     return std::any_of(replicas.members.begin(), replicas.members.end(),
                        [&](const ReplicaMember& member) { return member.store == store; });
   };
-  std::erase_if(silentSince_, [&](const auto& row) { return !isIn(row.first); });
-  std::erase_if(replaced_, [&](StoreId store) { return !isIn(store); });
-  std::erase_if(contacts_, [&](const auto& row) { return now - row.second.at > kKeepContact; });
-  const bool work = !replicas.settled || nextReplicaSet(now).has_value();
+  std::erase_if(silentSince_, [&](const auto& row) { return !isMember(row.first); });
+  std::erase_if(replacedStores_, [&](StoreId store) { return !isMember(store); });
+  std::erase_if(contacts_,
+                [&](const auto& row) { return now - row.second.at > kContactRetention; });
+  const bool isStepPending = !replicas.settled || nextReplicaSet(now).has_value();
   const std::pair<Epoch, bool> step{replicas.epoch, replicas.settled};
-  if (!work || step != workStep_) workSince_ = now;
-  workStep_ = step;
-  if (!work || !replica_ || now - startedAt_ < 1s) return;
-  std::vector<Address> able;
+  if (!isStepPending || step != pendingStep_) stepPendingSince_ = now;
+  pendingStep_ = step;
+  if (!isStepPending || !replica_ || now - startedAt_ < 1s) return;
+  std::vector<Address> eligible;
   for (const ReplicaMember& member : replicas.members) {
-    if (isInTouch(member.store, now) && !replaced_.contains(member.store) && !isLeaving(member))
-      able.push_back(member.address);
+    if (isReachable(member.store, now) && !replacedStores_.contains(member.store) &&
+        !isLeaving(member))
+      eligible.push_back(member.address);
   }
-  const bool isAble =
-      !leaving_ && std::find(able.begin(), able.end(), settings_.self) != able.end();
-  const auto rank =
-      static_cast<int>(isAble ? rendezvousRank("copies", able, settings_.self) : able.size());
-  if (now - workSince_ < rank * kNextStepsInAfter) return;
-  nextReplicas_ = now;
-  if (!proposer_.isBusy(kReplicaSetKey)) tickEpoch(now, effects);
+  const bool isEligible =
+      !leaving_ && std::find(eligible.begin(), eligible.end(), settings_.self) != eligible.end();
+  const auto rank = static_cast<int>(isEligible ? rendezvousRank("copies", eligible, settings_.self)
+                                                : eligible.size());
+  if (now - stepPendingSince_ < rank * kTakeOverDelayPerRank) return;
+  nextReplicaSetCheck_ = now;
+  if (!proposer_.isBusy(kReplicaSetKey)) advanceReplicaSet(now, effects);
 }
 
-void AgentCore::tickEpoch(Instant now, AgentEffects* effects) {
+void AgentCore::advanceReplicaSet(Instant now, AgentEffects* effects) {
   const ReplicaSet& replicas = freshness_.replicas();
   const auto following = replicas.settled ? nextReplicaSet(now) : std::nullopt;
-  const auto listed = replicas.settled ? std::nullopt : freshness_.keysOfMajority();
-  const auto asks =
+  const auto listed = replicas.settled ? std::nullopt : freshness_.majorityKeys();
+  const auto requests =
       epochSweep_.next(replicas, freshness_.replicaSetVersion(), listed, following, now);
-  for (const ChangeAsked& ask : asks) {
-    if (!proposer_.isBusy(ask.key))
-      begin(ask, ask.isRead ? Purpose::Sweep : Purpose::Replicas, now, effects);
+  for (const ChangeRequest& request : requests) {
+    if (!proposer_.isBusy(request.key))
+      begin(request, request.isRead ? Purpose::Sweep : Purpose::Replicas, now, effects);
   }
 }
 
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -10,23 +10,24 @@
   for (const auto& [model, version] : weights) rows_[model].setNewest(version, confirmedAt);
 }
 
-void WeightsHistories::take(const std::vector<SupersededWeights>& superseded, Instant toldAt) {
-  for (const SupersededWeights& told : superseded) {
-    const auto row = rows_.find(told.model);
-    if (row == rows_.end() || told.ageMicros < 0) continue;
-    row->second.recordNewestAt(told.weights, toldAt - std::chrono::microseconds(told.ageMicros));
+void WeightsHistories::merge(const std::vector<SupersededWeights>& superseded, Instant reportedAt) {
+  for (const SupersededWeights& entry : superseded) {
+    const auto row = rows_.find(entry.model);
+    if (row == rows_.end() || entry.ageMicros < 0) continue;
+    row->second.recordNewestAt(entry.weights,
+                               reportedAt - std::chrono::microseconds(entry.ageMicros));
   }
 }
 
-std::vector<SupersededWeights> WeightsHistories::tell(Instant now) const {
-  std::vector<SupersededWeights> told;
+std::vector<SupersededWeights> WeightsHistories::report(Instant now) const {
+  std::vector<SupersededWeights> report;
   for (const auto& [model, history] : rows_) {
     for (const auto& [version, newestAt] : history.superseded()) {
       const auto ago = std::chrono::ceil<std::chrono::microseconds>(now - newestAt);
-      told.push_back({model, version, ago.count()});
+      report.push_back({model, version, ago.count()});
     }
   }
-  return told;
+  return report;
 }
 
 void WeightsHistories::forgetBefore(Instant before) {
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -17,13 +17,13 @@
 }
 }  // namespace
 
-awaitable<ChangeDone> Agent::ask(ChangeAsked change) {
+awaitable<ChangeOutcome> Agent::ask(ChangeRequest change) {
   auto timer = std::make_shared<asio::steady_timer>(io_);
-  auto result = std::make_shared<std::optional<ChangeDone>>();
+  auto result = std::make_shared<std::optional<ChangeOutcome>>();
   timer->expires_at(std::chrono::steady_clock::time_point::max());
   AgentEffects effects;
-  const OperationId operation = core_->askChange(change, BootClock::now(), &effects);
-  waiters_[operation] = [timer, result](const ChangeDone& done) {
+  const OperationId operation = core_->requestChange(change, BootClock::now(), &effects);
+  waiters_[operation] = [timer, result](const ChangeOutcome& done) {
     *result = done;
     timer->cancel();
   };
@@ -35,8 +35,8 @@
   co_return **result;
 }
 
-awaitable<ChangeDone> Agent::readSettled(Duration due) {
-  ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
+awaitable<ChangeOutcome> Agent::readSettled(Duration due) {
+  ChangeRequest read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
   co_return co_await ask(read);
 }
 
@@ -49,7 +49,7 @@
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
     co_return turnedAway("too few register replicas to survive the loss of one");
-  const ChangeDone current = co_await readSettled(2s);
+  const ChangeOutcome current = co_await readSettled(2s);
   if (current.result != ChangeResult::Chosen)
     co_return turnedAway("no majority of register replicas answered");
   if (current.value.version != expected) {
@@ -74,8 +74,8 @@
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse(
         {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
-  ChangeAsked change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
-  const ChangeDone done = co_await ask(change);
+  ChangeRequest change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
+  const ChangeOutcome done = co_await ask(change);
   switch (done.result) {
     case ChangeResult::Chosen: {
       LOG(INFO) << "configuration " << done.value.version << " acknowledged";
@@ -121,10 +121,10 @@
   AgentEffects effects;
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.turnedAway.empty())
-    co_return errorResponse({ErrorKind::RegisterAvailable, made.turnedAway});
+  if (!made.rejection.empty())
+    co_return errorResponse({ErrorKind::RegisterAvailable, made.rejection});
   // A round of the new register shows that what founds it is synced.
-  const ChangeDone done = co_await readSettled(3s);
+  const ChangeOutcome done = co_await readSettled(3s);
   if (done.result != ChangeResult::Chosen)
     co_return errorResponse(
         {ErrorKind::ChangeOutcomeUnknown, "the new register did not answer yet"});
@@ -161,7 +161,7 @@
   Json rows = Json::array();
   const Snapshot told = snapshot(configurationVersion_, now);
   for (const SnapshotServer& row : told.servers) {
-    const auto fence = core_->held(orderLease(row.model), Duration{}, now);
+    const auto fence = core_->heldFence(orderLease(row.model), Duration{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
                     {"model", row.model.value},
@@ -224,7 +224,7 @@
   }
   if (path == "/q/spec") {
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
-    const ChangeDone done = co_await readSettled(2s);
+    const ChangeOutcome done = co_await readSettled(2s);
     if (done.result != ChangeResult::Chosen)
       co_return turnedAway("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -36,7 +36,7 @@
   }
   const auto confirmed = core_->freshness().confirmedAt();
   if (confirmed && now - *confirmed < settings_.stalenessLimit)
-    view.fence = core_->held(orderLease(model), kOrderDue + kOrderMargin, now);
+    view.fence = core_->heldFence(orderLease(model), kOrderDue + kOrderMargin, now);
   return view;
 }
 
@@ -52,16 +52,16 @@
     const RolloutView view = rolloutView(model, now);
     const RegisterKey key = orderLease(model);
     AgentEffects effects;
-    const auto held = core_->held(key, Duration{}, now);
+    const auto held = core_->heldFence(key, Duration{}, now);
     if (held && rollout.isFencedOff(*held)) {
       // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
     } else if (rollout.wantsLease(view)) {
       Instant& since = behindSince_.try_emplace(model, now).first->second;
       // As long as somebody tells of its orders, nothing is overdue.
-      const Instant sign = std::max(since, core_->notes().lastSign(model).value_or(since));
-      if (held || core_->mayStepIn(roleOf(model), now - sign, now))
-        core_->pursueLease(key, now, &effects);
+      const Instant sign = std::max(since, core_->notes().lastActivity(model).value_or(since));
+      if (held || core_->mayTakeOverRole(roleOf(model), now - sign, now))
+        core_->tryAcquireLease(key, now, &effects);
     } else {
       behindSince_.erase(model);
       if (held && rollout.isIdle()) core_->releaseLease(key, now, &effects);
@@ -75,11 +75,11 @@
 
 void Agent::applyRollout(const ModelName& model, const RolloutEffects& made, Instant now) {
   AgentEffects effects;
-  for (const ServerNote& note : made.notes) core_->tellNote(note, now, &effects);
+  for (const ServerNote& note : made.notes) core_->broadcastNote(note, now, &effects);
   apply(std::move(effects));
   for (const WeightsOrder& order : made.orders)
     asio::co_spawn(io_, orderServer(model, order, now), asio::detached);
-  for (const ReportAsk& asked : made.questions)
+  for (const ReportRequest& asked : made.reportRequests)
     asio::co_spawn(io_, askReport(model, asked), asio::detached);
 }
 
@@ -111,7 +111,7 @@
   applyRollout(model, made, now);
 }
 
-awaitable<void> Agent::askReport(ModelName model, ReportAsk asked) {
+awaitable<void> Agent::askReport(ModelName model, ReportRequest asked) {
   const Instant askedAt = BootClock::now();
   const Address address{asked.server.value};
   const auto report =
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -33,9 +33,9 @@
   UpdateOperation updateOperation(std::move(change), kRegisterBodyLimit,
                                   BootClock::now() + kUpdateDue);
   for (;;) {
-    const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
+    const std::optional<ChangeRequest> asked = updateOperation.next(BootClock::now());
     if (!asked) break;
-    const ChangeDone answer = co_await ask(*asked);
+    const ChangeOutcome answer = co_await ask(*asked);
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Applied)
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -31,7 +31,7 @@
   std::string placement = "prefix";  // prefix; least-burden and round-robin for comparisons
   bool fetch = true;                 // let servers fetch missing prefixes from peers and the store
   std::size_t replicasWanted = 4;    // of the register; enough to bear `losses`
-  LossesToBear losses;               // simultaneous losses that the register must survive
+  LossTolerance losses;              // simultaneous losses that the register must survive
   Topology topology;                 // zones and their regions; needed to bear the loss of one
   // The time within which a lost machine or its successor has recovered, so that the next loss may
   // follow. Repairs of the register must be finished by then. 0: no such bound is promised.
--- a/src/sim/checks.cpp
+++ b/src/sim/checks.cpp
@@ -46,7 +46,7 @@
       if (!machine.core) continue;
       // A frozen machine's hold is judged by its own clock: it could act the moment it wakes.
       const auto fence =
-          machine.core->held(RegisterKey{"hold/" + role}, Duration{}, local(machine));
+          machine.core->heldFence(RegisterKey{"hold/" + role}, Duration{}, local(machine));
       if (!fence) continue;
       ++holders;
       ++tally_.leasesSeen;
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -190,7 +190,7 @@
     machine.diskQueue.push_back(std::move(work));
   }
   startSync(index);
-  for (const ChangeDone& done : effects.done) {
+  for (const ChangeOutcome& done : effects.done) {
     const auto row = pending_.find({index, done.operation});
     if (row == pending_.end()) continue;
     Asked& asked = asked_[row->second - 1];
@@ -272,7 +272,7 @@
   ++machine.diskLife;
   machine.diskBusy = false;
   AgentEffects effects;
-  if (!machine.core->onDiskReadAnew(machine.synced, &effects))
+  if (!machine.core->onDiskReloaded(machine.synced, &effects))
     violate("a mended disk could not be read anew");
   apply(index, std::move(effects));
 }
@@ -294,15 +294,15 @@
   return made;
 }
 
-std::uint64_t World::ask(std::size_t index, ChangeAsked change) {
+std::uint64_t World::ask(std::size_t index, ChangeRequest change) {
   Machine& machine = machines_[index];
   if (!machine.core || now_ < machine.frozenUntil) return 0;
   change.writeId = WriteId{random_() | 1};
-  change.due = local(machine) + 3s;
+  change.deadline = local(machine) + 3s;
   asked_.push_back({asked_.size() + 1, index, change, now_, {}, {}});
   const std::uint64_t id = asked_.size();
   AgentEffects effects;
-  const OperationId operation = machine.core->askChange(change, local(machine), &effects);
+  const OperationId operation = machine.core->requestChange(change, local(machine), &effects);
   pending_[{index, operation}] = id;
   apply(index, std::move(effects));
   return id;
@@ -326,8 +326,8 @@
     case Kind::Tick: {
       machine.core->onTick(local(machine), &effects);
       for (const std::string& role : roles_) {
-        if (machine.core->isMine(role, local(machine)))
-          machine.core->pursueLease(RegisterKey{"hold/" + role}, local(machine), &effects);
+        if (machine.core->ownsRole(role, local(machine)))
+          machine.core->tryAcquireLease(RegisterKey{"hold/" + role}, local(machine), &effects);
       }
       schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.life, {}, {}});
       break;
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "agent/core/news.h"
+#include "agent/core/gossip.h"
 #include "agent/snapshot.h"
 #include "base/digest.h"
 #include "configuration/configuration.h"
@@ -199,7 +199,7 @@
 TEST_CASE("capacity: news of daemons", "[.][capacity]") {
   for (const std::size_t count : {13U, 100U, 340U}) {
     const std::size_t before = heapBytes();
-    auto news = std::make_unique<News>(Address{"10.0.0.1:7100"}, 1);
+    auto news = std::make_unique<Gossip>(Address{"10.0.0.1:7100"}, 1);
     GossipResponse answer;
     for (std::size_t i = 1; i < count; ++i) {
       GossipItem item;
@@ -211,13 +211,13 @@
       answer.items.push_back(item);
     }
     const std::size_t given = heapBytes();
-    news->take(answer, BootClock::now());
+    news->onAnswer(answer, BootClock::now());
     const std::size_t bytes = heapBytes() - given;
-    const std::string asked = encodeEnvelope({{}, {}, news->ask()});
+    const std::string asked = encodeEnvelope({{}, {}, news->makeRequest()});
     const double micros = microsOf(200, [&] {
-      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->ask()}));
+      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->makeRequest()}));
       REQUIRE(envelope.ok());
-      news->answer(std::get<GossipRequest>(envelope->body));
+      news->answerRequest(std::get<GossipRequest>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
               << " bytes of an ask " << asked.size() << " asked and answered in us " << micros
--- a/tests/freshness_tests.cpp
+++ b/tests/freshness_tests.cpp
@@ -1,4 +1,5 @@
-// How a configuration gets from its replicas to a daemon: its body once, whatever its size.
+// How a daemon learns the configuration from the replicas, and that a large body is transferred
+// once.
 #include <catch2/catch.hpp>
 
 #include "agent/core/freshness.h"
@@ -9,7 +10,7 @@
 namespace {
 constexpr std::size_t kLarge = 200000;
 
-// Five replicas that accepted one configuration, and a daemon that asks them.
+// Five replicas and a daemon that queries them.
 struct Register {
   std::vector<RegisterReplica> replicas;
   ReplicaSet set;
@@ -50,9 +51,9 @@
     }
   }
   void round(const std::set<StoreId>& mute = {}) {
-    deliver(freshness.begin(now, false, false), mute);
+    deliver(freshness.beginRound(now, false, false), mute);
     for (int i = 0; i < 4; ++i) {
-      deliver(freshness.widen(now), mute);
+      deliver(freshness.widenRound(now), mute);
       now += 50ms;
     }
     now += 50ms;
@@ -82,19 +83,19 @@
   for (int i = 0; i < 20; ++i) fleet.round();
   CHECK(fleet.freshness.configuration().value.version == 1);
   CHECK(fleet.bodies == 1);
-  CHECK(fleet.freshness.wantsSettling(fleet.now, 500ms) == kConfigurationKey);
+  CHECK(fleet.freshness.keyToSettle(fleet.now, 500ms) == kConfigurationKey);
 }
 
 TEST_CASE("freshness: a body that does not come is asked of the others") {
   Register fleet;
   fleet.accept(fleet.valueOf(1, kLarge), 0, 5);
-  // Whoever is asked for the body says nothing for the first second.
+  // The first replica that is asked for the body never answers that request.
   std::set<StoreId> asked;
   const Instant began = fleet.now;
   while (fleet.now - began < 4s && fleet.freshness.configuration().value.version == 0) {
-    fleet.deliver(fleet.freshness.begin(fleet.now, false, false));
+    fleet.deliver(fleet.freshness.beginRound(fleet.now, false, false));
     for (int i = 0; i < 4; ++i) {
-      Freshness::Sends sends = fleet.freshness.widen(fleet.now);
+      Freshness::Sends sends = fleet.freshness.widenRound(fleet.now);
       std::erase_if(sends, [&](const auto& send) {
         const auto& confirm = std::get<ConfirmRequest>(send.second);
         if (confirm.wantsBodies) asked.insert(confirm.store);
@@ -125,7 +126,7 @@
 TEST_CASE("freshness: a small configuration goes along with the answers") {
   Register fleet;
   fleet.accept(fleet.valueOf(1, 300), 0, 5);
-  fleet.deliver(fleet.freshness.begin(fleet.now, false, false));
+  fleet.deliver(fleet.freshness.beginRound(fleet.now, false, false));
   CHECK(fleet.freshness.configuration().value.version == 1);
 }
 
--- a/tests/server_notes_tests.cpp
+++ b/tests/server_notes_tests.cpp
@@ -1,4 +1,4 @@
-// What is known of servers beside the list, on a fake clock.
+// What notes add to the server list, with a simulated clock.
 #include <catch2/catch.hpp>
 
 #include "agent/core/server_notes.h"
@@ -14,23 +14,23 @@
   ServerNotes notes;
   const Instant now{10s};
   const ServerName server{"s"};
-  const ServerIdentity life{"i"};
+  const ServerIdentity identity{"i"};
   const WeightsVersion one{"1"}, two{"2"}, ten{"10"};
-  notes.take({server, life, kModel, {}, true, FencingToken{3}, 1}, now);
-  CHECK(notes.over(server, life, one, now).switching);
-  CHECK(notes.over(server, life, one, now).weights == one);
-  CHECK_FALSE(notes.over(server, life, one, now + 3s).switching);
-  notes.take({server, life, kModel, two, false, FencingToken{3}, 2}, now + 1s);
-  notes.take({server, life, kModel, {}, true, FencingToken{3}, 1}, now + 1s);  // late
-  CHECK_FALSE(notes.over(server, life, one, now + 1s).switching);
-  CHECK(notes.over(server, life, one, now + 30s).weights == two);
-  CHECK(notes.over(server, life, ten, now + 30s).weights == ten);
-  // The next order says nothing of its weights, so those reached before stay known.
-  notes.take({server, life, kModel, {}, true, FencingToken{4}, 1}, now + 2s);
-  CHECK(notes.over(server, life, one, now + 2s).weights == two);
-  CHECK(notes.over(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
-  CHECK_FALSE(notes.over(server, ServerIdentity{"next"}, one, now + 2s).switching);
-  CHECK(notes.lastSign(kModel) == now + 2s);
+  notes.onNote({server, identity, kModel, {}, true, FencingToken{3}, 1}, now);
+  CHECK(notes.overlay(server, identity, one, now).switching);
+  CHECK(notes.overlay(server, identity, one, now).weights == one);
+  CHECK_FALSE(notes.overlay(server, identity, one, now + 3s).switching);
+  notes.onNote({server, identity, kModel, two, false, FencingToken{3}, 2}, now + 1s);
+  notes.onNote({server, identity, kModel, {}, true, FencingToken{3}, 1}, now + 1s);  // late
+  CHECK_FALSE(notes.overlay(server, identity, one, now + 1s).switching);
+  CHECK(notes.overlay(server, identity, one, now + 30s).weights == two);
+  CHECK(notes.overlay(server, identity, ten, now + 30s).weights == ten);
+  // The note on the next order has no weights, so the weights reached before remain known.
+  notes.onNote({server, identity, kModel, {}, true, FencingToken{4}, 1}, now + 2s);
+  CHECK(notes.overlay(server, identity, one, now + 2s).weights == two);
+  CHECK(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).weights == one);
+  CHECK_FALSE(notes.overlay(server, ServerIdentity{"next"}, one, now + 2s).switching);
+  CHECK(notes.lastActivity(kModel) == now + 2s);
 }
 
 TEST_CASE("notes: versions without an order are believed only until the list must show them") {
@@ -39,11 +39,11 @@
   CHECK(isOlderVersion(WeightsVersion{"w2"}, WeightsVersion{"w1"}));
   ServerNotes notes;
   const Instant now{10s};
-  notes.take({ServerName{"s"}, ServerIdentity{"i"}, kModel, WeightsVersion{"w1"}, false,
-              FencingToken{3}, 1},
-             now);
+  notes.onNote({ServerName{"s"}, ServerIdentity{"i"}, kModel, WeightsVersion{"w1"}, false,
+                FencingToken{3}, 1},
+               now);
   const auto weights = [&](Duration later) {
-    return notes.over(ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"w0"}, now + later)
+    return notes.overlay(ServerName{"s"}, ServerIdentity{"i"}, WeightsVersion{"w0"}, now + later)
         .weights;
   };
   CHECK(weights(1s) == WeightsVersion{"w1"});
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -41,10 +41,10 @@
   std::size_t reads = 0, changes = 0;
   Instant now{100s};
 
-  ChangeDone answer(const ChangeAsked& asked) {
+  ChangeOutcome answer(const ChangeRequest& asked) {
     if (asked.isRead) {
       ++reads;
-      now += readable ? 1ms : asked.due - now;
+      now += readable ? 1ms : asked.deadline - now;
       return {{},
               kConfigurationKey,
               readable ? ChangeResult::Chosen : ChangeResult::NotTried,
@@ -65,7 +65,7 @@
       return {
           {}, kConfigurationKey, fits ? ChangeResult::Chosen : ChangeResult::Conflict, value, {},
           {}};
-    now = asked.due;
+    now = asked.deadline;
     const bool unknown = fate != Fate::NotTried;
     return {{}, kConfigurationKey, unknown ? ChangeResult::Unknown : ChangeResult::NotTried, {}, {},
             {}};
