--- a/src/placement/admission.cpp
+++ b/src/placement/admission.cpp
@@ -9,12 +9,12 @@
 constexpr Span kPresent = 5s;
 }  // namespace
 
-Entered Admission::enter(const TenantName& tenant, std::size_t tenantLimit,
-                         const PolicyName& policy, std::size_t policyLimit, Instant now) {
+AdmissionResult Admission::enter(const TenantName& tenant, std::size_t tenantLimit,
+                                 const PolicyName& policy, std::size_t policyLimit, Instant now) {
   std::erase_if(tenants_, [&](const auto& row) {
     return row.second.inside == 0 && now - row.second.lastEntered > kPresent;
   });
-  budgets_.forgetIdle(now);
+  budgets_.removeIdle(now);
   Presence& presence = tenants_[tenant];
   presence.lastEntered = now;
   std::size_t& inPolicy = policies_[policy];
--- a/src/placement/admission.h
+++ b/src/placement/admission.h
@@ -7,29 +7,29 @@
 
 namespace quayrill {
 
-struct Entered {
+struct AdmissionResult {
   bool isIn = false;
   // More of this daemon's requests are this tenant's than an equal split among the tenants of the
   // last seconds would give it. It matters where servers are short, and only there.
-  bool overShare = false;
+  bool isOverShare = false;
   // The budget could bear an extra try now, so a first try may be given up for another.
-  bool couldTryAgain = false;
+  bool canRetry = false;
 };
 
 class Admission {
  public:
-  Entered enter(const TenantName& tenant, std::size_t tenantLimit, const PolicyName& policy,
-                std::size_t policyLimit, Instant now);
+  AdmissionResult enter(const TenantName& tenant, std::size_t tenantLimit, const PolicyName& policy,
+                        std::size_t policyLimit, Instant now);
   void leave(const TenantName& tenant, const PolicyName& policy);
   // Requests and extra tries are counted by model: each has servers of its own.
-  void countFirst(const ModelName& model, Instant now) {
+  void countRequest(const ModelName& model, Instant now) {
     budgets_.countRequest(serviceOf(model), now);
   }
-  bool couldTakeExtra(const ModelName& model, Instant now) const {
-    return budgets_.couldTakeExtra(serviceOf(model), now);
+  bool canTakeRetry(const ModelName& model, Instant now) const {
+    return budgets_.canTakeRetry(serviceOf(model), now);
   }
-  bool takeExtra(const ModelName& model, Instant now) {
-    return budgets_.takeExtra(serviceOf(model), now);
+  bool takeRetry(const ModelName& model, Instant now) {
+    return budgets_.takeRetry(serviceOf(model), now);
   }
 
  private:
@@ -44,7 +44,7 @@
   std::size_t inside_ = 0;
   static ServiceName serviceOf(const ModelName& model) { return ServiceName{model.value}; }
   // Over all daemons at most a fifth of the traffic in any ten seconds.
-  TryBudgets budgets_{0.2, std::chrono::seconds(10)};
+  RetryBudgets budgets_{0.2, std::chrono::seconds(10)};
 };
 
 }  // namespace quayrill
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -169,12 +169,12 @@
   }
 }
 
-std::vector<Placement::Option> Placement::usable(const std::vector<Option>& options, bool overShare,
-                                                 Instant now) const {
+std::vector<Placement::Option> Placement::usable(const std::vector<Option>& options,
+                                                 bool isOverShare, Instant now) const {
   // A server with twice its slots waiting would only let the request age in its queue. The last
   // places of that queue are for tenants that hold no more than their share.
   std::vector<Option> left = options;
-  const double full = overShare ? kFullOverShare : kFull;
+  const double full = isOverShare ? kFullOverShare : kFull;
   std::erase_if(left, [&](const Option& option) {
     return std::max(option.candidate.load, fullnessOf(*option.row)) >= full;
   });
@@ -295,7 +295,7 @@
     noteExpected(options, sources, asked.prefix, placed.promptTokens, now);
   }
   if (!comparesExpected()) noteCapped(options);
-  const std::vector<Option> left = usable(options, asked.overShare, now);
+  const std::vector<Option> left = usable(options, asked.isOverShare, now);
   if (left.empty()) return std::nullopt;
   const Option& chosen = choose(left, asked.prefix, &placed.reason);
   placed.matchedTokens = chosen.candidate.matchedTokens;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -56,7 +56,7 @@
   CacheSalt salt;
   PromptPrefix prefix;
   std::set<ServerName> avoid;  // tried already
-  bool overShare = false;      // its tenant leaves the last places to the others
+  bool isOverShare = false;    // its tenant leaves the last places to the others
   ServiceName service{};       // "": any that serves the model
   std::function<bool(const ServerState&)> mayUse{};  // the others are out; empty: none is
 };
@@ -256,7 +256,8 @@
     return tokens - tokens % settings_.blockTokens;
   }
   // Those that are neither full nor, where others are left, in trouble.
-  std::vector<Option> usable(const std::vector<Option>& options, bool overShare, Instant now) const;
+  std::vector<Option> usable(const std::vector<Option>& options, bool isOverShare,
+                             Instant now) const;
   const Option& choose(const std::vector<Option>& usable, const PromptPrefix& prefix,
                        std::string* reason);
   const Option& chooseByExpected(const std::vector<Option>& usable, std::uint64_t tieName) const;
--- a/src/placement/try_budget.cpp
+++ b/src/placement/try_budget.cpp
@@ -14,23 +14,23 @@
 constexpr double kUnknownDaemons = 2;
 }  // namespace
 
-std::size_t TryBudget::count(const std::deque<Instant>& times, Instant now, Span window) {
+std::size_t RetryBudget::count(const std::deque<Instant>& times, Instant now, Span window) {
   const auto first = std::upper_bound(times.begin(), times.end(), now - window);
   return static_cast<std::size_t>(times.end() - first);
 }
 
-void TryBudget::forget(Instant now) {
+void RetryBudget::forget(Instant now) {
   for (auto* times : {&firsts_, &extras_}) {
     while (!times->empty() && times->front() <= now - window_) times->pop_front();
   }
 }
 
-void TryBudget::countFirst(Instant now) {
+void RetryBudget::countRequest(Instant now) {
   forget(now);
   firsts_.push_back(now);
 }
 
-bool TryBudget::couldTakeExtra(Instant now) const {
+bool RetryBudget::canTakeRetry(Instant now) const {
   return std::all_of(std::begin(kDivisors), std::end(kDivisors), [&](int divisor) {
     const Span window = window_ / divisor;
     const double allowed =
@@ -39,48 +39,48 @@
   });
 }
 
-bool TryBudget::takeExtra(Instant now) {
+bool RetryBudget::takeRetry(Instant now) {
   forget(now);
-  if (!couldTakeExtra(now)) return false;
+  if (!canTakeRetry(now)) return false;
   extras_.push_back(now);
   return true;
 }
 
-TryBudget& TryBudgets::rowOf(const ServiceName& service) {
+RetryBudget& RetryBudgets::rowOf(const ServiceName& service) {
   return rows_.try_emplace(service, share_, slack_, window_).first->second;
 }
 
-void TryBudgets::setSlack(double slack) {
+void RetryBudgets::setSlack(double slack) {
   slack_ = slack;
   for (auto& [service, row] : rows_) row.setSlack(slack);
 }
 
-void TryBudgets::countRequest(const ServiceName& service, Instant now) {
-  rowOf(service).countFirst(now);
+void RetryBudgets::countRequest(const ServiceName& service, Instant now) {
+  rowOf(service).countRequest(now);
 }
 
-bool TryBudgets::couldTakeExtra(const ServiceName& service, Instant now) const {
+bool RetryBudgets::canTakeRetry(const ServiceName& service, Instant now) const {
   const auto row = rows_.find(service);
-  return row != rows_.end() && row->second.couldTakeExtra(now);
+  return row != rows_.end() && row->second.canTakeRetry(now);
 }
 
-bool TryBudgets::takeExtra(const ServiceName& service, Instant now) {
-  return rowOf(service).takeExtra(now);
+bool RetryBudgets::takeRetry(const ServiceName& service, Instant now) {
+  return rowOf(service).takeRetry(now);
 }
 
-void TryBudgets::forgetIdle(Instant now) {
+void RetryBudgets::removeIdle(Instant now) {
   std::erase_if(rows_, [&](const auto& row) { return row.second.isIdle(now); });
 }
 
-void SlackShare::note(std::size_t daemons, Instant now) {
+void RetrySlack::note(std::size_t daemons, Instant now) {
   if (daemons <= most_) return;
   most_ = daemons;
   grewAt_ = now;
 }
 
-double SlackShare::of(double wholeSlack, Instant now) const {
+double RetrySlack::of(double fleetSlack, Instant now) const {
   if (most_ == 0 || now - grewAt_ < window_) return 0;
-  return wholeSlack / (kUnknownDaemons * static_cast<double>(most_));
+  return fleetSlack / (kUnknownDaemons * static_cast<double>(most_));
 }
 
 }  // namespace quayrill
--- a/src/placement/try_budget.h
+++ b/src/placement/try_budget.h
@@ -18,18 +18,18 @@
 namespace quayrill {
 
 // One daemon's part for one service.
-class TryBudget {
+class RetryBudget {
  public:
   // At most share * requests + slack extra tries in the window, and as much in proportion in a half
   // and a fifth of it.
-  explicit TryBudget(double share = 1.0 / 7, double slack = 0,
-                     Span window = std::chrono::seconds(10))
+  explicit RetryBudget(double share = 1.0 / 7, double slack = 0,
+                       Span window = std::chrono::seconds(10))
       : share_(share), slack_(slack), window_(window) {}
   // Once for each request, however often it is sent.
-  void countFirst(Instant now);
-  bool couldTakeExtra(Instant now) const;
+  void countRequest(Instant now);
+  bool canTakeRetry(Instant now) const;
   // Takes one extra try if every trailing window can bear it. Empty at start.
-  bool takeExtra(Instant now);
+  bool takeRetry(Instant now);
   void setSlack(double slack) { slack_ = slack; }
   // A whole window has passed over it.
   bool isIdle(Instant now) const { return firsts(now, window_) + extras(now, window_) == 0; }
@@ -47,38 +47,38 @@
 };
 
 // One daemon's parts for all services.
-class TryBudgets {
+class RetryBudgets {
  public:
-  // `wholeShare`: of the bound over all daemons.
-  TryBudgets(double wholeShare, Span window) : share_(wholeShare / 2), window_(window) {}
+  // `fleetShare`: of the bound over all daemons.
+  RetryBudgets(double fleetShare, Span window) : share_(fleetShare / 2), window_(window) {}
   // `slack`: this daemon's part, for each service.
   void setSlack(double slack);
   void countRequest(const ServiceName& service, Instant now);
-  bool couldTakeExtra(const ServiceName& service, Instant now) const;
-  bool takeExtra(const ServiceName& service, Instant now);
+  bool canTakeRetry(const ServiceName& service, Instant now) const;
+  bool takeRetry(const ServiceName& service, Instant now);
   // Rows over which a whole window has passed with no request go: those that stay are of services
   // that the configuration named within it.
-  void forgetIdle(Instant now);
+  void removeIdle(Instant now);
   std::size_t rows() const { return rows_.size(); }
 
  private:
-  TryBudget& rowOf(const ServiceName& service);
+  RetryBudget& rowOf(const ServiceName& service);
   double share_;
   double slack_ = 0;
   Span window_;
-  std::map<ServiceName, TryBudget> rows_;
+  std::map<ServiceName, RetryBudget> rows_;
 };
 
 // One daemon's part of the slack. How many daemons there are is told nowhere; each knows the live
 // ones that it has heard of.
-class SlackShare {
+class RetrySlack {
  public:
-  explicit SlackShare(Span window) : window_(window) {}
+  explicit RetrySlack(Span window) : window_(window) {}
   // `daemons`: live ones that take requests, as far as is known now.
   void note(std::size_t daemons, Instant now);
   // 0 until the number has not grown for a window. Half of an even part then, by the largest number
   // ever known: the sum keeps the bound while each daemon knows half of the others or more.
-  double of(double wholeSlack, Instant now) const;
+  double of(double fleetSlack, Instant now) const;
 
  private:
   Span window_;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -40,7 +40,7 @@
     std::string body;
     std::string digest;
     Instant begun, due;
-    Entered entered;  // how it stood when it came in
+    AdmissionResult entered;  // how it stood when it came in
   };
   // One row of the decision stream, filled on the way.
   struct Trace {
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -16,9 +16,9 @@
 
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
-Instant firstPieceDueOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
-                        Instant due) {
-  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain) return due;
+Instant firstPieceDueOf(const RoutePolicy& policy, const AdmissionResult& entered,
+                        std::size_t attempt, Instant due) {
+  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.canRetry) return due;
   const Instant now = BootClock::now();
   return now + (due - now) / 2;
 }
@@ -53,15 +53,15 @@
     co_return response;
   }
   const Tenant& tenant = seen->configuration->tenants.at(job.tenant);
-  const std::function<Entered(Admission&)> enter =
+  const std::function<AdmissionResult(Admission&)> enter =
       [name = job.tenant, policy = job.policyName, tenantLimit = tenant.concurrency,
        policyLimit = job.policy.concurrency, model = job.policy.model](Admission& admission) {
         const Instant now = BootClock::now();
-        Entered entered = admission.enter(name, tenantLimit, policy, policyLimit, now);
-        entered.couldTryAgain = admission.couldTakeExtra(model, now);
+        AdmissionResult entered = admission.enter(name, tenantLimit, policy, policyLimit, now);
+        entered.canRetry = admission.canTakeRetry(model, now);
         return entered;
       };
-  const auto entered = co_await admission_.ask<Entered>(enter);
+  const auto entered = co_await admission_.ask<AdmissionResult>(enter);
   Trace trace;
   std::optional<HttpResponse> response;
   if (!entered || !entered->isIn) {
@@ -91,7 +91,7 @@
       break;
     }
     PlacementAsked asked{job.policy.model, job.tenant, job.salt,
-                         job.prefix,       tried,      job.entered.overShare};
+                         job.prefix,       tried,      job.entered.isOverShare};
     const auto seen = view();
     // What is sent now may wait at the server before it begins.
     asked.mayUse = [seen, bound = Span(settings_.rolloutDue)](const ServerState& server) {
@@ -115,7 +115,7 @@
     // An extra try is one more send; where nothing was sent before, this is still the first.
     if (wasSent) {
       const std::function<bool(Admission&)> pay = [model = job.policy.model](Admission& admission) {
-        return admission.takeExtra(model, BootClock::now());
+        return admission.takeRetry(model, BootClock::now());
       };
       const auto paid = co_await admission_.ask<bool>(pay);
       if (!paid || !*paid) break;
@@ -132,7 +132,7 @@
       if (!mayRun(job, placed.chosenServer)) return false;
       if (!wasSent)
         admission_.mustPost([model = job.policy.model](Admission& admission) {
-          admission.countFirst(model, BootClock::now());
+          admission.countRequest(model, BootClock::now());
         });
       return true;
     };
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -89,7 +89,7 @@
   const std::string refused = whyNot(*caller, job, server, now);
   if (caller->isGone) co_return TryResult{TryEnd::CallerGone, "before it was sent"};
   if (!refused.empty()) co_return TryResult{TryEnd::NeverSent, refused};
-  if (asked.isExtra && !budgets_.takeExtra(server.service, now)) {
+  if (asked.isExtra && !budgets_.takeRetry(server.service, now)) {
     TryResult result{TryEnd::NeverSent, "the budget of extra tries is spent"};
     result.isOverBudget = true;
     co_return result;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -71,7 +71,7 @@
 void Relay::keepBudgets(std::size_t daemons, Instant now) {
   slackShare_.note(daemons, now);
   budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.extraSlack), now));
-  budgets_.forgetIdle(now);
+  budgets_.removeIdle(now);
 }
 
 std::shared_ptr<Instant> Relay::signsOf(const ServerName& server) {
@@ -178,9 +178,9 @@
     const Instant now = BootClock::now();
     if (!isCounted) budgets_.countRequest(server.service, now);
     isCounted = true;
-    if (arrivals > 0 && !budgets_.couldTakeExtra(server.service, now)) break;
+    if (arrivals > 0 && !budgets_.canTakeRetry(server.service, now)) break;
     if (job.policy.repeatable && sentTo.size() + 1 < most &&
-        budgets_.couldTakeExtra(server.service, now))
+        budgets_.canTakeRetry(server.service, now))
       firstDeadline = std::min(firstDeadline, now + Span(job.policy.target) + kSilentSlack);
     ran = true;
     TryResult result = co_await attempt(caller, job, *placed, &soFar,
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -194,8 +194,8 @@
   std::unique_ptr<HttpServer> ready_;
   std::shared_ptr<const ProxyView> view_ = std::make_shared<ProxyView>();
   Placement placement_;
-  TryBudgets budgets_;
-  SlackShare slackShare_;
+  RetryBudgets budgets_;
+  RetrySlack slackShare_;
   ConnectionPool pool_;
   std::map<ServerName, std::size_t> viewRows_;  // row of each server in view_
   std::list<std::weak_ptr<Caller>> open_;
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -174,16 +174,16 @@
 }
 
 TEST_CASE("extra tries: no trailing window of ten seconds sees more than a fifth") {
-  TryBudget budget;
+  RetryBudget budget;
   std::mt19937_64 random(5);
   Instant now{1s};
-  CHECK_FALSE(budget.takeExtra(now));  // empty at start
+  CHECK_FALSE(budget.takeRetry(now));  // empty at start
   std::vector<std::pair<Instant, bool>> sends;
   for (int i = 0; i < 20000; ++i) {
     now += std::chrono::milliseconds(random() % (i % 4000 < 2000 ? 20 : 400));
-    budget.countFirst(now);
+    budget.countRequest(now);
     sends.emplace_back(now, false);
-    if (random() % 2 && budget.takeExtra(now)) sends.emplace_back(now, true);
+    if (random() % 2 && budget.takeRetry(now)) sends.emplace_back(now, true);
   }
   std::size_t from = 0, extras = 0, taken = 0;
   for (std::size_t to = 0; to < sends.size(); ++to) {
@@ -226,7 +226,7 @@
   one.slots = 4;
   placement.setServers({one});
   PlacementAsked big = asking("rules:64");
-  big.overShare = true;
+  big.isOverShare = true;
   std::vector<Ticket> tickets;
   while (const auto placed = placement.place(big)) tickets.push_back(placed->ticket);
   CHECK(tickets.size() == 6);  // one and a half times the slots
@@ -242,13 +242,13 @@
   const auto enter = [&](const char* tenant) {
     return admission.enter(TenantName{tenant}, 100, policy, 1000, now);
   };
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(enter("big").overShare);  // alone: all is its share
-  CHECK_FALSE(enter("small").overShare);
-  CHECK(enter("big").overShare);
+  for (int i = 0; i < 10; ++i) CHECK_FALSE(enter("big").isOverShare);  // alone: all is its share
+  CHECK_FALSE(enter("small").isOverShare);
+  CHECK(enter("big").isOverShare);
   admission.leave(TenantName{"small"}, policy);
-  CHECK(enter("big").overShare);  // the small one was here a moment ago
+  CHECK(enter("big").isOverShare);  // the small one was here a moment ago
   now += 6s;
-  CHECK_FALSE(enter("big").overShare);
+  CHECK_FALSE(enter("big").isOverShare);
   CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isIn);
   CHECK_FALSE(admission.enter(TenantName{"new"}, 100, policy, 13, now).isIn);
 }
--- a/tests/try_budget_tests.cpp
+++ b/tests/try_budget_tests.cpp
@@ -68,7 +68,7 @@
     }
     if (!spends || random() % (4 + daemons / 4)) continue;
     for (Budget& budget : budgets) {
-      while (budget.takeExtra(kService, now)) extras.push_back(now);
+      while (budget.takeRetry(kService, now)) extras.push_back(now);
     }
   }
   Worst worst;
@@ -81,10 +81,10 @@
   return worst;
 }
 
-TryBudgets budgetsOf(std::size_t known) {
-  SlackShare slack(kWindow);
+RetryBudgets budgetsOf(std::size_t known) {
+  RetrySlack slack(kWindow);
   slack.note(known, Instant{1s});
-  TryBudgets budgets(kShare, kWindow);
+  RetryBudgets budgets(kShare, kWindow);
   budgets.setSlack(slack.of(kSlack, Instant{1s} + kWindow));
   return budgets;
 }
@@ -96,7 +96,7 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       // Each daemon knows all others, or only half of them.
       for (const std::size_t known : {daemons, (daemons + 1) / 2}) {
-        const Worst worst = play<TryBudgets>(daemons, seed, [&] { return budgetsOf(known); });
+        const Worst worst = play<RetryBudgets>(daemons, seed, [&] { return budgetsOf(known); });
         INFO(daemons << " daemons, " << known << " known, seed " << seed);
         CHECK(worst.left >= 0);
         extras += worst.extras;
@@ -109,11 +109,11 @@
 namespace {
 // How it was: nearly the whole share for each, and a sixteenth of the slack however many they are.
 struct EvenPart {
-  TryBudget row{kShare * 0.7, std::floor(kSlack / 16), kWindow};
-  void countRequest(const ServiceName&, Instant now) { row.countFirst(now); }
-  bool takeExtra(const ServiceName&, Instant now) {
-    if (!row.takeExtra(now)) return false;
-    row.countFirst(now);  // each send was counted as a request
+  RetryBudget row{kShare * 0.7, std::floor(kSlack / 16), kWindow};
+  void countRequest(const ServiceName&, Instant now) { row.countRequest(now); }
+  bool takeRetry(const ServiceName&, Instant now) {
+    if (!row.takeRetry(now)) return false;
+    row.countRequest(now);  // each send was counted as a request
     return true;
   }
 };
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE("extra tries: the slack waits until the number of daemons is known") {
-  SlackShare slack(kWindow);
+  RetrySlack slack(kWindow);
   CHECK(slack.of(kSlack, Instant{100s}) == 0);
   slack.note(0, Instant{100s});
   CHECK(slack.of(kSlack, Instant{200s}) == 0);
@@ -142,18 +142,18 @@
 }
 
 TEST_CASE("extra tries: one service's requests pay for no other's, and idle rows go") {
-  TryBudgets budgets(kShare, kWindow);
+  RetryBudgets budgets(kShare, kWindow);
   const Instant now{100s};
   for (int i = 0; i < 100; ++i) budgets.countRequest(ServiceName{"busy"}, now);
-  CHECK_FALSE(budgets.couldTakeExtra(ServiceName{"quiet"}, now));
-  CHECK_FALSE(budgets.takeExtra(ServiceName{"quiet"}, now));
+  CHECK_FALSE(budgets.canTakeRetry(ServiceName{"quiet"}, now));
+  CHECK_FALSE(budgets.takeRetry(ServiceName{"quiet"}, now));
   int taken = 0;
-  while (budgets.takeExtra(ServiceName{"busy"}, now)) ++taken;
+  while (budgets.takeRetry(ServiceName{"busy"}, now)) ++taken;
   CHECK(taken == 10);
   for (int i = 0; i < 500; ++i) {
     const Instant at = now + i * 1s;
     budgets.countRequest(ServiceName{"s" + std::to_string(i)}, at);
-    budgets.forgetIdle(at);
+    budgets.removeIdle(at);
     CHECK(budgets.rows() <= 13);
   }
 }
