--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -79,10 +79,10 @@
         return 1;
       }
       agent->setFeed([&relay](Snapshot told, Instant askedAt) {
-        relay->takeSnapshot(std::move(told), askedAt);
+        relay->applySnapshot(std::move(told), askedAt);
       });
       agent->setPlaneFeed([&relay](PlaneDigest digest, Instant toldAt) {
-        relay->takeDigest(std::move(digest), toldAt);
+        relay->applyDigest(std::move(digest), toldAt);
       });
     }
     if (auto status = agent->start(); !status.ok()) {
--- a/src/relay/answer.cpp
+++ b/src/relay/answer.cpp
@@ -25,9 +25,9 @@
 
 void Relay::noteHead(const ServerState& server, const http::response_header<>& head) {
   const Instant now = BootClock::now();
-  const auto load = numbersOf(view(head[names_.load]));
+  const auto load = parseNumbers(view(head[names_.load]));
   if (load.size() == 3) placement_.noteLoad(server.name, load[0], load[1], load[2], now);
-  const auto weights = numbersOf(view(head[names_.weights]));
+  const auto weights = parseNumbers(view(head[names_.weights]));
   if (!weights.empty())
     placement_.noteWeights(server.name, server.identity,
                            WeightsVersion{std::to_string(weights.back())});
@@ -52,14 +52,14 @@
   co_return body;
 }
 
-TryResult Relay::judgeNotRun(const Attempt& attempt, const http::response_header<>& head) {
+AttemptResult Relay::judgeNotRun(const Attempt& attempt, const http::response_header<>& head) {
   const ServerState& server = attempt.placed.chosenServer;
   const unsigned status = head.result_int();
-  TryResult result{TryEnd::NotRun, "the server answered " + std::to_string(status)};
+  AttemptResult result{AttemptOutcome::NotRun, "the server answered " + std::to_string(status)};
   // Other weights than asked for, and it said which it has now: ask again for those.
   const bool isSameServer = head.find(names_.identity) == head.end() ||
                             view(head[names_.identity]) == server.identity.value;
-  result.retrySame = status == 421 && isSameServer && head.find(names_.weights) != head.end();
+  result.retrySameServer = status == 421 && isSameServer && head.find(names_.weights) != head.end();
   if (status == 421 && !isSameServer) placement_.noteFailure(server.name, BootClock::now());
   if (status != 421) placement_.noteRefusal(server.name, BootClock::now());
   return result;
@@ -67,7 +67,7 @@
 
 // Answers to earlier requests may stand before this one's; their ids tell. What nobody can be told
 // to own is passed over as theirs.
-awaitable<TryResult> Relay::readAnswer(Attempt& attempt) {
+awaitable<AttemptResult> Relay::readAnswer(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   beast::flat_buffer& buffer = attempt.connection->buffer;
   ErrorCode code;
@@ -77,28 +77,29 @@
     parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     parser.header_limit(32 << 10);
     co_await http::async_read_header(socket, buffer, parser, into(code));
-    if (code) co_return TryResult{TryEnd::Unknown, "answer: " + code.message()};
+    if (code) co_return AttemptResult{AttemptOutcome::Unknown, "answer: " + code.message()};
     const auto& head = parser.get();
     const unsigned status = head.result_int();
     if (status / 100 == 1) continue;
     const bool isFirst = attempt.connection->served == 0 && attempt.strays == 0;
-    const AnswerOwner owner = ownerOf(head, names_, attempt.job.id, isFirst);
-    if (owner == AnswerOwner::Broken)
-      co_return TryResult{TryEnd::Unknown, "answers run into one another"};
-    const bool isOurs = owner == AnswerOwner::Request;
+    const ResponseOwner owner = responseOwner(head, names_, attempt.job.id, isFirst);
+    if (owner == ResponseOwner::Broken)
+      co_return AttemptResult{AttemptOutcome::Unknown, "answers run into one another"};
+    const bool isOurs = owner == ResponseOwner::Request;
     if (isOurs) noteHead(attempt.placed.chosenServer, head);
     const bool isSuccess = status / 100 == 2;
     const bool isSealed = names_.seal.empty() || head.find(names_.seal) != head.end();
     if (isOurs && isSuccess && !isSealed)
-      co_return TryResult{TryEnd::Unknown, "a success without a seal"};
+      co_return AttemptResult{AttemptOutcome::Unknown, "a success without a seal"};
     if (isOurs && isSuccess && attempt.job.policy.isStream) {
       attempt.watch->headAt = BootClock::now();
       co_return co_await passEvents(attempt);
     }
     // Anything else is read whole before it is judged.
     auto body = co_await readBody(attempt);
-    if (!body.ok()) co_return TryResult{TryEnd::Unknown, std::string(body.status().message())};
-    const bool isNotRun = owner != AnswerOwner::Somebody && saysNotRun(head, names_);
+    if (!body.ok())
+      co_return AttemptResult{AttemptOutcome::Unknown, std::string(body.status().message())};
+    const bool isNotRun = owner != ResponseOwner::Somebody && reportsNotRun(head, names_);
     if (isNotRun) co_return judgeNotRun(attempt, head);
     if (!isOurs) {
       ++attempt.strays;
@@ -108,29 +109,29 @@
     HttpResponse response;
     response.result(status);
     for (const auto& field : head) {
-      if (!isOfConnection(view(field.name_string())))
+      if (!isHopByHop(view(field.name_string())))
         response.insert(field.name_string(), field.value());
     }
     response.body() = std::move(*body);
     if (isSuccess) {
       const bool written = co_await answer(attempt.caller, std::move(response), attempt.keepAlive);
-      co_return TryResult{written ? TryEnd::Done : TryEnd::CallerGone, "whole"};
+      co_return AttemptResult{written ? AttemptOutcome::Done : AttemptOutcome::CallerGone, "whole"};
     }
-    TryResult result{TryEnd::Unknown, "the server answered " + std::to_string(status)};
+    AttemptResult result{AttemptOutcome::Unknown, "the server answered " + std::to_string(status)};
     // Without the server's mark nobody knows that it did not run.
     if (!promisesNotRun(status)) result.failure = std::move(response);
     co_return result;
   }
-  co_return TryResult{TryEnd::Unknown, "answers of others only"};
+  co_return AttemptResult{AttemptOutcome::Unknown, "answers of others only"};
 }
 
-awaitable<TryResult> Relay::passEvents(Attempt& attempt) {
+awaitable<AttemptResult> Relay::passEvents(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   auto& parser = *attempt.parser;
-  AnswerSoFar& soFar = *attempt.soFar;
-  EventSplitter splitter(soFar.lastEventId);
+  ResponseProgress& progress = *attempt.progress;
+  EventSplitter splitter(progress.lastEventId);
   const bool hasNoLength = parser.need_eof();
-  TryResult result{TryEnd::Cut, ""};
+  AttemptResult result{AttemptOutcome::Cut, ""};
   ErrorCode code;
   char block[16384];
   while (!parser.is_done()) {
@@ -155,41 +156,41 @@
     if (isEnd) events += splitter.rest();
     if (events.empty() && !isEnd) continue;
     std::string bytes;
-    if (!soFar.headSent) {
+    if (!progress.headSent) {
       bytes = "HTTP/1.1 " + std::to_string(parser.get().result_int()) + " " +
               std::string(view(parser.get().reason())) + "\r\n";
       for (const auto& field : parser.get()) {
-        if (!isOfConnection(view(field.name_string())))
+        if (!isHopByHop(view(field.name_string())))
           addHeader(&bytes, view(field.name_string()), view(field.value()));
       }
       addHeader(&bytes, "Transfer-Encoding", "chunked");
       if (!keepsOpen(attempt.caller, attempt.keepAlive)) addHeader(&bytes, "Connection", "close");
       bytes += "\r\n";
-      result.firstAfter = BootClock::now() - attempt.begun;
+      result.timeToFirstEvent = BootClock::now() - attempt.begun;
     }
     if (!events.empty()) bytes += chunkOf(events);
     if (isEnd) bytes += "0\r\n\r\n";
-    soFar.headSent = true;
+    progress.headSent = true;
     if (!attempt.watch->hasBegun) placement_.noteRead(attempt.placed.ticket, BootClock::now());
     // From here on only the route's own deadline ends the answer.
     attempt.watch->hasBegun = true;
-    attempt.watch->deadline = streamEnd(attempt.job);
-    setDeadline(attempt.caller, streamEnd(attempt.job));
+    attempt.watch->deadline = streamDeadline(attempt.job);
+    setDeadline(attempt.caller, streamDeadline(attempt.job));
     ErrorCode written;
     co_await asio::async_write(attempt.caller->socket, asio::buffer(bytes), into(written));
     attempt.caller->deadline = Instant::max();
-    if (written) co_return TryResult{TryEnd::CallerGone, written.message()};
-    soFar.events += batch.events;
-    soFar.lastEventId = splitter.lastId();
-    soFar.isPlaced = splitter.isPlaced();
+    if (written) co_return AttemptResult{AttemptOutcome::CallerGone, written.message()};
+    progress.events += batch.events;
+    progress.lastEventId = splitter.lastId();
+    progress.canResume = splitter.canResume();
   }
   if (!code && parser.is_done()) {
-    result.end = TryEnd::Done;
-    result.detail = std::to_string(soFar.events) + " events";
+    result.end = AttemptOutcome::Done;
+    result.detail = std::to_string(progress.events) + " events";
     co_return result;
   }
   result.detail = code ? code.message() : "an endless event";
-  result.end = soFar.headSent ? TryEnd::Cut : TryEnd::Unknown;
+  result.end = progress.headSent ? AttemptOutcome::Cut : AttemptOutcome::Unknown;
   co_return result;
 }
 
--- a/src/relay/answer_owner.cpp
+++ b/src/relay/answer_owner.cpp
@@ -13,16 +13,16 @@
 bool holdsHead(beast::string_view text) { return view(text).find(kProtocol) != std::string::npos; }
 }  // namespace
 
-AnswerOwner ownerOf(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
-                    bool isFirst) {
+ResponseOwner responseOwner(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
+                            bool isFirst) {
   const auto ids = head.count(names.requestId);
-  if (ids > 1 || isSpliced(head)) return AnswerOwner::Broken;
+  if (ids > 1 || isSpliced(head)) return ResponseOwner::Broken;
   if (ids == 1) {
     const bool isOurs = !id.value.empty() && view(head[names.requestId]) == id.value;
-    return isOurs ? AnswerOwner::Request : AnswerOwner::Somebody;
+    return isOurs ? ResponseOwner::Request : ResponseOwner::Somebody;
   }
-  if (!isFirst) return AnswerOwner::Somebody;
-  return id.value.empty() ? AnswerOwner::Request : AnswerOwner::Unnamed;
+  if (!isFirst) return ResponseOwner::Somebody;
+  return id.value.empty() ? ResponseOwner::Request : ResponseOwner::Unnamed;
 }
 
 bool isSpliced(const ResponseHead& head) {
@@ -35,7 +35,7 @@
   return status == 408 || status == kMisdirected || status == 429 || status == 503;
 }
 
-bool saysNotRun(const ResponseHead& head, const HeaderNames& names) {
+bool reportsNotRun(const ResponseHead& head, const HeaderNames& names) {
   if (head.result_int() / 100 == 2) return false;
   return head.result_int() == kMisdirected || head.find(names.notRun) != head.end();
 }
--- a/src/relay/answer_owner.h
+++ b/src/relay/answer_owner.h
@@ -7,7 +7,7 @@
 
 using ResponseHead = http::response_header<>;
 
-enum class AnswerOwner {
+enum class ResponseOwner {
   Request,   // it bears the request's id, or answers one without an id on a fresh connection
   Unnamed,   // without an id, but the first answer of a connection that carried nothing else
   Somebody,  // another request's, or nobody can say whose
@@ -16,8 +16,8 @@
 
 // `isFirst`: no other request went over the connection and no other answer came on it. An answer
 // without an id may be a late one of an earlier request everywhere else.
-AnswerOwner ownerOf(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
-                    bool isFirst);
+ResponseOwner responseOwner(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
+                            bool isFirst);
 
 // True where the end of a broken answer and the beginning of another stand in one head.
 bool isSpliced(const ResponseHead& head);
@@ -27,6 +27,6 @@
 
 // True where the server itself says that it did not run the request (421, or its mark on a
 // failure).
-bool saysNotRun(const ResponseHead& head, const HeaderNames& names);
+bool reportsNotRun(const ResponseHead& head, const HeaderNames& names);
 
 }  // namespace quayrill
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -57,14 +57,14 @@
   return "";
 }
 
-awaitable<TryResult> Relay::attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
-                                    const Placed& placed, AnswerSoFar* soFar,
-                                    const TryAsked& asked) {
+awaitable<AttemptResult> Relay::attempt(const std::shared_ptr<Caller>& caller,
+                                        const RelayRequest& job, const Placed& placed,
+                                        ResponseProgress* progress, const AttemptOptions& asked) {
   const ServerState& server = placed.chosenServer;
   Attempt attempt{caller,
                   job,
                   placed,
-                  soFar,
+                  progress,
                   asked.keepAlive,
                   BootClock::now(),
                   nullptr,
@@ -73,12 +73,12 @@
                   asio::steady_timer(io_)};
   // Without an id nothing tells a late answer of another request from its own.
   if (!job.id.value.empty())
-    attempt.connection = pool_.takeIdle(server.name, attempt.begun, job.id);
+    attempt.connection = pool_.acquireIdle(server.name, attempt.begun, job.id);
   if (!attempt.connection) {
     const Span due = std::min<Span>(kConnectDue, job.deadline - attempt.begun);
     auto connected = co_await pool_.connect(server.name, due);
     if (!connected.ok()) {
-      TryResult result{TryEnd::NeverSent, std::string(connected.status().message())};
+      AttemptResult result{AttemptOutcome::NeverSent, std::string(connected.status().message())};
       result.isUnreachable = true;
       co_return result;
     }
@@ -87,11 +87,11 @@
   // Nothing is awaited from here until the first bytes have left.
   const Instant now = BootClock::now();
   const std::string refused = whyNot(*caller, job, server, now);
-  if (caller->isGone) co_return TryResult{TryEnd::CallerGone, "before it was sent"};
-  if (!refused.empty()) co_return TryResult{TryEnd::NeverSent, refused};
-  if (asked.isExtra && !budgets_.takeRetry(server.service, now)) {
-    TryResult result{TryEnd::NeverSent, "the budget of extra tries is spent"};
-    result.isOverBudget = true;
+  if (caller->isGone) co_return AttemptResult{AttemptOutcome::CallerGone, "before it was sent"};
+  if (!refused.empty()) co_return AttemptResult{AttemptOutcome::NeverSent, refused};
+  if (asked.isRetry && !budgets_.takeRetry(server.service, now)) {
+    AttemptResult result{AttemptOutcome::NeverSent, "the budget of extra tries is spent"};
+    result.isRetryBudgetSpent = true;
     co_return result;
   }
 
@@ -103,12 +103,12 @@
   // Only a stream shows when it begins.
   if (job.policy.isStream)
     attempt.watch->mayBeginUntil = [this, &server] { return mayBeginUntil(server); };
-  caller->endTry = [watch = attempt.watch] {
+  caller->abortAttempt = [watch = attempt.watch] {
     ErrorCode ignored;
     if (watch->socket) watch->socket->close(ignored);
   };
   attempt.arm(asked.firstDeadline);
-  RequestSender sender(socket, requestHead(job, placed, now, *soFar), job.original.body(),
+  RequestSender sender(socket, requestHead(job, placed, now, *progress), job.original.body(),
                        [&, now] {
                          const Instant asking = BootClock::now();
                          const bool isFirst = attempt.sentAt == Instant{};
@@ -118,12 +118,12 @@
                          return whyNot(*caller, job, server, asking).empty();
                        });
   sender.begin();
-  TryResult result;
+  AttemptResult result;
   if (sender.isUntouched() && sender.isEnded())
-    result = {TryEnd::NeverSent, "send: " + sender.code().message()};
+    result = {AttemptOutcome::NeverSent, "send: " + sender.code().message()};
   else if (BootClock::now() - attempt.sentAt >= kStoodStill &&
            !whyNot(*caller, job, server, BootClock::now()).empty())
-    result = {TryEnd::Unknown, "stood still while it was sent"};
+    result = {AttemptOutcome::Unknown, "stood still while it was sent"};
   else
     result = co_await readAnswer(attempt);
   if (!sender.isWhole()) {
@@ -133,11 +133,11 @@
   }
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
-  caller->endTry = nullptr;
-  if (result.end != TryEnd::Done && caller->isGone)
-    co_return TryResult{TryEnd::CallerGone, result.detail};
-  if (attempt.watch->expired && result.end == TryEnd::Unknown) {
-    if (!attempt.watch->isOutdated) result.end = TryEnd::Silent;
+  caller->abortAttempt = nullptr;
+  if (result.end != AttemptOutcome::Done && caller->isGone)
+    co_return AttemptResult{AttemptOutcome::CallerGone, result.detail};
+  if (attempt.watch->expired && result.end == AttemptOutcome::Unknown) {
+    if (!attempt.watch->isOutdated) result.end = AttemptOutcome::Silent;
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
@@ -147,13 +147,13 @@
 
 // Gives the connection back if nothing but whole requests and whole answers, each by its id, went
 // over it.
-void Relay::keepConnection(Attempt& attempt, const TryResult& result) {
+void Relay::keepConnection(Attempt& attempt, const AttemptResult& result) {
   const auto& answered = attempt.parser;
   const bool whole = answered && answered->is_done() && answered->keep_alive() &&
-                     (result.end == TryEnd::Done || result.end == TryEnd::NotRun);
+                     (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::NotRun);
   if (!whole || attempt.strays > 0 || attempt.job.id.value.empty()) return;
   std::optional<Span> keepFor;
-  const auto named = numbersOf(view(answered->get()["Keep-Alive"]));
+  const auto named = parseNumbers(view(answered->get()["Keep-Alive"]));
   if (!named.empty()) keepFor = std::chrono::seconds(named.front());
   attempt.connection->lastRequest = attempt.job.id;
   pool_.give(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -34,7 +34,7 @@
   const std::shared_ptr<Caller>& caller;
   const RelayRequest& job;
   const Placed& placed;
-  AnswerSoFar* soFar;
+  ResponseProgress* progress;
   bool keepAlive;
   Instant begun;
   std::unique_ptr<ServerConnection> connection;
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -19,8 +19,8 @@
 }
 }  // namespace
 
-std::unique_ptr<ServerConnection> ConnectionPool::takeIdle(const ServerName& server, Instant now,
-                                                           const RequestId& request) {
+std::unique_ptr<ServerConnection> ConnectionPool::acquireIdle(const ServerName& server, Instant now,
+                                                              const RequestId& request) {
   const auto row = idle_.find(server);
   if (row == idle_.end()) return nullptr;
   auto& idle = row->second;
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -23,15 +23,15 @@
 
 class ConnectionPool {
  public:
-  // `mostIdle`: connections kept idle for one server. `idleSpan`: how long one is kept where the
+  // `maxIdle`: connections kept idle for one server. `idleTimeout`: how long one is kept where the
   // server names no time.
-  ConnectionPool(asio::io_context& io, std::size_t mostIdle, Span idleSpan)
-      : io_(io), mostIdle_(mostIdle), idleSpan_(idleSpan) {}
+  ConnectionPool(asio::io_context& io, std::size_t maxIdle, Span idleTimeout)
+      : io_(io), mostIdle_(maxIdle), idleSpan_(idleTimeout) {}
 
   // The idle connection used last, if the other end has neither closed it nor sent anything. One
   // that answered `request` before is passed over: a late answer would bear the same id.
-  std::unique_ptr<ServerConnection> takeIdle(const ServerName& server, Instant now,
-                                             const RequestId& request = {});
+  std::unique_ptr<ServerConnection> acquireIdle(const ServerName& server, Instant now,
+                                                const RequestId& request = {});
   // A new one; the error says why it did not come up within `due`.
   awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> connect(const ServerName& server,
                                                                        Span due);
--- a/src/relay/event_splitter.h
+++ b/src/relay/event_splitter.h
@@ -22,7 +22,7 @@
   std::optional<std::uint64_t> lastId() const { return lastId_; }
   // False once an event with data but no id was handed out behind the newest id: a further run
   // could not be told where to go on.
-  bool isPlaced() const { return isPlaced_; }
+  bool canResume() const { return isPlaced_; }
   // What follows the newest whole event; an answer that ends with some was not cut into events.
   const std::string& rest() const { return rest_; }
 
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -147,7 +147,7 @@
         const auto watched = weak.lock();
         if (!watched) return;
         watched->isWatched = false;
-        if (code || !watched->isOwed || !*alive) return;
+        if (code || !watched->isAwaitingResponse || !*alive) return;
         const auto room = watched->buffer.prepare(kEarlyBlock);
         const auto got =
             ::recv(watched->socket.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
@@ -158,7 +158,7 @@
           return;
         }
         watched->isGone = true;
-        if (watched->endTry && watched->mayBreakOff) watched->endTry();
+        if (watched->abortAttempt && watched->mayAbort) watched->abortAttempt();
       });
 }
 
@@ -266,11 +266,11 @@
     const bool keepAlive = job.original.keep_alive();
     std::optional<HttpResponse> refusal = intake(job.original, &job);
     if (!refusal) {
-      caller->isOwed = true;
-      caller->mayBreakOff = job.policy.repeatable || job.policy.isStream;
+      caller->isAwaitingResponse = true;
+      caller->mayAbort = job.policy.repeatable || job.policy.isStream;
       watch(caller);
       refusal = co_await run(caller, job, keepAlive);
-      caller->isOwed = false;
+      caller->isAwaitingResponse = false;
     }
     if (caller->isGone || !caller->socket.is_open()) break;
     if (refusal) {
--- a/src/relay/header_text.cpp
+++ b/src/relay/header_text.cpp
@@ -4,14 +4,14 @@
 
 namespace quayrill {
 
-bool isSameName(std::string_view left, std::string_view right) {
+bool isSameHeaderName(std::string_view left, std::string_view right) {
   return beast::iequals({left.data(), left.size()}, {right.data(), right.size()});
 }
 
-bool isOfConnection(std::string_view name) {
+bool isHopByHop(std::string_view name) {
   for (const char* own : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE",
                           "Trailer", "Upgrade", "Proxy-Connection", "Expect"}) {
-    if (isSameName(name, own)) return true;
+    if (isSameHeaderName(name, own)) return true;
   }
   return false;
 }
@@ -20,7 +20,7 @@
   head->append(name).append(": ").append(value).append("\r\n");
 }
 
-std::vector<std::uint32_t> numbersOf(std::string_view text) {
+std::vector<std::uint32_t> parseNumbers(std::string_view text) {
   std::vector<std::uint32_t> numbers;
   for (std::size_t at = 0; at < text.size();) {
     std::uint32_t number = 0;
--- a/src/relay/header_text.h
+++ b/src/relay/header_text.h
@@ -11,14 +11,14 @@
 inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
 // Names of fields are alike in whatever case.
-bool isSameName(std::string_view left, std::string_view right);
+bool isSameHeaderName(std::string_view left, std::string_view right);
 
 // True for fields that concern one connection only.
-bool isOfConnection(std::string_view name);
+bool isHopByHop(std::string_view name);
 
 void addHeader(std::string* head, std::string_view name, std::string_view value);
 
 // All whole numbers in `text`, whatever stands between them.
-std::vector<std::uint32_t> numbersOf(std::string_view text);
+std::vector<std::uint32_t> parseNumbers(std::string_view text);
 
 }  // namespace quayrill
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -30,7 +30,7 @@
 }
 }  // namespace
 
-Instant streamEnd(const RelayRequest& job) { return job.deadline + kLastWords; }
+Instant streamDeadline(const RelayRequest& job) { return job.deadline + kLastWords; }
 
 // The route's time, or the caller's own where that is shorter.
 Span Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
@@ -102,7 +102,7 @@
   job->model = ModelName{headerOf(request, names_.model)};
   if (auto prefix = parsePrefix(headerOf(request, names_.prefix)); prefix.ok())
     job->prefix = std::move(*prefix);
-  job->resumesAfter = numberOf(headerOf(request, names_.lastEventId)).value_or(0);
+  job->resumeAfter = numberOf(headerOf(request, names_.lastEventId)).value_or(0);
   return std::nullopt;
 }
 
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -30,10 +30,10 @@
 
 LeaveSchedule leaveSchedule(Instant signalAt, Span grace) {
   LeaveSchedule schedule;
-  schedule.goneBy = signalAt + grace - std::min<Span>(kGoneMargin, grace / 32);
+  schedule.exitBy = signalAt + grace - std::min<Span>(kGoneMargin, grace / 32);
   schedule.endsAt = signalAt + grace - std::min<Span>(kEndMargin, grace / 16);
-  schedule.refusesFrom = signalAt + std::min<Span>(kHandOverSpan, grace / 2);
-  schedule.mayEndFrom = schedule.refusesFrom + std::min<Span>(kRefuseSpan, grace / 16);
+  schedule.rejectFrom = signalAt + std::min<Span>(kHandOverSpan, grace / 2);
+  schedule.earliestExit = schedule.rejectFrom + std::min<Span>(kRefuseSpan, grace / 16);
   return schedule;
 }
 
@@ -43,14 +43,14 @@
 }
 
 awaitable<void> Relay::leave(LeaveSchedule schedule) {
-  co_await pauseFor(schedule.refusesFrom - BootClock::now());
+  co_await pauseFor(schedule.rejectFrom - BootClock::now());
   refusing_ = true;
   closeIdle();
-  co_await pauseFor(schedule.mayEndFrom - BootClock::now());
+  co_await pauseFor(schedule.earliestExit - BootClock::now());
   while (isBusy() && BootClock::now() < schedule.endsAt) co_await pauseFor(kLookEvery);
   ending_ = true;
   endTries();
-  while (isBusy() && BootClock::now() < schedule.goneBy) co_await pauseFor(kLookEvery);
+  while (isBusy() && BootClock::now() < schedule.exitBy) co_await pauseFor(kLookEvery);
   hasLeft_ = true;
 }
 
@@ -75,7 +75,7 @@
 void Relay::endTries() {
   for (const auto& weak : open_) {
     const auto caller = weak.lock();
-    if (caller && caller->endTry) caller->endTry();
+    if (caller && caller->abortAttempt) caller->abortAttempt();
   }
 }
 
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -7,10 +7,10 @@
 
 // In this order, whatever the grace.
 struct LeaveSchedule {
-  Instant refusesFrom{};  // requests read later are refused unrun: they might not end in time
-  Instant mayEndFrom{};   // not sooner, so that whoever still comes gets a refusal and no reset
-  Instant endsAt{};       // what still runs gets its final answer now
-  Instant goneBy{};       // whoever has not taken that answer by now never gets it
+  Instant rejectFrom{};    // requests read later are refused unrun: they might not end in time
+  Instant earliestExit{};  // not sooner, so that whoever still comes gets a refusal and no reset
+  Instant endsAt{};        // what still runs gets its final answer now
+  Instant exitBy{};        // whoever has not taken that answer by now never gets it
 };
 
 // `grace`: from the signal to the kill, of any length.
--- a/src/relay/part_event_batch.cpp
+++ b/src/relay/part_event_batch.cpp
@@ -5,11 +5,11 @@
 
 namespace quayrill {
 
-void keepNewest(PartEvents* told) {
+void truncateToNewest(PartEvents* told) {
   auto& events = told->events;
-  if (events.size() <= kMostEventsTold) return;
-  const auto surplus = static_cast<std::ptrdiff_t>(events.size() - kMostEventsTold);
-  told->first = events[events.size() - kMostEventsTold - 1].position;
+  if (events.size() <= kMaxSharedEvents) return;
+  const auto surplus = static_cast<std::ptrdiff_t>(events.size() - kMaxSharedEvents);
+  told->first = events[events.size() - kMaxSharedEvents - 1].position;
   told->hasGap = false;
   events.erase(events.begin(), events.begin() + surplus);
 }
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -15,7 +15,7 @@
 constexpr Span kReportEvery = 100ms;
 }  // namespace
 
-void Relay::takeDigest(PlaneDigest digest, Instant toldAt) {
+void Relay::applyDigest(PlaneDigest digest, Instant toldAt) {
   asio::post(io_, [this, digest = std::move(digest), toldAt] {
     ++counters_.fleetDigests;
     if (settings_.mechanisms.has(Mechanism::SharedLoad)) {
@@ -89,7 +89,7 @@
     if (!told.ok()) co_return;
     told->first = since;
     takeEvents(source, *told);
-    keepNewest(&*told);
+    truncateToNewest(&*told);
     batch = toBatch(source, *told);
   }
   if (isStore(source)) placement_.noteStore(batch.isReachable);
@@ -101,7 +101,7 @@
 // The body of a successful answer, "" where the source has none now; an error where it can't be
 // reached.
 awaitable<absl::StatusOr<std::string>> Relay::askEvents(ServerName source, std::uint64_t since) {
-  auto connection = pool_.takeIdle(source, BootClock::now());
+  auto connection = pool_.acquireIdle(source, BootClock::now());
   if (!connection) {
     auto connected = co_await pool_.connect(source, kEventsDue);
     if (!connected.ok()) co_return connected.status();
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -23,10 +23,10 @@
 }  // namespace
 
 // One try for operators: how it ended, and what was expected where it was placed.
-std::string describeTry(const Placed& placed, const TryResult& result) {
+std::string describeAttempt(const Placed& placed, const AttemptResult& result) {
   const Candidate& chosen = placed.chosen;
-  const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.firstAfter);
-  std::string text = placed.chosenServer.name.value + " " + tryEndName(result.end) + " " +
+  const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.timeToFirstEvent);
+  std::string text = placed.chosenServer.name.value + " " + attemptOutcomeName(result.end) + " " +
                      result.detail + ", " + placed.reason;
   text += ", matched " + std::to_string(placed.matchedTokens) + "/" +
           std::to_string(placed.promptTokens);
@@ -37,13 +37,13 @@
   return text + ", first " + std::to_string(first.count()) + " ms";
 }
 
-const char* tryEndName(TryEnd end) {
+const char* attemptOutcomeName(AttemptOutcome end) {
   static constexpr const char* kNames[] = {"never sent", "not run", "unknown",    "silent",
                                            "done",       "cut",     "caller gone"};
   return kNames[static_cast<std::size_t>(end)];
 }
 
-void Relay::takeSnapshot(Snapshot told, Instant askedAt) {
+void Relay::applySnapshot(Snapshot told, Instant askedAt) {
   asio::post(io_, [this, told = std::move(told), askedAt] {
     auto next =
         std::make_shared<ProxyView>(nextView(*view_, told, askedAt, dialect_.readConfiguration));
@@ -126,26 +126,26 @@
   return std::nullopt;
 }
 
-void Relay::noteOutcome(const ServerState& server, const TryResult& result) {
+void Relay::noteOutcome(const ServerState& server, const AttemptResult& result) {
   const Instant now = BootClock::now();
   switch (result.end) {
-    case TryEnd::Done:
-    case TryEnd::CallerGone:
-      if (result.end == TryEnd::Done) placement_.noteAnswer(server.name, now);
+    case AttemptOutcome::Done:
+    case AttemptOutcome::CallerGone:
+      if (result.end == AttemptOutcome::Done) placement_.noteAnswer(server.name, now);
       break;
-    case TryEnd::Silent:
+    case AttemptOutcome::Silent:
       placement_.noteFailure(server.name, now);
       pool_.forget(server.name);
       break;
-    case TryEnd::NeverSent:
+    case AttemptOutcome::NeverSent:
       // Where a connection came up, what stopped the request was not the server.
       if (!result.isUnreachable) break;
       placement_.noteFailure(server.name, now);
       pool_.forget(server.name);
       break;
-    case TryEnd::NotRun:
-    case TryEnd::Unknown:
-    case TryEnd::Cut:
+    case AttemptOutcome::NotRun:
+    case AttemptOutcome::Unknown:
+    case AttemptOutcome::Cut:
       break;
   }
 }
@@ -153,15 +153,15 @@
 awaitable<std::optional<HttpResponse>> Relay::run(const std::shared_ptr<Caller>& caller,
                                                   const RelayRequest& job, bool keepAlive) {
   std::set<ServerName> tried, sentTo;
-  AnswerSoFar soFar;
-  if (job.resumesAfter > 0) soFar.lastEventId = job.resumesAfter;
+  ResponseProgress progress;
+  if (job.resumeAfter > 0) progress.lastEventId = job.resumeAfter;
   // arrivals: sends that may have reached a server. mayHaveRun only rises: while it is false,
   // refusing the request is the truth.
   std::size_t arrivals = 0, neverSent = 0;
   bool mayHaveRun = false, isCounted = false;
   std::string lastDetail = "no server is free", trail;
   std::optional<HttpResponse> failure;
-  TryEnd lastEnd = TryEnd::NeverSent;
+  AttemptOutcome lastEnd = AttemptOutcome::NeverSent;
   const bool triesFurther = settings_.mechanisms.has(Mechanism::FurtherTries);
   const std::size_t most = triesFurther ? std::max<std::size_t>(1, job.policy.tries) : 1;
   while (BootClock::now() < job.deadline && neverSent < 4 && !caller->isGone && !ending_) {
@@ -183,18 +183,18 @@
         budgets_.canTakeRetry(server.service, now))
       firstDeadline = std::min(firstDeadline, now + Span(job.policy.target) + kSilentSlack);
     ran = true;
-    TryResult result = co_await attempt(caller, job, *placed, &soFar,
-                                        TryAsked{firstDeadline, keepAlive, arrivals > 0});
+    AttemptResult result = co_await attempt(caller, job, *placed, &progress,
+                                            AttemptOptions{firstDeadline, keepAlive, arrivals > 0});
     lastEnd = result.end;
     lastDetail = result.detail;
-    ran = result.end != TryEnd::NeverSent && result.end != TryEnd::NotRun;
+    ran = result.end != AttemptOutcome::NeverSent && result.end != AttemptOutcome::NotRun;
     noteOutcome(server, result);
     counters_.promptTokens += placed->promptTokens;
     counters_.matchedTokens += placed->matchedTokens;
-    trail += (trail.empty() ? "" : "; ") + describeTry(*placed, result);
-    if (result.end == TryEnd::Done || result.end == TryEnd::CallerGone) break;
-    if (result.isOverBudget) break;
-    if (result.end == TryEnd::NeverSent) {
+    trail += (trail.empty() ? "" : "; ") + describeAttempt(*placed, result);
+    if (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::CallerGone) break;
+    if (result.isRetryBudgetSpent) break;
+    if (result.end == AttemptOutcome::NeverSent) {
       ++neverSent;
       tried.insert(server.name);
       continue;
@@ -202,30 +202,30 @@
     if (arrivals > 0) ++counters_.extraTries;
     ++arrivals;
     sentTo.insert(server.name);
-    if (result.end == TryEnd::NotRun && result.retrySame) {
+    if (result.end == AttemptOutcome::NotRun && result.retrySameServer) {
       if (++neverSent >= 3) break;
       continue;  // the same server, by what it just said
     }
     tried.insert(server.name);
     failure = std::move(result.failure);
-    if (result.end == TryEnd::NotRun) continue;
+    if (result.end == AttemptOutcome::NotRun) continue;
     mayHaveRun = true;
     if (!job.policy.repeatable) break;
-    const bool canGoOn = job.policy.isResumable && soFar.isPlaced;
-    if (soFar.headSent && !canGoOn) break;
+    const bool canGoOn = job.policy.isResumable && progress.canResume;
+    if (progress.headSent && !canGoOn) break;
   }
-  if (lastEnd == TryEnd::Done) {
+  if (lastEnd == AttemptOutcome::Done) {
     ++counters_.done;
     record(job, trail, "done");
     co_return std::nullopt;
   }
-  if (lastEnd == TryEnd::CallerGone || caller->isGone) {
+  if (lastEnd == AttemptOutcome::CallerGone || caller->isGone) {
     ++counters_.callerGone;
     caller->isGone = true;
     record(job, trail, "caller gone");
     co_return std::nullopt;
   }
-  if (soFar.headSent) {  // nothing may follow but the close: a cut answer never looks complete
+  if (progress.headSent) {  // nothing may follow but the close: a cut answer never looks complete
     ++counters_.cut;
     ErrorCode code;
     caller->socket.close(code);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -33,15 +33,15 @@
   CacheSalt wall;  // "" where cache is shared
   ModelName model;
   PromptPrefix prefix;
-  std::uint64_t resumesAfter = 0;  // the caller's own last event
-  unsigned priority = 1;           // 0 is the most urgent
-  Instant begun{}, deadline{};     // from its first byte on
+  std::uint64_t resumeAfter = 0;  // the caller's own last event
+  unsigned priority = 1;          // 0 is the most urgent
+  Instant begun{}, deadline{};    // from its first byte on
   HttpRequest original;
 };
 
 // The latest that an answer which has begun goes on, and that its bytes wait for a caller: servers
 // end at the deadline by themselves, and their last words need a moment.
-Instant streamEnd(const RelayRequest& job);
+Instant streamDeadline(const RelayRequest& job);
 
 // One caller's connection.
 struct Caller {
@@ -53,25 +53,25 @@
   // At `deadline` the timer cancels what waits on the socket. It is armed for no later than that.
   Instant deadline = Instant::max(), armedFor = Instant::max();
   bool timedOut = false;
-  bool isIdle = true;        // nothing of a next request was read
-  Instant requestBegun{};    // when the first byte of the request now read or answered was there
-  bool isWatched = false;    // a wait for the caller's leaving is under way
-  bool staysOpen = true;     // after the answer under way
-  bool isOwed = false;       // a whole request was read, and its answer is not out yet
-  bool isGone = false;       // it closed, or half-closed, while an answer was owed
-  bool mayBreakOff = false;  // the request owed is of no more use once the caller has left
-  std::function<void()> endTry;  // while a server has the request: ends the connection to it
+  bool isIdle = true;      // nothing of a next request was read
+  Instant requestBegun{};  // when the first byte of the request now read or answered was there
+  bool isWatched = false;  // a wait for the caller's leaving is under way
+  bool staysOpen = true;   // after the answer under way
+  bool isAwaitingResponse = false;  // a whole request was read, and its answer is not out yet
+  bool isGone = false;              // it closed, or half-closed, while an answer was owed
+  bool mayAbort = false;            // the request owed is of no more use once the caller has left
+  std::function<void()> abortAttempt;  // while a server has the request: ends the connection to it
 };
 
 // What reached the caller so far, over all tries.
-struct AnswerSoFar {
+struct ResponseProgress {
   bool headSent = false;
   std::optional<std::uint64_t> lastEventId;
-  bool isPlaced = true;  // a further run can be told where to go on
+  bool canResume = true;  // a further run can be told where to go on
   std::uint64_t events = 0;
 };
 
-enum class TryEnd {
+enum class AttemptOutcome {
   NeverSent,  // no byte left for the server
   NotRun,     // the server's own word
   Unknown,    // it may have run; nothing reached the caller
@@ -80,25 +80,25 @@
   Cut,        // events reached the caller, then the answer broke
   CallerGone,
 };
-const char* tryEndName(TryEnd end);
-struct TryResult;
-std::string describeTry(const Placed& placed, const TryResult& result);
+const char* attemptOutcomeName(AttemptOutcome end);
+struct AttemptResult;
+std::string describeAttempt(const Placed& placed, const AttemptResult& result);
 
-struct TryResult {
-  TryEnd end{};
+struct AttemptResult {
+  AttemptOutcome end{};
   std::string detail;
-  Span firstAfter{};                      // to the first event
+  Span timeToFirstEvent{};                // to the first event
   std::optional<HttpResponse> failure{};  // the server's own failure, whole, for where it stands
-  bool retrySame = false;                 // the server said what it lacked: ask it again
+  bool retrySameServer = false;           // the server said what it lacked: ask it again
   bool isUnreachable = false;             // no connection came up
-  bool isOverBudget = false;              // the budget bore no extra try when it was to leave
+  bool isRetryBudgetSpent = false;        // the budget bore no extra try when it was to leave
 };
 
 // How one try is to be made.
-struct TryAsked {
+struct AttemptOptions {
   Instant firstDeadline{};  // by when the answer must have begun
   bool keepAlive = false;   // the caller's connection stays open behind the answer
-  bool isExtra = false;     // the request reached a server before: the budget has to bear this
+  bool isRetry = false;     // the request reached a server before: the budget has to bear this
 };
 
 class Relay {
@@ -107,9 +107,9 @@
   ~Relay();
   absl::Status start();
   // Called by the agent's thread, each time that something may have changed.
-  void takeSnapshot(Snapshot told, Instant askedAt);
+  void applySnapshot(Snapshot told, Instant askedAt);
   // What the fleet's data planes observe. Called by the agent's thread.
-  void takeDigest(PlaneDigest digest, Instant toldAt);
+  void applyDigest(PlaneDigest digest, Instant toldAt);
   // Who tells the fleet what this data plane observes. Set it before start; called on the traffic
   // thread.
   using Reporter = std::function<void(PlaneReport)>;
@@ -154,7 +154,7 @@
   std::optional<Placed> place(const RelayRequest& job, const std::set<ServerName>& tried);
   bool mayRun(const RelayRequest& job, const ServerState& server) const;
   Instant mayBeginUntil(const ServerState& server) const;
-  void noteOutcome(const ServerState& server, const TryResult& result);
+  void noteOutcome(const ServerState& server, const AttemptResult& result);
   void record(const RelayRequest& job, const std::string& tries, const char* outcome);
 
   // part_events.cpp: what servers and the store keep
@@ -169,21 +169,22 @@
 
   // attempt.cpp: one try at one server
   struct Attempt;
-  awaitable<TryResult> attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
-                               const Placed& placed, AnswerSoFar* soFar, const TryAsked& asked);
+  awaitable<AttemptResult> attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
+                                   const Placed& placed, ResponseProgress* progress,
+                                   const AttemptOptions& asked);
   std::string whyNot(const Caller& caller, const RelayRequest& job, const ServerState& server,
                      Instant now) const;
-  void keepConnection(Attempt& attempt, const TryResult& result);
+  void keepConnection(Attempt& attempt, const AttemptResult& result);
 
   // request_head.cpp
   std::string requestHead(const RelayRequest& job, const Placed& placed, Instant now,
-                          const AnswerSoFar& soFar) const;
+                          const ResponseProgress& progress) const;
 
   // answer.cpp: what comes back
   awaitable<absl::StatusOr<std::string>> readBody(Attempt& attempt);
-  TryResult judgeNotRun(const Attempt& attempt, const http::response_header<>& head);
-  awaitable<TryResult> readAnswer(Attempt& attempt);
-  awaitable<TryResult> passEvents(Attempt& attempt);
+  AttemptResult judgeNotRun(const Attempt& attempt, const http::response_header<>& head);
+  awaitable<AttemptResult> readAnswer(Attempt& attempt);
+  awaitable<AttemptResult> passEvents(Attempt& attempt);
   void noteHead(const ServerState& server, const http::response_header<>& head);
 
   Settings settings_;
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 std::string Relay::requestHead(const RelayRequest& job, const Placed& placed, Instant now,
-                               const AnswerSoFar& soFar) const {
+                               const ResponseProgress& progress) const {
   const HttpRequest& original = job.original;
   const ServerState& server = placed.chosenServer;
   std::string head;
@@ -25,12 +25,12 @@
   const std::string named = std::string(view(original[http::field::connection]));
   for (const auto& field : original) {
     const std::string_view name = view(field.name_string());
-    if (isOfConnection(name) || (!named.empty() && named.find(name) != std::string::npos)) continue;
+    if (isHopByHop(name) || (!named.empty() && named.find(name) != std::string::npos)) continue;
     bool isOurs = false;
     for (const std::string* own :
          {&names_.key, &names_.tenant, &names_.identityWanted, &names_.weightsWanted, &names_.salt,
           &names_.fetchSource, &names_.keepAt, &names_.urgency, &names_.dueMs, &names_.lastEventId})
-      isOurs = isOurs || isSameName(name, *own);
+      isOurs = isOurs || isSameHeaderName(name, *own);
     if (!isOurs) addHeader(&head, name, view(field.value()));
   }
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
@@ -45,7 +45,8 @@
     addHeader(&head, names_.urgency, std::to_string(urgencyOf(job, placed)));
   if (!placed.fetchFrom.value.empty()) addHeader(&head, names_.fetchSource, placed.fetchFrom.value);
   if (!placed.keepAt.value.empty()) addHeader(&head, names_.keepAt, placed.keepAt.value);
-  if (soFar.lastEventId) addHeader(&head, names_.lastEventId, std::to_string(*soFar.lastEventId));
+  if (progress.lastEventId)
+    addHeader(&head, names_.lastEventId, std::to_string(*progress.lastEventId));
   const bool hasBody = !original.body().empty() || original.method() == http::verb::post ||
                        original.method() == http::verb::put ||
                        original.method() == http::verb::patch;
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -84,8 +84,8 @@
 TEST_CASE("deadline: the last words of a stream may come a moment behind it, no more") {
   RelayRequest job;
   job.deadline = Instant{} + 5s;
-  CHECK(streamEnd(job) > job.deadline);
-  CHECK(streamEnd(job) <= job.deadline + 200ms);
+  CHECK(streamDeadline(job) > job.deadline);
+  CHECK(streamDeadline(job) <= job.deadline + 200ms);
 }
 
 TEST_CASE("deadline: an answer that its caller doesn't take is given up there") {
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -33,17 +33,17 @@
 TEST_CASE("leaving: the schedule accepts for three seconds and ends within the grace") {
   const Instant signal{};
   const LeaveSchedule of8 = leaveSchedule(signal, 8s);
-  CHECK(of8.refusesFrom == signal + 3s);
-  CHECK(of8.mayEndFrom == signal + 3500ms);
+  CHECK(of8.rejectFrom == signal + 3s);
+  CHECK(of8.earliestExit == signal + 3500ms);
   CHECK(of8.endsAt == signal + 7500ms);
-  CHECK(of8.goneBy == signal + 7750ms);
+  CHECK(of8.exitBy == signal + 7750ms);
   for (Span grace = 10ms; grace <= 30s; grace += 10ms) {
     const LeaveSchedule schedule = leaveSchedule(signal, grace);
-    CHECK(signal < schedule.refusesFrom);
-    CHECK(schedule.refusesFrom <= schedule.mayEndFrom);
-    CHECK(schedule.mayEndFrom <= schedule.endsAt);
-    CHECK(schedule.endsAt < schedule.goneBy);
-    CHECK(schedule.goneBy < signal + grace);
+    CHECK(signal < schedule.rejectFrom);
+    CHECK(schedule.rejectFrom <= schedule.earliestExit);
+    CHECK(schedule.earliestExit <= schedule.endsAt);
+    CHECK(schedule.endsAt < schedule.exitBy);
+    CHECK(schedule.exitBy < signal + grace);
   }
 }
 
@@ -131,7 +131,7 @@
   stage.relay->beginLeaving();
   CHECK(idle.rest().empty());  // closed: from here on it refuses
   // Confirmed anew, so that nothing but the leave refuses.
-  stage.relay->takeSnapshot(stage.told, BootClock::now());
+  stage.relay->applySnapshot(stage.told, BootClock::now());
   const std::string late = stage.post("/once/", "r2");
   CHECK(statusOf(late) == 503);
   CHECK_FALSE(headerIn(late, "Retry-After").empty());
--- a/tests/part_events_tests.cpp
+++ b/tests/part_events_tests.cpp
@@ -126,10 +126,10 @@
   PartEvents told{"1", 0, 5000, true, {}};
   for (std::uint64_t position = 1001; position <= 5000; ++position)
     told.events.push_back(stored(position, "part" + std::to_string(position), 16));
-  keepNewest(&told);
-  CHECK(told.events.size() == kMostEventsTold);
-  CHECK(told.events.front().position == 5000 - kMostEventsTold + 1);
-  CHECK(told.first == 5000 - kMostEventsTold);
+  truncateToNewest(&told);
+  CHECK(told.events.size() == kMaxSharedEvents);
+  CHECK(told.events.front().position == 5000 - kMaxSharedEvents + 1);
+  CHECK(told.first == 5000 - kMaxSharedEvents);
   Index index;
   index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
   index.take(told);
@@ -137,6 +137,6 @@
   CHECK(index.placement.gaps() == 1);
   CHECK(index.placement.eventPosition(kServer) == 5000);
   PartEvents few{"1", 0, 2, false, {stored(1, "rules", 320), dropped(2, "rules")}};
-  keepNewest(&few);
+  truncateToNewest(&few);
   CHECK(few.events.size() == 2);
 }
--- a/tests/relay_answer_tests.cpp
+++ b/tests/relay_answer_tests.cpp
@@ -170,7 +170,7 @@
     if (++served > 1) return Reply{streamHead(request) + chunked({event(1)})};
     const std::string identity = headerIn(request, "X-Want-Identity");
     stage.told.servers[identity == "i0" ? 0 : 1].leaving = true;
-    stage.relay->takeSnapshot(stage.told, BootClock::now());
+    stage.relay->applySnapshot(stage.told, BootClock::now());
     return Reply{plain(request, 421, "X-Identity: " + identity + "\r\nX-Weights: 2\r\n")};
   });
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -134,7 +134,7 @@
   ReadAnswer play(const Case& next) {
     // A route of its own would go elsewhere: the warm-up takes the case's.
     const std::string number = std::to_string(++numbers);
-    relay->takeSnapshot(told, BootClock::now());  // what the relay knows stays fresh
+    relay->applySnapshot(told, BootClock::now());  // what the relay knows stays fresh
     if (next.isKept) post("/up/", "w" + number);
     {
       std::lock_guard lock(caseMutex);
@@ -302,14 +302,14 @@
     return Reply{answerOf(asked.kind, id).substr(0, asked.cut), false, true};
   });
   for (SnapshotServer& row : stage.told.servers) row.slots = 4000;
-  stage.relay->takeSnapshot(stage.told, BootClock::now());
+  stage.relay->applySnapshot(stage.told, BootClock::now());
   // On a busy machine the deadline of some may pass before they are sent: these are refused, and
   // asked again until each case was met by its server. Fewer at once each time.
   std::vector<Held> open = all;
   std::vector<Held> met;
   for (int round = 0; round < 40 && !open.empty(); ++round) {
     askAll(stage.callers, &open);
-    stage.relay->takeSnapshot(stage.told, BootClock::now());
+    stage.relay->applySnapshot(stage.told, BootClock::now());
     std::lock_guard lock(mutex);
     const auto isMet = [&](const Held& held) {
       return arrivals[held.id] > 0 || !isPromise(readAnswer(held.bytes, "X-Id", "X-Seal").status);
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -109,7 +109,7 @@
   }
   // Hands the present state on and waits until it is in force.
   void tell() {
-    relay->takeSnapshot(told, BootClock::now());
+    relay->applySnapshot(told, BootClock::now());
     waitReady(200);
   }
   void waitReady(unsigned status) {
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -160,7 +160,7 @@
   CHECK_FALSE(headerIn(unsure, "Retry-After").empty());
   CHECK(statusOf(stage.post("/nowhere/", "r5")) == 503);
   stage.told.confirmedAgoMicros = 2100000;
-  stage.relay->takeSnapshot(stage.told, BootClock::now());
+  stage.relay->applySnapshot(stage.told, BootClock::now());
   stage.waitReady(503);
   CHECK(statusOf(stage.post("/once/", "r6")) == 503);
   CHECK(stage.arrivals() == 1);
@@ -260,7 +260,7 @@
   asio::write(socket, asio::buffer(RelayStage::request("/again/", "r1")));
   eventually([&] { return stage.servers[0]->arrived == 1; });
   ++stage.told.configurationVersion;
-  stage.relay->takeSnapshot(stage.told, BootClock::now());
+  stage.relay->applySnapshot(stage.told, BootClock::now());
   std::string answer;
   ErrorCode code;
   asio::read_until(socket, asio::dynamic_buffer(answer), "data: d1", code);
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -126,7 +126,7 @@
     nameWeights(&stage, "2", {{"1", kBound + 1s}});
     stage.told.servers[1].leaving = stage.told.servers[2].leaving = false;
     stage.told.servers[2].weights = WeightsVersion{"2"};
-    stage.relay->takeSnapshot(stage.told, BootClock::now());
+    stage.relay->applySnapshot(stage.told, BootClock::now());
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2), event(3)})};
     reply.cut = first.size();
