--- a/src/placement/admission.h
+++ b/src/placement/admission.h
@@ -8,7 +8,7 @@
 namespace quayrill {
 
 struct AdmissionResult {
-  bool isIn = false;
+  bool isAdmitted = false;
   // More of this daemon's requests are this tenant's than an equal split among the tenants of the
   // last seconds would give it. It matters where servers are short, and only there.
   bool isOverShare = false;
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -64,7 +64,7 @@
   const auto entered = co_await admission_.ask<AdmissionResult>(enter);
   Trace trace;
   std::optional<HttpResponse> response;
-  if (!entered || !entered->isIn) {
+  if (!entered || !entered->isAdmitted) {
     trace.outcome = "turned away at admission";
     response =
         turnAway(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -249,8 +249,8 @@
   CHECK(enter("big").isOverShare);  // the small one was here a moment ago
   now += 6s;
   CHECK_FALSE(enter("big").isOverShare);
-  CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isIn);
-  CHECK_FALSE(admission.enter(TenantName{"new"}, 100, policy, 13, now).isIn);
+  CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isAdmitted);
+  CHECK_FALSE(admission.enter(TenantName{"new"}, 100, policy, 13, now).isAdmitted);
 }
 
 TEST_CASE("placement: what was sent since the poll counts, for the others' part as well") {
