--- a/src/placement/part_events.cpp
+++ b/src/placement/part_events.cpp
@@ -94,12 +94,12 @@
   if (entry == rows_.end() && !isStore) return;
   Row& row = isStore ? storeRow_ : entry->second;
   // A source that is behind what was asked of it never told that position.
-  if (row.eventLife != told.life || told.first > told.next) {
+  if (row.eventLife != told.incarnation || told.first > told.next) {
     if (!row.eventLife.empty()) {
       dropTree(row);
       ++gaps_;
     }
-    row.eventLife = told.life;
+    row.eventLife = told.incarnation;
     row.eventPosition = 0;
   } else if (told.next < row.eventPosition) {
     return;  // of another reader, told late
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -117,7 +117,7 @@
   ModelName model;
 };
 struct PartEvents {
-  std::string life;         // changes when the server starts anew
+  std::string incarnation;  // changes when the server starts anew
   std::uint64_t first = 0;  // the position that was asked for
   std::uint64_t next = 0;   // the position behind the last event
   bool hasGap = false;      // the server forgot events behind `first`
--- a/tests/part_events_tests.cpp
+++ b/tests/part_events_tests.cpp
@@ -54,7 +54,7 @@
       "7", 3, 6, true, {stored(4, "rules", 320), dropped(5, "notice"), stored(6, "rules", 336)}};
   told.events[1].salt = CacheSalt{"1.hill"};
   const PartEvents back = fromBatch(toBatch(kServer, told));
-  CHECK(back.life == told.life);
+  CHECK(back.incarnation == told.incarnation);
   CHECK(back.first == told.first);
   CHECK(back.next == told.next);
   CHECK(back.hasGap == told.hasGap);
