--- a/tests/boundary.h
+++ b/tests/boundary.h
@@ -6,7 +6,7 @@
 namespace quayrill::tests {
 
 // An answer as a caller may take it, by HTTP's own framing.
-struct ReadAnswer {
+struct ParsedResponse {
   bool isWhole = false;
   unsigned status = 0;
   std::string body;         // as far as it came
@@ -14,13 +14,13 @@
   std::string id, seal;
 };
 
-inline ReadAnswer readAnswer(const std::string& bytes, const std::string& idName,
-                             const std::string& sealName) {
+inline ParsedResponse parseResponse(const std::string& bytes, const std::string& idName,
+                                    const std::string& sealName) {
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   parser.eager(true);
   ErrorCode code;
-  ReadAnswer answer;
+  ParsedResponse answer;
   std::size_t used = 0;
   while (used < bytes.size() && !parser.is_done() && !code) {
     const std::size_t took =
@@ -39,13 +39,13 @@
   return answer;
 }
 
-inline bool isPromise(unsigned status) {
+inline bool isNotRunStatus(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-inline const char* breakName(Break breaks) {
+inline const char* faultName(Fault fault) {
   static constexpr const char* kNames[] = {"split", "closed", "reset", "garbled"};
-  return kNames[static_cast<std::size_t>(breaks)];
+  return kNames[static_cast<std::size_t>(fault)];
 }
 
 }  // namespace quayrill::tests
--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // What follows a reply's cut.
-enum class Break { Not, Closes, Resets, Garbles };
+enum class Fault { None, Close, Reset, Garbage };
 
 // What a server sends for a request; afterwards it closes or waits for the next.
 struct Reply {
@@ -20,7 +20,7 @@
   bool hangs = false;  // says nothing more until the other end closes
   // Where the bytes stop until `ByteServer::pause` has returned.
   std::size_t cut = std::string::npos;
-  Break breaks = Break::Not;
+  Fault fault = Fault::None;
 };
 
 // Bytes that no answer of HTTP holds anywhere.
@@ -102,21 +102,21 @@
     if (code) co_return false;
     if (reply.cut == std::string::npos) co_return true;
     // The end of a connection stays behind its bytes; a reset or a next piece need not.
-    if (reply.breaks == Break::Not || reply.breaks == Break::Resets) pause();
-    const std::string rest = reply.breaks == Break::Garbles ? kGarbage : reply.bytes.substr(cut);
-    if (reply.breaks == Break::Resets) {
+    if (reply.fault == Fault::None || reply.fault == Fault::Reset) pause();
+    const std::string rest = reply.fault == Fault::Garbage ? kGarbage : reply.bytes.substr(cut);
+    if (reply.fault == Fault::Reset) {
       socket.set_option(asio::socket_base::linger(true, 0), code);
       socket.close(code);
     }
-    if (reply.breaks == Break::Not || reply.breaks == Break::Garbles)
+    if (reply.fault == Fault::None || reply.fault == Fault::Garbage)
       co_await asio::async_write(socket, asio::buffer(rest), into(code));
-    co_return !code && reply.breaks == Break::Not;
+    co_return !code && reply.fault == Fault::None;
   }
   awaitable<void> serve(Tcp::socket accepted, int number) {
     const auto kept = std::make_shared<Tcp::socket>(std::move(accepted));
     Tcp::socket& socket = *kept;
     std::string held;
-    bool breaks = false;
+    bool fault = false;
     for (;;) {
       ErrorCode code;
       const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(held),
@@ -142,7 +142,7 @@
         reply = script(static_cast<int>(requests.size()), request);
         if (reply.hangs) hanging = kept;
       }
-      breaks = reply.breaks != Break::Not;
+      fault = reply.fault != Fault::None;
       if (!co_await send(socket, reply) || reply.closes) break;
       if (reply.hangs) {
         char byte;
@@ -160,7 +160,7 @@
     ErrorCode ignored;
     socket.close(ignored);
     ++closed;
-    if (breaks) ++broken;
+    if (fault) ++broken;
   }
   // Expires once it has been closed at the other end.
   std::weak_ptr<Tcp::socket> hung() {
--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -47,7 +47,7 @@
 }
 
 awaitable<void> serve(Tcp::acceptor& acceptor, const Scripted& script, std::size_t cut,
-                      Break breaks) {
+                      Fault fault) {
   ErrorCode code;
   Tcp::socket socket(acceptor.get_executor());
   co_await acceptor.async_accept(socket, into(code));
@@ -55,30 +55,30 @@
   co_await asio::async_read_until(socket, asio::dynamic_buffer(request), "\r\n\r\n{}", into(code));
   co_await asio::async_write(socket, asio::buffer(script.bytes.data(), cut), into(code));
   co_await aFewTurns();
-  const std::string rest = breaks == Break::Garbles ? kGarbage : script.bytes.substr(cut);
-  if (breaks == Break::Resets) {
+  const std::string rest = fault == Fault::Garbage ? kGarbage : script.bytes.substr(cut);
+  if (fault == Fault::Reset) {
     socket.set_option(asio::socket_base::linger(true, 0), code);
     co_return;
   }
-  if (breaks == Break::Closes) co_return;
+  if (fault == Fault::Close) co_return;
   co_await asio::async_write(socket, asio::buffer(rest), into(code));
-  if (breaks == Break::Garbles || script.closes) co_return;
+  if (fault == Fault::Garbage || script.closes) co_return;
   char byte = 0;
   co_await asio::async_read(socket, asio::buffer(&byte, 1), into(code));
 }
 
 struct Played {
   DeliveryResult result;
-  ReadAnswer seen;
+  ParsedResponse seen;
 };
 
 Played play(asio::io_context& io, Tcp::acceptor& server, const Scripted& script, std::size_t cut,
-            Break breaks) {
+            Fault fault) {
   Played played;
   std::string bytes;
   CallerConnection caller(io);
   Delivery delivery = deliveryTo(server, "{}", 20s);
-  asio::co_spawn(io, serve(server, script, cut, breaks), asio::detached);
+  asio::co_spawn(io, serve(server, script, cut, fault), asio::detached);
   asio::async_read(caller.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
   asio::co_spawn(
       io,
@@ -90,23 +90,23 @@
       asio::detached);
   io.run();
   io.restart();
-  played.seen = readAnswer(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
+  played.seen = parseResponse(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
   return played;
 }
 
-void judge(const Scripted& script, std::size_t cut, Break breaks, const Played& played) {
+void judge(const Scripted& script, std::size_t cut, Fault fault, const Played& played) {
   const auto fails = [&](const std::string& why) {
-    FAIL_CHECK(script.name << ", " << breakName(breaks) << " at " << cut << ": " << why << " ("
+    FAIL_CHECK(script.name << ", " << faultName(fault) << " at " << cut << ": " << why << " ("
                            << deliveryEndName(played.result.end) << ", " << played.result.detail
                            << ", body '" << played.seen.body << "')");
   };
   const DeliveryEnd end = played.result.end;
-  const ReadAnswer& seen = played.seen;
+  const ParsedResponse& seen = played.seen;
   const std::string all = kPieces + kMark;
-  const bool isWholeScript = breaks == Break::Not || cut == script.bytes.size();
+  const bool isWholeScript = fault == Fault::None || cut == script.bytes.size();
   if (script.hasRun && (end == DeliveryEnd::NotRun || end == DeliveryEnd::NeverSent))
     fails("'not run' was said of what ran");
-  if (!script.hasRun && breaks == Break::Not && end != DeliveryEnd::NotRun)
+  if (!script.hasRun && fault == Fault::None && end != DeliveryEnd::NotRun)
     fails("'not run' was lost");
   if ((end == DeliveryEnd::Done) != (seen.isWhole && seen.status == 200))
     fails("its end and what the caller sees differ");
@@ -116,7 +116,7 @@
   const std::string own = seen.body.substr(0, seen.body.find(kGarbage[0]));
   if (all.rfind(own, 0) != 0) fails("the caller got other bytes");
   if (!seen.body.empty() && seen.body.back() != '\n') fails("part of a piece");
-  if (script.isSuccess && isWholeScript && breaks != Break::Garbles && end != DeliveryEnd::Done)
+  if (script.isSuccess && isWholeScript && fault != Fault::Garbage && end != DeliveryEnd::Done)
     fails("a whole answer did not come through");
   if (seen.surplus > 0) fails("bytes behind the answer");
 }
@@ -126,10 +126,10 @@
   asio::io_context io;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   int played = 0;
-  for (const Break breaks : {Break::Not, Break::Closes, Break::Resets, Break::Garbles}) {
+  for (const Fault fault : {Fault::None, Fault::Close, Fault::Reset, Fault::Garbage}) {
     for (const Scripted& script : answers()) {
       for (std::size_t cut = 0; cut <= script.bytes.size(); ++cut, ++played)
-        judge(script, cut, breaks, play(io, server, script, cut, breaks));
+        judge(script, cut, fault, play(io, server, script, cut, fault));
     }
   }
   CHECK(played > 2000);
@@ -141,12 +141,13 @@
   const Scripted whole = answers()[0];
   Scripted early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
-  CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.end == DeliveryEnd::Done);
+  CHECK(play(io, server, early, early.bytes.size(), Fault::None).result.end == DeliveryEnd::Done);
   Scripted other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
-  CHECK(play(io, server, other, other.bytes.size(), Break::Not).result.end == DeliveryEnd::Unknown);
+  CHECK(play(io, server, other, other.bytes.size(), Fault::None).result.end ==
+        DeliveryEnd::Unknown);
 }
 
 TEST_CASE("deliver: an answer that comes before the body is in goes back at once") {
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -62,14 +62,14 @@
   Kind kind;
   Way way;
   std::size_t cut = 0;
-  Break breaks{};
+  Fault fault{};
   bool isKept = false;
   std::string surplus{};  // before the answer, and belongs to nobody
 };
 
 std::string nameOf(const Case& asked) {
   return std::string(kindName(asked.kind)) + " on " + asked.way.prefix + ", " +
-         breakName(asked.breaks) + " at " + std::to_string(asked.cut) +
+         faultName(asked.fault) + " at " + std::to_string(asked.cut) +
          (asked.isKept ? ", kept connection" : ", fresh connection") +
          (asked.surplus.empty() ? "" : ", behind '" + asked.surplus + "'");
 }
@@ -123,7 +123,7 @@
     Reply reply{asked.surplus + answerOf(asked.kind, id)};
     reply.closes = asked.kind == Kind::NoLength;
     if (asked.surplus.empty()) reply.cut = asked.cut;
-    reply.breaks = asked.breaks;
+    reply.fault = asked.fault;
     return reply;
   }
   int broken() const {
@@ -131,7 +131,7 @@
     for (const auto& server : servers) sum += server->broken;
     return sum;
   }
-  ReadAnswer play(const Case& next) {
+  ParsedResponse play(const Case& next) {
     // A route of its own would go elsewhere: the warm-up takes the case's.
     const std::string number = std::to_string(++numbers);
     relay->applySnapshot(told, BootClock::now());  // what the relay knows stays fresh
@@ -143,15 +143,15 @@
     }
     const std::string id = "r" + number;
     const int brokenBefore = broken();
-    ReadAnswer answer = readAnswer(post(next.way.prefix, id), "X-Id", "X-Seal");
+    ParsedResponse answer = parseResponse(post(next.way.prefix, id), "X-Id", "X-Seal");
     // The next case must not meet this one's end on a connection that was given back before it.
-    if (next.breaks != Break::Not) eventually([&] { return broken() > brokenBefore; });
+    if (next.fault != Fault::None) eventually([&] { return broken() > brokenBefore; });
     std::lock_guard lock(caseMutex);
     judge(next, id, answer);
     return answer;
   }
   // What holds at every boundary. Catch's macros are slow: only a case that fails gets to one.
-  void judge(const Case& played, const std::string& id, const ReadAnswer& answer) {
+  void judge(const Case& played, const std::string& id, const ParsedResponse& answer) {
     const auto fails = [&](const std::string& why) {
       FAIL_CHECK(nameOf(played) << ": " << why << " (status " << answer.status << ", whole "
                                 << answer.isWhole << ", arrivals " << arrivalsOfCase << ", runs "
@@ -162,45 +162,45 @@
     if (answer.id != id) fails("an answer of another request: " + answer.id);
     if (!answer.seal.empty() && answer.seal != "s-" + id) fails("another request's seal");
     if (!played.way.isRepeatable && runs > 1) fails("an unsafe request ran twice");
-    if (isPromise(answer.status) && runs > 0) fails("'not run' was said of what ran");
+    if (isNotRunStatus(answer.status) && runs > 0) fails("'not run' was said of what ran");
     const std::string all = played.way.isStream ? eventsFrom(1) : "ok";
-    const bool endsEarly = played.kind == Kind::NoLength && played.breaks == Break::Closes;
+    const bool endsEarly = played.kind == Kind::NoLength && played.fault == Fault::Close;
     if (answer.status == 200) {
       if (answer.seal.empty()) fails("a success without a seal");
       // Bytes within a body of a known length are the server's, whatever they are.
-      const bool isForged = played.breaks == Break::Garbles && played.kind == Kind::Plain &&
+      const bool isForged = played.fault == Fault::Garbage && played.kind == Kind::Plain &&
                             answer.body.size() == all.size();
       if (!isForged && all.rfind(answer.body, 0) != 0) fails("the body is not the server's");
       if (answer.isWhole && answer.body.size() != all.size() && !endsEarly)
         fails("a cut looks complete");
       if (played.way.isStream && !wholeEvents(answer.body)) fails("part of an event");
     }
-    const bool isUsable = played.way.isRepeatable || played.breaks == Break::Not;
+    const bool isUsable = played.way.isRepeatable || played.fault == Fault::None;
     const bool isFailure = !played.way.isRepeatable && played.kind == Kind::Failure;
     if (isUsable && played.surplus.empty() && !isFailure &&
         (answer.status != 200 || !answer.isWhole))
       fails("it was not served");
-    if (isFailure && played.breaks == Break::Not && answer.status != 500)
+    if (isFailure && played.fault == Fault::None && answer.status != 500)
       fails("the server's own failure was lost");
   }
   static bool wholeEvents(const std::string& body) {
     return body.empty() || body == event(1) || body == event(1) + event(2) || body == eventsFrom(1);
   }
-  void playAll(Kind kind, const Way& way, Break breaks, bool isKept) {
+  void playAll(Kind kind, const Way& way, Fault fault, bool isKept) {
     const std::size_t size = answerOf(kind, "r" + std::to_string(numbers)).size();
-    for (std::size_t cut = 0; cut <= size; ++cut) play({kind, way, cut, breaks, isKept, ""});
+    for (std::size_t cut = 0; cut <= size; ++cut) play({kind, way, cut, fault, isKept, ""});
   }
 };
 
-void playEach(Break breaks, bool isKept) {
+void playEach(Fault fault, bool isKept) {
   BoundaryStage stage;
   for (const Kind kind : {Kind::Chunked, Kind::NoLength}) {
-    for (const Way& way : {kUnsafeStream, kResumable}) stage.playAll(kind, way, breaks, isKept);
+    for (const Way& way : {kUnsafeStream, kResumable}) stage.playAll(kind, way, fault, isKept);
   }
-  for (const Way& way : {kUnsafe, kSafe}) stage.playAll(Kind::Plain, way, breaks, isKept);
+  for (const Way& way : {kUnsafe, kSafe}) stage.playAll(Kind::Plain, way, fault, isKept);
   for (const Kind kind : {Kind::NotRun, Kind::Misdirected, Kind::Failure}) {
     for (const Way& way : {kUnsafeStream, kResumable, kSafe})
-      stage.playAll(kind, way, breaks, isKept);
+      stage.playAll(kind, way, fault, isKept);
   }
   CHECK(stage.numbers > 1300);
   // Where none is kept each has its own; else those that found one are nearly all.
@@ -210,23 +210,23 @@
 }  // namespace
 
 TEST_CASE("relay boundary: an answer split at any byte is passed on whole") {
-  playEach(Break::Not, false);
-  playEach(Break::Not, true);
+  playEach(Fault::None, false);
+  playEach(Fault::None, true);
 }
 
 TEST_CASE("relay boundary: a connection closed at any byte") {
-  playEach(Break::Closes, false);
-  playEach(Break::Closes, true);
+  playEach(Fault::Close, false);
+  playEach(Fault::Close, true);
 }
 
 TEST_CASE("relay boundary: a stall and a reset at any byte") {
-  playEach(Break::Resets, false);
-  playEach(Break::Resets, true);
+  playEach(Fault::Reset, false);
+  playEach(Fault::Reset, true);
 }
 
 TEST_CASE("relay boundary: bytes that are no answer from any byte on") {
-  playEach(Break::Garbles, false);
-  playEach(Break::Garbles, true);
+  playEach(Fault::Garbage, false);
+  playEach(Fault::Garbage, true);
 }
 
 TEST_CASE("relay boundary: any part of another answer before the right one") {
@@ -245,8 +245,8 @@
     for (std::size_t cut = 1; cut <= stray.size(); ++cut) {
       for (const Way& way : {kUnsafeStream, kUnsafe}) {
         const Kind kind = way.isStream ? Kind::Chunked : Kind::Plain;
-        const ReadAnswer answer =
-            stage.play({kind, way, 0, Break::Not, true, stray.substr(0, cut)});
+        const ParsedResponse answer =
+            stage.play({kind, way, 0, Fault::None, true, stray.substr(0, cut)});
         served += answer.status == 200 && answer.isWhole ? 1 : 0;
       }
     }
@@ -312,7 +312,8 @@
     stage.relay->applySnapshot(stage.told, BootClock::now());
     std::lock_guard lock(mutex);
     const auto isMet = [&](const Held& held) {
-      return arrivals[held.id] > 0 || !isPromise(readAnswer(held.bytes, "X-Id", "X-Seal").status);
+      return arrivals[held.id] > 0 ||
+             !isNotRunStatus(parseResponse(held.bytes, "X-Id", "X-Seal").status);
     };
     std::copy_if(open.begin(), open.end(), std::back_inserter(met), isMet);
     std::erase_if(open, isMet);
@@ -320,9 +321,9 @@
   }
   CHECK(met.size() == all.size());
   for (const Held& held : met) {
-    const ReadAnswer answer = readAnswer(held.bytes, "X-Id", "X-Seal");
+    const ParsedResponse answer = parseResponse(held.bytes, "X-Id", "X-Seal");
     INFO(nameOf(held.asked) << ", silent: status " << answer.status << ", body " << answer.body);
-    const bool holds = answer.id == held.id && !isPromise(answer.status) &&
+    const bool holds = answer.id == held.id && !isNotRunStatus(answer.status) &&
                        (answer.status != 200 || !answer.isWhole) &&
                        (answer.status != 200 || BoundaryStage::wholeEvents(answer.body)) &&
                        arrivals[held.id] == 1;
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -130,7 +130,7 @@
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2), event(3)})};
     reply.cut = first.size();
-    reply.breaks = Break::Closes;
+    reply.fault = Fault::Close;
     return reply;
   });
   for (int i : {1, 2}) {
