--- a/src/placement/admission.h
+++ b/src/placement/admission.h
@@ -3,7 +3,7 @@
 #include <map>
 
 #include "configuration/configuration.h"
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 
 namespace quayrill {
 
--- a/src/placement/unplaced_parts.cpp
+++ b/src/placement/pending_parts.cpp
@@ -1,4 +1,4 @@
-#include "placement/unplaced_parts.h"
+#include "placement/pending_parts.h"
 
 #include <algorithm>
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -12,9 +12,9 @@
 #include "base/clock.h"
 #include "base/mechanisms.h"
 #include "base/types.h"
+#include "placement/pending_parts.h"
 #include "placement/prefix.h"
 #include "placement/server_load.h"
-#include "placement/unplaced_parts.h"
 #include "radix/radix_tree.h"
 
 namespace quayrill {
--- a/src/placement/try_budget.cpp
+++ b/src/placement/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 
 #include <algorithm>
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -14,7 +14,7 @@
 #include "dialect/dialect.h"
 #include "net/http.h"
 #include "placement/placement.h"
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 #include "relay/connection_pool.h"
 #include "relay/event_splitter.h"
 #include "relay/leaving.h"
--- a/src/relay/answer.cpp
+++ b/src/relay/response.cpp
@@ -1,9 +1,9 @@
 // A server's answer to one try: whose it is, what it says, and its events on their way back.
 #include <charconv>
 
-#include "relay/answer_owner.h"
 #include "relay/attempt.h"
 #include "relay/header_text.h"
+#include "relay/response_owner.h"
 
 namespace quayrill {
 
--- a/src/relay/answer_owner.cpp
+++ b/src/relay/response_owner.cpp
@@ -1,4 +1,4 @@
-#include "relay/answer_owner.h"
+#include "relay/response_owner.h"
 
 #include <algorithm>
 
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -3,7 +3,7 @@
 
 #include "placement/admission.h"
 #include "placement/placement.h"
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 
 using namespace quayrill;
 using namespace std::chrono_literals;
--- a/tests/try_budget_tests.cpp
+++ b/tests/retry_budget_tests.cpp
@@ -5,7 +5,7 @@
 #include <array>
 #include <random>
 
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 
 using namespace quayrill;
 using namespace std::chrono_literals;
