--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -213,9 +213,9 @@
   row->second.avoidUntil = Instant{};
 }
 
-void Placement::takeEvents(const ServerName& server, const ServerIdentity& identity,
-                           std::uint64_t first, const std::vector<CacheEvent>& events,
-                           std::uint64_t next) {
+void Placement::applyEvents(const ServerName& server, const ServerIdentity& identity,
+                            std::uint64_t first, const std::vector<CacheEvent>& events,
+                            std::uint64_t next) {
   const auto entry = rows_.find(server);
   if (entry == rows_.end() || entry->second.state.identity != identity) return;
   Row& row = entry->second;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -157,8 +157,8 @@
   // What all daemons had there at `at`; servers that are not named have nothing. Where answers tell
   // a server's load, those go before the number of requests told here.
   void noteFleetLoad(const std::vector<ServerOutstanding>& fleet, Instant at);
-  void takeEvents(const ServerName& server, const ServerIdentity& identity, std::uint64_t first,
-                  const std::vector<CacheEvent>& events, std::uint64_t next);
+  void applyEvents(const ServerName& server, const ServerIdentity& identity, std::uint64_t first,
+                   const std::vector<CacheEvent>& events, std::uint64_t next);
   std::uint64_t eventPosition(const ServerName& server) const;
 
   // What requests show of a server, beside what it says of itself.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -131,7 +131,7 @@
   if (!events.ok()) co_return;
   placement_.tryPost([this, server, told = *events](Placement& placement) {
     const std::uint64_t gapsBefore = placement.gaps();
-    placement.takeEvents(server, told.identity, told.first, told.events, told.next);
+    placement.applyEvents(server, told.identity, told.first, told.events, told.next);
     counters_.eventGaps += placement.gaps() - gapsBefore;
   });
 }
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -31,10 +31,10 @@
 void Relay::takeBatch(const PartEventBatch& batch) {
   if (isStore(batch.source)) placement_.setStoreReachable(batch.isReachable);
   // Without a life nothing was told but that the source is there.
-  if (batch.isReachable && !batch.life.empty()) takeEvents(batch.source, fromBatch(batch));
+  if (batch.isReachable && !batch.life.empty()) applyEvents(batch.source, fromBatch(batch));
 }
 
-void Relay::takeEvents(const ServerName& source, const PartEvents& told) {
+void Relay::applyEvents(const ServerName& source, const PartEvents& told) {
   ++counters_.eventBatches;
   const std::uint64_t before = placement_.gaps();
   placement_.applyPartEvents(source, told);
@@ -88,7 +88,7 @@
     auto told = dialect_.partEvents->parse(*body);
     if (!told.ok()) co_return;
     told->first = since;
-    takeEvents(source, *told);
+    applyEvents(source, *told);
     truncateToNewest(&*told);
     batch = toBatch(source, *told);
   }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -163,7 +163,7 @@
   awaitable<void> pullEvents(ServerName source);
   awaitable<absl::StatusOr<std::string>> askEvents(ServerName source, std::uint64_t since);
   void takeBatch(const PartEventBatch& batch);
-  void takeEvents(const ServerName& source, const PartEvents& told);
+  void applyEvents(const ServerName& source, const PartEvents& told);
   bool isStore(const ServerName& source) const;
   std::shared_ptr<Instant> signsOf(const ServerName& server);
 
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -147,13 +147,13 @@
     placement.release(placement.place(asked)->ticket, true);
   }
   std::uint64_t position = 1;
-  placement.takeEvents(server.name, server.identity, 0, {}, position);
+  placement.applyEvents(server.name, server.identity, 0, {}, position);
   for (const auto kind : {CacheEventKind::Stored, CacheEventKind::Dropped}) {
     std::size_t taken = 0;
     const double micros = microsOf(sent.size() / 100, [&] {
       std::vector<CacheEvent> events;
       for (int i = 0; i < 100; ++i) events.push_back({position + i, kind, {}, sent[taken++]});
-      placement.takeEvents(server.name, server.identity, position, events, position + 100);
+      placement.applyEvents(server.name, server.identity, position, events, position + 100);
       position += 100;
     });
     std::cout << (kind == CacheEventKind::Stored ? "stored" : "dropped") << " event taken in us "
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -140,18 +140,18 @@
   placement.setServers({server("a")});
   const ServerName name{"a"};
   const ServerIdentity identity{"a#1"};
-  placement.takeEvents(name, identity, 0, {}, 5);
+  placement.applyEvents(name, identity, 0, {}, 5);
   for (const char* prefix : {"x:64", "y:64"})
     placement.release(placement.place(asking(prefix))->ticket, true);
-  placement.takeEvents(name, identity, 5,
-                       {{5, CacheEventKind::Dropped, CacheSalt{}, *parsePrefix("x:64")}}, 6);
+  placement.applyEvents(name, identity, 5,
+                        {{5, CacheEventKind::Dropped, CacheSalt{}, *parsePrefix("x:64")}}, 6);
   const auto afterDrop = placement.place(asking("x:64"));
   CHECK(afterDrop->matchedTokens == 0);
   placement.release(afterDrop->ticket, true);
   CHECK(placement.gaps() == 0);
-  placement.takeEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former life: ignored
+  placement.applyEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former life: ignored
   CHECK(placement.eventPosition(name) == 6);
-  placement.takeEvents(name, identity, 9, {}, 12);
+  placement.applyEvents(name, identity, 9, {}, 12);
   CHECK(placement.gaps() == 1);
   CHECK(placement.place(asking("y:64"))->matchedTokens == 0);
 }
