--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -13,29 +13,29 @@
 // Ours: a server over this much above the mean loses the pull of its match.
 constexpr double kSpreadMargin = 0.35;
 // Ours: loads from which on a server is over the spread rule's cap, whatever the mean.
-constexpr double kCapped = 1.5;
+constexpr double kOverCapLoad = 1.5;
 // Ours: a fetch costs a fixed part and a part per token; prefill costs per token.
 constexpr double kFetchFixedMicros = 8000, kFetchTokenMicros = 4, kPrefillTokenMicros = 25;
 // The same, in tokens that could be read meanwhile.
 constexpr double kFetchFixedTokens = kFetchFixedMicros / kPrefillTokenMicros;
 constexpr double kFetchTokenShare = kFetchTokenMicros / kPrefillTokenMicros;
 // Ours: loads from which on a server is full; the first for tenants over their share.
-constexpr double kFullOverShare = 1.5, kFull = 2.0;
+constexpr double kFullLoadOverShare = 1.5, kFullLoad = 2.0;
 // Ours: loads within one step tie, and so do expected reads.
-constexpr double kLoadStep = 0.25, kExpectedStep = 9000;
+constexpr double kLoadStep = 0.25, kExpectedTokensStep = 9000;
 // Ours: what is read for weights that are about to be replaced is read again soon.
-constexpr double kOldWeightsShare = 0.5;
+constexpr double kOldWeightsPenalty = 0.5;
 // Ours: what a copy at a second server costs, in tokens, beside the time of its fetch: it takes the
 // room of another prompt's, which is then read again.
-constexpr double kCopyTokens = 6000;
+constexpr double kCopyCostTokens = 6000;
 // Ours: a request with as much to read waits for half of what waits.
-constexpr double kPassedTokens = 30000;
+constexpr double kUrgencyHalfTokens = 30000;
 // Ours: tokens that each slot's worth of requests beyond all slots counts for.
-constexpr double kWaitingTokens = 20000;
+constexpr double kQueueCostTokens = 20000;
 
 // All daemons break a tie by the same name, so that one prefix gathers on one server fleet-wide.
 // The last part is a prompt's own.
-std::uint64_t tieNameOf(const PromptPrefix& prefix) {
+std::uint64_t tieSeedOf(const PromptPrefix& prefix) {
   std::uint64_t name = 1;
   const std::size_t shared =
       prefix.parts.size() > 1 ? prefix.parts.size() - 1 : prefix.parts.size();
@@ -43,12 +43,12 @@
   return name;
 }
 
-std::uint64_t tieOf(const ServerName& server, std::uint64_t tieName) {
-  return mixHash(stableHash(server.value), tieName);
+std::uint64_t tieRank(const ServerName& server, std::uint64_t tieSeed) {
+  return mixHash(stableHash(server.value), tieSeed);
 }
 
 // The last part is a prompt's own, or its session's.
-std::size_t sharedTokensOf(const PromptPrefix& prefix) {
+std::size_t sharedPrefixTokens(const PromptPrefix& prefix) {
   std::size_t tokens = 0;
   for (std::size_t i = 0; i + 1 < prefix.parts.size(); ++i) tokens += prefix.parts[i].tokens;
   return tokens;
@@ -59,33 +59,35 @@
 }
 }  // namespace
 
-std::vector<Placement::Option> Placement::optionsFor(const PlacementRequest& asked,
+std::vector<Placement::Option> Placement::optionsFor(const PlacementRequest& request,
                                                      const std::vector<Token>& blocks) {
   std::vector<Option> options;
   std::map<Token, std::shared_ptr<const std::vector<Token>>> paths;
-  for (auto& [name, row] : rows_) {
+  for (auto& [name, row] : servers_) {
     const ServerState& state = row.state;
-    if (!state.healthy || state.leaving || state.switching || asked.avoid.contains(name)) continue;
-    if (asked.isAllowed && !asked.isAllowed(state)) continue;
-    if (!asked.service.value.empty() && state.service != asked.service) continue;
-    if (state.model != asked.model && !(asked.model.value.empty() && !asked.service.value.empty()))
+    if (!state.healthy || state.leaving || state.switching || request.avoid.contains(name))
       continue;
-    const Token number = nameSpace(state, asked);
+    if (request.isAllowed && !request.isAllowed(state)) continue;
+    if (!request.service.value.empty() && state.service != request.service) continue;
+    if (state.model != request.model &&
+        !(request.model.value.empty() && !request.service.value.empty()))
+      continue;
+    const Token number = namespaceFor(state, request);
     auto& path = paths[number];
     if (!path) path = std::make_shared<const std::vector<Token>>(pathFor(number, blocks));
     options.push_back({&row, path, {name}});
   }
   // The salts of this request are known by now.
-  placeParts(asked.prefix);
+  applyPendingParts(request.prefix);
   for (Option& option : options) {
     const std::size_t runs = option.row->tree.peekPrefix(*option.path);
     option.candidate.matchedTokens = runs > 1 ? (runs - 1) * settings_.blockTokens : 0;
-    option.candidate.load = loadOf(*option.row);
+    option.candidate.load = currentLoad(*option.row);
   }
   return options;
 }
 
-void Placement::noteNewest(std::vector<Option>& options) const {
+void Placement::markNewest(std::vector<Option>& options) const {
   std::map<ModelName, WeightsVersion> newest;
   for (const Option& option : options) {
     const ServerState& state = option.row->state;
@@ -101,7 +103,7 @@
   }
 }
 
-void Placement::noteCapped(std::vector<Option>& options) const {
+void Placement::markCapped(std::vector<Option>& options) const {
   double loadSum = 0;
   for (const Option& option : options) loadSum += option.candidate.load;
   const double mean = loadSum / static_cast<double>(options.size());
@@ -111,26 +113,26 @@
                              ? mean * settings_.spreadFactor + settings_.spreadRequests / slots
                              : mean + kSpreadMargin;
     option.candidate.capped =
-        has(Mechanism::SpreadBound) && option.candidate.load >= std::min(kCapped, bound);
+        has(Mechanism::SpreadBound) && option.candidate.load >= std::min(kOverCapLoad, bound);
   }
 }
 
 // The most of this prompt that is known to be kept, by weights, and the server where a prefix
 // gathers that nothing is known of: the same whichever weights it has, so that while weights
 // change, load moves to the newest as servers do.
-Placement::Sources Placement::sourcesOf(const std::vector<Option>& options,
-                                        const PromptPrefix& prefix) const {
-  const std::uint64_t tieName = tieNameOf(prefix);
+Placement::PromptHolders Placement::findHolders(const std::vector<Option>& options,
+                                                const PromptPrefix& prefix) const {
+  const std::uint64_t tieSeed = tieSeedOf(prefix);
   const bool hasHome = has(Mechanism::PrefixHome) && !prefix.parts.empty();
-  Sources sources;
+  PromptHolders sources;
   std::uint64_t highest = 0;
   for (const Option& option : options) {
-    std::size_t& most = sources.mostHeld[option.row->state.weights];
+    std::size_t& most = sources.longestMatch[option.row->state.weights];
     most = std::max(most, option.candidate.matchedTokens);
-    const std::uint64_t tie = tieOf(option.candidate.server, tieName);
-    if (!hasHome || (sources.home && tie <= highest)) continue;
+    const std::uint64_t tie = tieRank(option.candidate.server, tieSeed);
+    if (!hasHome || (sources.homeServer && tie <= highest)) continue;
     highest = tie;
-    sources.home = option.row;
+    sources.homeServer = option.row;
   }
   return sources;
 }
@@ -138,34 +140,34 @@
 // Tokens of the prompt that a server has to read, and what a fetch costs it, as far as can be
 // expected. Where nothing is known of a prefix, its home is taken to keep it: others placed it
 // there.
-double Placement::expectedOwn(const Option& option, const Sources& sources, double prompt,
-                              double shared) const {
+double Placement::ownPrefillTokens(const Option& option, const PromptHolders& sources,
+                                   double prompt, double shared) const {
   const auto matched = static_cast<double>(option.candidate.matchedTokens);
-  const auto held = static_cast<double>(sources.mostHeld.at(option.row->state.weights));
+  const auto held = static_cast<double>(sources.longestMatch.at(option.row->state.weights));
   double own = prompt - matched;
   if (has(Mechanism::PeerFetch))
-    own = std::min(own, prompt - held + kCopyTokens + kFetchTokenShare * (held - matched));
+    own = std::min(own, prompt - held + kCopyCostTokens + kFetchTokenShare * (held - matched));
   const bool isUnknown = held < shared && matched < shared;
-  if (isUnknown && sources.home == option.row) own = std::min(own, prompt - shared);
+  if (isUnknown && sources.homeServer == option.row) own = std::min(own, prompt - shared);
   return own;
 }
 
 // What is read before the first token of this request, on each server: what waits there, and what
 // of the prompt neither it keeps nor a peer can give.
-void Placement::noteExpected(std::vector<Option>& options, const Sources& sources,
-                             const PromptPrefix& prefix, std::size_t promptTokens,
-                             Instant now) const {
-  const auto shared = static_cast<double>(wholeBlocks(sharedTokensOf(prefix)));
+void Placement::estimatePrefill(std::vector<Option>& options, const PromptHolders& sources,
+                                const PromptPrefix& prefix, std::size_t promptTokens,
+                                Instant now) const {
+  const auto shared = static_cast<double>(wholeBlocks(sharedPrefixTokens(prefix)));
   for (Option& option : options) {
     Candidate& candidate = option.candidate;
-    double own = expectedOwn(option, sources, static_cast<double>(promptTokens), shared);
-    if (!candidate.isNewest && has(Mechanism::NewestFirst)) own *= 1 + kOldWeightsShare;
+    double own = ownPrefillTokens(option, sources, static_cast<double>(promptTokens), shared);
+    if (!candidate.isNewest && has(Mechanism::NewestFirst)) own *= 1 + kOldWeightsPenalty;
     candidate.unreadTokens = option.row->load.unreadTokens(now);
     // The less there is to read, the more urgent the request: it passes most of what waits.
     const double waited = has(Mechanism::Urgency)
-                              ? candidate.unreadTokens * own / (own + kPassedTokens)
+                              ? candidate.unreadTokens * own / (own + kUrgencyHalfTokens)
                               : candidate.unreadTokens;
-    candidate.expectedTokens = waited + own + kWaitingTokens * std::max(0.0, candidate.load - 1);
+    candidate.expectedTokens = waited + own + kQueueCostTokens * std::max(0.0, candidate.load - 1);
   }
 }
 
@@ -174,21 +176,21 @@
   // A server with twice its slots waiting would only let the request age in its queue. The last
   // places of that queue are for tenants that hold no more than their share.
   std::vector<Option> left = options;
-  const double full = isOverShare ? kFullOverShare : kFull;
+  const double full = isOverShare ? kFullLoadOverShare : kFullLoad;
   std::erase_if(left, [&](const Option& option) {
-    return std::max(option.candidate.load, fullnessOf(*option.row)) >= full;
+    return std::max(option.candidate.load, extrapolatedLoad(*option.row)) >= full;
   });
   const auto isAvoided = [&](const Option& option) { return now < option.row->avoidUntil; };
   if (!std::all_of(left.begin(), left.end(), isAvoided)) std::erase_if(left, isAvoided);
   return left;
 }
 
-const Placement::Option& Placement::chooseByExpected(const std::vector<Option>& usable,
-                                                     std::uint64_t tieName) const {
+const Placement::Option& Placement::chooseByExpectedPrefill(const std::vector<Option>& usable,
+                                                            std::uint64_t tieSeed) const {
   const auto rank = [&](const Candidate& candidate) {
-    return std::make_tuple(-std::floor(candidate.expectedTokens / kExpectedStep),
+    return std::make_tuple(-std::floor(candidate.expectedTokens / kExpectedTokensStep),
                            candidate.matchedTokens, -std::floor(candidate.load / kLoadStep),
-                           tieOf(candidate.server, tieName));
+                           tieRank(candidate.server, tieSeed));
   };
   return *std::max_element(usable.begin(), usable.end(),
                            [&](const Option& left, const Option& right) {
@@ -204,9 +206,9 @@
   }
   const bool byMatch = comparesMatches();
   const bool hasHome = byMatch && has(Mechanism::PrefixHome) && !prefix.parts.empty();
-  const std::uint64_t tieName = hasHome ? tieNameOf(prefix) : ++nextTurn_;
+  const std::uint64_t tieSeed = hasHome ? tieSeedOf(prefix) : ++nextTurn_;
   if (comparesExpected()) {
-    const Option& chosen = chooseByExpected(usable, tieName);
+    const Option& chosen = chooseByExpectedPrefill(usable, tieSeed);
     *reason = chosen.candidate.matchedTokens > 0 ? "least expected read, longest match"
                                                  : "least expected read, tie by prefix";
     return chosen;
@@ -220,7 +222,7 @@
     const double shown = !isBounded ? load : isUnder ? 0 : candidate.load;
     // What must be read anew is best read for the weights that stay.
     const bool isNewest = isBounded && candidate.isNewest && has(Mechanism::NewestFirst);
-    return std::make_tuple(isUnder, match, isNewest, -shown, tieOf(candidate.server, tieName));
+    return std::make_tuple(isUnder, match, isNewest, -shown, tieRank(candidate.server, tieSeed));
   };
   const Option& chosen =
       *std::max_element(usable.begin(), usable.end(), [&](const Option& left, const Option& right) {
@@ -232,9 +234,9 @@
 }
 
 // A source must hold more, under the same weights; its salt is the request's by construction.
-void Placement::nameSource(PlacementResult& placed, const Option& chosen,
-                           const std::vector<Option>& options, const Row* home,
-                           const PromptPrefix& prefix, Instant now) const {
+void Placement::chooseFetchSource(PlacementResult& placed, const Option& chosen,
+                                  const std::vector<Option>& options, const ServerRow* homeServer,
+                                  const PromptPrefix& prefix, Instant now) const {
   for (const Option& option : options) {
     if (!has(Mechanism::PeerFetch) || option.row == chosen.row) continue;
     if (option.row->state.weights != chosen.row->state.weights) continue;
@@ -253,23 +255,24 @@
     placed.fetchFrom = Address{placed.source->server.value};
     return;
   }
-  const std::size_t shared = wholeBlocks(sharedTokensOf(prefix));
+  const std::size_t shared = wholeBlocks(sharedPrefixTokens(prefix));
   const bool isRead = placed.matchedTokens < shared;
   // Where the other daemons placed this prefix, as far as nothing is known of it.
-  const bool isSource = home && isRead && has(Mechanism::HomeFetch) && home != chosen.row &&
-                        home->state.weights == chosen.row->state.weights && now >= home->avoidUntil;
-  if (isSource) placed.fetchFrom = Address{home->state.name.value};
-  if (store_.value.empty() || !storeUp_) return;
+  const bool isSource =
+      homeServer && isRead && has(Mechanism::HomeFetch) && homeServer != chosen.row &&
+      homeServer->state.weights == chosen.row->state.weights && now >= homeServer->avoidUntil;
+  if (isSource) placed.fetchFrom = Address{homeServer->state.name.value};
+  if (store_.value.empty() || !isStoreReachable_) return;
   // What the estimate takes for held may have been evicted: a source that has no more costs next
   // to nothing, reading the part again costs much. Shared parts that are to be read are kept.
   if (!isSource && has(Mechanism::StoreFetch)) placed.fetchFrom = store_;
   const std::size_t kept = storeRow_.tree.peekPrefix(*chosen.path);
   if (isRead && kept < shared / settings_.blockTokens + 1 && has(Mechanism::StoreKeep))
-    placed.keepAt = store_;
+    placed.storeTo = store_;
 }
 
 Ticket Placement::lockPath(const Option& chosen, std::uint64_t unreadTokens, Instant now) {
-  Row& row = *chosen.row;
+  ServerRow& row = *chosen.row;
   const std::vector<Token>& path = *chosen.path;
   const std::size_t before = row.tree.peekPrefix(path);
   const PrefixInsert inserted =
@@ -278,27 +281,27 @@
   row.load.onRequestPlaced(unreadTokens, now);
   tickets_[++lastTicket_] = {row.state.name, row.treeLife,         inserted.node,
                              path,           before < path.size(), unreadTokens};
-  keepBudget(row);
+  enforceCapacity(row);
   return lastTicket_;
 }
 
-std::optional<PlacementResult> Placement::place(const PlacementRequest& asked, Instant now) {
-  const std::vector<Token> blocks = prefixBlocks(asked.prefix, settings_.blockTokens);
-  noteChain(asked.prefix);
-  std::vector<Option> options = optionsFor(asked, blocks);
+std::optional<PlacementResult> Placement::place(const PlacementRequest& request, Instant now) {
+  const std::vector<Token> blocks = prefixBlocks(request.prefix, settings_.blockTokens);
+  recordPartChain(request.prefix);
+  std::vector<Option> options = optionsFor(request, blocks);
   if (options.empty()) return std::nullopt;
   PlacementResult placed;
   placed.promptTokens = blocks.size() * settings_.blockTokens;
-  noteNewest(options);
-  Sources sources;
+  markNewest(options);
+  PromptHolders sources;
   if (settings_.byExpectedPrefill) {
-    sources = sourcesOf(options, asked.prefix);
-    noteExpected(options, sources, asked.prefix, placed.promptTokens, now);
+    sources = findHolders(options, request.prefix);
+    estimatePrefill(options, sources, request.prefix, placed.promptTokens, now);
   }
-  if (!comparesExpected()) noteCapped(options);
-  const std::vector<Option> left = usable(options, asked.isOverShare, now);
+  if (!comparesExpected()) markCapped(options);
+  const std::vector<Option> left = usable(options, request.isOverShare, now);
   if (left.empty()) return std::nullopt;
-  const Option& chosen = choose(left, asked.prefix, &placed.reason);
+  const Option& chosen = choose(left, request.prefix, &placed.reason);
   placed.matchedTokens = chosen.candidate.matchedTokens;
   placed.chosenServer = chosen.row->state;
   placed.chosen = chosen.candidate;
@@ -307,7 +310,7 @@
     placed.candidates.push_back(option.candidate);
     placed.minExpectedTokens = std::min(placed.minExpectedTokens, option.candidate.expectedTokens);
   }
-  nameSource(placed, chosen, options, sources.home, asked.prefix, now);
+  chooseFetchSource(placed, chosen, options, sources.homeServer, request.prefix, now);
   const std::size_t given = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
   placed.ticket = lockPath(chosen, placed.promptTokens - given, now);
   return placed;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -8,47 +8,47 @@
 
 namespace {
 // Ours: salts (times models and weights) that one tenant's prompts are remembered under.
-constexpr std::size_t kNameSpacesOfTenant = 512;
-constexpr double kMostDaemons = 16;
+constexpr std::size_t kMaxNamespacesPerTenant = 512;
+constexpr double kMaxDaemonRatio = 16;
 // Ours: answers told a load as long ago as this say nothing of it now.
-constexpr Span kHeaderSpan = std::chrono::seconds(2);
+constexpr Span kHeaderLoadTtl = std::chrono::seconds(2);
 // Ours: how long others go before a server that failed once, and one that turned a request away.
-constexpr Span kAvoidSpan = std::chrono::milliseconds(800);
-constexpr Span kRefusalSpan = std::chrono::milliseconds(250);
+constexpr Span kFailureBackoff = std::chrono::milliseconds(800);
+constexpr Span kRejectionBackoff = std::chrono::milliseconds(250);
 
 }  // namespace
 
-std::string Placement::nameSpaceName(const ModelName& model, const WeightsVersion& weights,
-                                     const CacheSalt& wall) {
-  return model.value + '\0' + weights.value + '\0' + wall.value;
+std::string Placement::namespaceKey(const ModelName& model, const WeightsVersion& weights,
+                                    const CacheSalt& isolationSalt) {
+  return model.value + '\0' + weights.value + '\0' + isolationSalt.value;
 }
 
-Token Placement::nameSpace(const ServerState& state, const PlacementRequest& asked) {
-  const std::string name = nameSpaceName(state.model, state.weights, asked.salt);
-  if (const auto known = nameSpaces_.find(name); known != nameSpaces_.end()) {
-    known->second.lastUse = ++uses_;
+Token Placement::namespaceFor(const ServerState& state, const PlacementRequest& request) {
+  const std::string name = namespaceKey(state.model, state.weights, request.salt);
+  if (const auto known = namespaces_.find(name); known != namespaces_.end()) {
+    known->second.lastUse = ++useCounter_;
     return known->second.number;
   }
-  while (nameSpacesOf_[asked.tenant] >= kNameSpacesOfTenant) {
-    auto oldest = nameSpaces_.end();
-    for (auto row = nameSpaces_.begin(); row != nameSpaces_.end(); ++row) {
-      if (row->second.tenant == asked.tenant &&
-          (oldest == nameSpaces_.end() || row->second.lastUse < oldest->second.lastUse))
+  while (namespaceCounts_[request.tenant] >= kMaxNamespacesPerTenant) {
+    auto oldest = namespaces_.end();
+    for (auto row = namespaces_.begin(); row != namespaces_.end(); ++row) {
+      if (row->second.tenant == request.tenant &&
+          (oldest == namespaces_.end() || row->second.lastUse < oldest->second.lastUse))
         oldest = row;
     }
-    letGo(oldest->first);
+    removeNamespace(oldest->first);
   }
-  ++nameSpacesOf_[asked.tenant];
-  nameSpaces_[name] = {++lastNameSpace_, asked.tenant, ++uses_};
-  return lastNameSpace_;
+  ++namespaceCounts_[request.tenant];
+  namespaces_[name] = {++lastNamespaceNumber_, request.tenant, ++useCounter_};
+  return lastNamespaceNumber_;
 }
 
-void Placement::letGo(const std::string& name) {
-  const NameSpace row = nameSpaces_.at(name);
-  nameSpaces_.erase(name);
-  if (--nameSpacesOf_[row.tenant] == 0) nameSpacesOf_.erase(row.tenant);
+void Placement::removeNamespace(const std::string& name) {
+  const CacheNamespace row = namespaces_.at(name);
+  namespaces_.erase(name);
+  if (--namespaceCounts_[row.tenant] == 0) namespaceCounts_.erase(row.tenant);
   // What is locked stays until eviction; its number leads nobody there.
-  for (auto& [server, held] : rows_) held.tree.prune(std::span(&row.number, 1));
+  for (auto& [server, held] : servers_) held.tree.prune(std::span(&row.number, 1));
   storeRow_.tree.prune(std::span(&row.number, 1));
 }
 
@@ -58,30 +58,31 @@
   return path;
 }
 
-void Placement::dropTree(Row& row) {
+void Placement::dropTree(ServerRow& row) {
   row.tree = RadixTree(1);
-  row.treeLife = ++lastTreeLife_;
+  row.treeLife = ++lastTreeGeneration_;
 }
 
 void Placement::setServers(const std::vector<ServerState>& servers) {
   std::set<ServerName> listed;
   for (const ServerState& server : servers) {
     listed.insert(server.name);
-    const auto [entry, fresh] = rows_.try_emplace(server.name);
-    Row& row = entry->second;
+    const auto [entry, fresh] = servers_.try_emplace(server.name);
+    ServerRow& row = entry->second;
     if (fresh) {
       dropTree(row);
-      row.firstLife = row.treeLife;
+      row.firstGeneration = row.treeLife;
     }
     const bool known = !row.state.identity.value.empty();
-    const bool sameLife = known && row.state.identity == server.identity;
-    const bool older = sameLife && isBehind(server.weights, row.state.weights) &&
+    const bool sameProcess = known && row.state.identity == server.identity;
+    const bool older = sameProcess && isBehind(server.weights, row.state.weights) &&
                        row.state.model == server.model && numberOf(server.weights);
-    if (known && server.healthy && (!sameLife || (row.state.weights != server.weights && !older))) {
+    if (known && server.healthy &&
+        (!sameProcess || (row.state.weights != server.weights && !older))) {
       dropTree(row);
       if (row.state.identity != server.identity) {
         row.eventPosition = 0;
-        row.eventLife.clear();
+        row.eventIncarnation.clear();
       }
     }
     const ServerState before = row.state;
@@ -99,11 +100,11 @@
       row.state.cacheTokens = before.cacheTokens;
     }
   }
-  std::erase_if(rows_, [&](const auto& row) { return !listed.contains(row.first); });
+  std::erase_if(servers_, [&](const auto& row) { return !listed.contains(row.first); });
 }
 
 // The poll counts what all daemons sent; what this one sent and saw end since is added to it.
-double Placement::loadOf(const Row& row) const {
+double Placement::currentLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double own = row.load.own().requests;
   const double since = own - row.load.ownAt(row.state.polledAt).requests;
@@ -112,29 +113,29 @@
 
 // The other daemons do as this one does, as far as it can know: what changed here since the poll is
 // taken for its share of what changed in all.
-double Placement::fullnessOf(const Row& row) const {
+double Placement::extrapolatedLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double then = row.load.ownAt(row.state.polledAt).requests;
-  const double daemons = std::clamp(then > 0 ? polled / then : 1.0, 1.0, kMostDaemons);
+  const double daemons = std::clamp(then > 0 ? polled / then : 1.0, 1.0, kMaxDaemonRatio);
   const double since = row.load.own().requests - then;
   return (polled + since * daemons) / std::max(1U, row.state.slots);
 }
 
 std::vector<ServerOutstanding> Placement::ownOutstanding() const {
   std::vector<ServerOutstanding> own;
-  for (const auto& [name, row] : rows_) {
+  for (const auto& [name, row] : servers_) {
     if (row.load.own() != Outstanding{}) own.push_back({name, row.load.own()});
   }
   return own;
 }
 
 void Placement::noteFleetLoad(const std::vector<ServerOutstanding>& fleet, Instant at) {
-  std::map<ServerName, Outstanding> told;
-  for (const ServerOutstanding& entry : fleet) told[entry.server] = entry.outstanding;
-  for (auto& [name, row] : rows_) {
-    const Outstanding& here = told[name];
+  std::map<ServerName, Outstanding> batch;
+  for (const ServerOutstanding& entry : fleet) batch[entry.server] = entry.outstanding;
+  for (auto& [name, row] : servers_) {
+    const Outstanding& here = batch[name];
     row.load.onFleetReport(here, at);
-    if (at - row.headerAt < kHeaderSpan) continue;
+    if (at - row.headerAt < kHeaderLoadTtl) continue;
     row.state.running = here.requests;
     row.state.queued = 0;
     row.state.polledAt = at;
@@ -144,14 +145,14 @@
 void Placement::notePrefillDone(Ticket ticket, Instant now) {
   const auto entry = tickets_.find(ticket);
   if (entry == tickets_.end()) return;
-  Lock& lock = entry->second;
-  const auto row = rows_.find(lock.server);
-  if (row != rows_.end() && lock.treeLife >= row->second.firstLife)
+  PathLock& lock = entry->second;
+  const auto row = servers_.find(lock.server);
+  if (row != servers_.end() && lock.treeLife >= row->second.firstGeneration)
     row->second.load.onPrefillDone(lock.unreadTokens, now);
   lock.unreadTokens = 0;
 }
 
-void Placement::keepBudget(Row& row) {
+void Placement::enforceCapacity(ServerRow& row) {
   const std::size_t budget =
       std::max<std::size_t>(1, row.state.cacheTokens / settings_.blockTokens);
   if (row.tree.size() > budget) row.tree.evict(row.tree.size() - budget, nullptr);
@@ -160,21 +161,21 @@
 void Placement::release(Ticket ticket, bool ran, Instant now) {
   const auto entry = tickets_.find(ticket);
   if (entry == tickets_.end()) return;
-  const Lock lock = entry->second;
+  const PathLock lock = entry->second;
   tickets_.erase(entry);
-  const auto row = rows_.find(lock.server);
-  if (row == rows_.end() || lock.treeLife < row->second.firstLife) return;
+  const auto row = servers_.find(lock.server);
+  if (row == servers_.end() || lock.treeLife < row->second.firstGeneration) return;
   row->second.load.onRequestDone(lock.unreadTokens, now);
   if (row->second.treeLife != lock.treeLife) return;
   if (has(Mechanism::Locks)) row->second.tree.unlock(lock.node);
   if (!ran && lock.inserted) row->second.tree.prune(lock.path);
-  keepBudget(row->second);
+  enforceCapacity(row->second);
 }
 
 void Placement::noteLoad(const ServerName& server, std::uint32_t running, std::uint32_t queued,
                          std::uint32_t slots, Instant now) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
   row->second.state.running = running;
   row->second.state.queued = queued;
   row->second.state.slots = std::max(1U, slots);
@@ -184,8 +185,8 @@
 
 void Placement::noteWeights(const ServerName& server, const ServerIdentity& identity,
                             const WeightsVersion& weights) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end() || row->second.state.identity != identity) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end() || row->second.state.identity != identity) return;
   if (row->second.state.weights == weights) return;
   row->second.state.weights = weights;
   dropTree(row->second);
@@ -193,22 +194,22 @@
 
 void Placement::noteFailure(const ServerName& server, Instant now) {
   if (!has(Mechanism::Avoidance)) return;
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
   const std::uint32_t doubled = std::min(row->second.failures++, 3U);
-  row->second.avoidUntil = now + kAvoidSpan * (1 << doubled);
+  row->second.avoidUntil = now + kFailureBackoff * (1 << doubled);
 }
 
 void Placement::noteRejection(const ServerName& server, Instant now) {
   if (!has(Mechanism::Avoidance)) return;
-  const auto row = rows_.find(server);
-  if (row != rows_.end())
-    row->second.avoidUntil = std::max(row->second.avoidUntil, now + kRefusalSpan);
+  const auto row = servers_.find(server);
+  if (row != servers_.end())
+    row->second.avoidUntil = std::max(row->second.avoidUntil, now + kRejectionBackoff);
 }
 
 void Placement::noteSuccess(const ServerName& server, Instant) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
   row->second.failures = 0;
   row->second.avoidUntil = Instant{};
 }
@@ -216,9 +217,9 @@
 void Placement::applyEvents(const ServerName& server, const ServerIdentity& identity,
                             std::uint64_t first, const std::vector<CacheEvent>& events,
                             std::uint64_t next) {
-  const auto entry = rows_.find(server);
-  if (entry == rows_.end() || entry->second.state.identity != identity) return;
-  Row& row = entry->second;
+  const auto entry = servers_.find(server);
+  if (entry == servers_.end() || entry->second.state.identity != identity) return;
+  ServerRow& row = entry->second;
   if (next < row.eventPosition || first > row.eventPosition) {
     // Events are missing: what was dropped in the gap is unknown, so the estimate starts anew.
     // The very first pull of a server has nothing to miss.
@@ -230,8 +231,8 @@
   for (const CacheEvent& event : events) {
     if (event.position < row.eventPosition || event.kind != CacheEventKind::Dropped) continue;
     const auto known =
-        nameSpaces_.find(nameSpaceName(row.state.model, row.state.weights, event.salt));
-    if (known == nameSpaces_.end()) continue;
+        namespaces_.find(namespaceKey(row.state.model, row.state.weights, event.salt));
+    if (known == namespaces_.end()) continue;
     row.tree.prune(
         pathFor(known->second.number, prefixBlocks(event.prefix, settings_.blockTokens)));
   }
@@ -240,13 +241,13 @@
 
 std::uint64_t Placement::eventPosition(const ServerName& server) const {
   if (server.value == store_.value) return storeRow_.eventPosition;
-  const auto row = rows_.find(server);
-  return row == rows_.end() ? 0 : row->second.eventPosition;
+  const auto row = servers_.find(server);
+  return row == servers_.end() ? 0 : row->second.eventPosition;
 }
 
 std::size_t Placement::indexedBlocks(const ServerName& server) const {
-  const auto row = rows_.find(server);
-  return row == rows_.end() ? 0 : row->second.tree.size();
+  const auto row = servers_.find(server);
+  return row == servers_.end() ? 0 : row->second.tree.size();
 }
 
 }  // namespace quayrill
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -92,7 +92,7 @@
   std::optional<FetchSource> source;
   bool isFetchWorthwhile = false;  // a full fetch would cost less than prefill
   // For servers that fetch and keep parts themselves, as a request comes: where from, where to.
-  Address fetchFrom{}, keepAt{};
+  Address fetchFrom{}, storeTo{};
   std::string reason;
   Candidate chosen;              // what was expected at the chosen server
   double minExpectedTokens = 0;  // the least that was expected at any
@@ -132,7 +132,7 @@
 
 // The name under which servers keep cache: no two versions and no two walls share one, so that no
 // match and no fetch leads across. `wall` is "" where cache is shared.
-CacheSalt scopedCacheSalt(const WeightsVersion& weights, const CacheSalt& wall);
+CacheSalt scopedCacheSalt(const WeightsVersion& weights, const CacheSalt& isolationSalt);
 
 class Placement {
  public:
@@ -141,12 +141,12 @@
   // The servers that are listed now. A new identity or new weights drop that server's tree.
   void setServers(const std::vector<ServerState>& servers);
   // Empty when no sound server of the model is free: the caller is turned away.
-  std::optional<PlacementResult> place(const PlacementRequest& asked, Instant now = {});
+  std::optional<PlacementResult> place(const PlacementRequest& request, Instant now = {});
   // A store that servers fetch from and keep at as requests come; "" where there is none.
   void setStore(const Address& store, std::uint64_t cacheTokens);
   // A store that can't be reached is no source and keeps nothing.
   void setStoreReachable(bool isUp);
-  void applyPartEvents(const ServerName& server, const PartEvents& told);
+  void applyPartEvents(const ServerName& server, const PartEvents& batch);
   // Locks are released exactly once: a second release of a ticket does nothing. `ran` false takes
   // the path out again that this ticket put in.
   void release(Ticket ticket, bool ran, Instant now = {});
@@ -180,22 +180,23 @@
  private:
   // One tree for each server: the first run of every path is the name of its (model, weights,
   // salt), so no walk can pass from one salt or weights version to another.
-  struct Row {
+  struct ServerRow {
     ServerState state;
     RadixTree tree{1};
     // Of this tree alone, also where a server's name comes back: tickets of others are void.
     std::uint64_t treeLife = 0;
-    std::uint64_t firstLife = 0;  // of this row; tickets of lives before it are of a row that left
-    ServerLoad load;              // requests placed here and not yet released
-    Instant headerAt{};           // when an answer last told its load
+    std::uint64_t firstGeneration =
+        0;               // of this row; tickets of lives before it are of a row that left
+    ServerLoad load;     // requests placed here and not yet released
+    Instant headerAt{};  // when an answer last told its load
     std::uint64_t eventPosition = 0;
-    std::string eventLife;
+    std::string eventIncarnation;
     // Others go first until then. failures: in a row, without an answer between.
     Instant avoidUntil{};
     std::uint32_t failures = 0;
   };
   // A ticket is in the table exactly while its path is locked in that life of the tree.
-  struct Lock {
+  struct PathLock {
     ServerName server;
     std::uint64_t treeLife = 0;
     NodeHandle node;
@@ -206,28 +207,28 @@
   // One (model, weights, salt). Its number is given once and never again, so that a path left
   // behind by one that was let go is met by nobody. A tenant that asks for ever new salts lets its
   // own oldest go.
-  struct NameSpace {
+  struct CacheNamespace {
     Token number = 0;
     TenantName tenant;  // who first asked for it
     std::uint64_t lastUse = 0;
   };
   // The exact name of one (model, weights, wall); no two share it.
-  static std::string nameSpaceName(const ModelName& model, const WeightsVersion& weights,
-                                   const CacheSalt& wall);
+  static std::string namespaceKey(const ModelName& model, const WeightsVersion& weights,
+                                  const CacheSalt& isolationSalt);
   // The same by a salt as the data plane gave it: scopedCacheSalt.
-  static std::string nameSpaceName(const ModelName& model, const CacheSalt& salt);
-  Token nameSpace(const ServerState& state, const PlacementRequest& asked);
-  void letGo(const std::string& name);
+  static std::string namespaceKey(const ModelName& model, const CacheSalt& salt);
+  Token namespaceFor(const ServerState& state, const PlacementRequest& request);
+  void removeNamespace(const std::string& name);
   std::vector<Token> pathFor(Token number, const std::vector<Token>& blocks) const;
-  void dropTree(Row& row);
-  double loadOf(const Row& row) const;
-  double fullnessOf(const Row& row) const;
-  void keepBudget(Row& row);
-  void noteChain(const PromptPrefix& prefix);
+  void dropTree(ServerRow& row);
+  double currentLoad(const ServerRow& row) const;
+  double extrapolatedLoad(const ServerRow& row) const;
+  void enforceCapacity(ServerRow& row);
+  void recordPartChain(const PromptPrefix& prefix);
   // False: the part's place in a prompt, or its salt, is not known here.
-  bool takePart(Row& row, const PartEvent& event);
+  bool applyPartEvent(ServerRow& row, const PartEvent& event);
   // Lays what was told of the prompt's parts before over the trees.
-  void placeParts(const PromptPrefix& prefix);
+  void applyPendingParts(const PromptPrefix& prefix);
   bool has(Mechanism mechanism) const { return settings_.mechanisms.has(mechanism); }
   bool comparesMatches() const {
     return settings_.rule == PlacementRule::LongestPrefix && has(Mechanism::LongestMatch);
@@ -236,22 +237,22 @@
 
   // choice.cpp. A server that may take the request, and the request's path in its tree.
   struct Option {
-    Row* row = nullptr;
+    ServerRow* row = nullptr;
     std::shared_ptr<const std::vector<Token>> path;
     Candidate candidate;
   };
-  std::vector<Option> optionsFor(const PlacementRequest& asked, const std::vector<Token>& blocks);
-  void noteNewest(std::vector<Option>& options) const;
-  void noteCapped(std::vector<Option>& options) const;
-  struct Sources {
-    std::map<WeightsVersion, std::size_t> mostHeld;
-    const Row* home = nullptr;
+  std::vector<Option> optionsFor(const PlacementRequest& request, const std::vector<Token>& blocks);
+  void markNewest(std::vector<Option>& options) const;
+  void markCapped(std::vector<Option>& options) const;
+  struct PromptHolders {
+    std::map<WeightsVersion, std::size_t> longestMatch;
+    const ServerRow* homeServer = nullptr;
   };
-  Sources sourcesOf(const std::vector<Option>& options, const PromptPrefix& prefix) const;
-  double expectedOwn(const Option& option, const Sources& sources, double prompt,
-                     double shared) const;
-  void noteExpected(std::vector<Option>& options, const Sources& sources,
-                    const PromptPrefix& prefix, std::size_t promptTokens, Instant now) const;
+  PromptHolders findHolders(const std::vector<Option>& options, const PromptPrefix& prefix) const;
+  double ownPrefillTokens(const Option& option, const PromptHolders& sources, double prompt,
+                          double shared) const;
+  void estimatePrefill(std::vector<Option>& options, const PromptHolders& sources,
+                       const PromptPrefix& prefix, std::size_t promptTokens, Instant now) const;
   std::size_t wholeBlocks(std::size_t tokens) const {
     return tokens - tokens % settings_.blockTokens;
   }
@@ -260,27 +261,29 @@
                              Instant now) const;
   const Option& choose(const std::vector<Option>& usable, const PromptPrefix& prefix,
                        std::string* reason);
-  const Option& chooseByExpected(const std::vector<Option>& usable, std::uint64_t tieName) const;
+  const Option& chooseByExpectedPrefill(const std::vector<Option>& usable,
+                                        std::uint64_t tieSeed) const;
   // `home`: the prefix's; nullptr where there is none.
-  void nameSource(PlacementResult& placed, const Option& chosen, const std::vector<Option>& options,
-                  const Row* home, const PromptPrefix& prefix, Instant now) const;
+  void chooseFetchSource(PlacementResult& placed, const Option& chosen,
+                         const std::vector<Option>& options, const ServerRow* homeServer,
+                         const PromptPrefix& prefix, Instant now) const;
   Ticket lockPath(const Option& chosen, std::uint64_t unreadTokens, Instant now);
 
   PlacementSettings settings_;
   Address store_;
-  bool storeUp_ = true;
+  bool isStoreReachable_ = true;
   // Where each shared part stands: the parts before it, and itself. Events name a part alone.
-  std::map<std::string, std::vector<PromptPart>> chains_;
-  std::map<ServerName, Row> rows_;
-  std::map<Ticket, Lock> tickets_;
-  Row storeRow_;                                    // the store's parts, as its events tell
-  std::map<std::string, NameSpace> nameSpaces_;     // exact names, so no two share a number
-  std::map<TenantName, std::size_t> nameSpacesOf_;  // how many rows each tenant has there
-  Token lastNameSpace_ = 0;
-  std::uint64_t uses_ = 0;
-  std::uint64_t lastTreeLife_ = 0;  // no two trees share a life
+  std::map<std::string, std::vector<PromptPart>> partChains_;
+  std::map<ServerName, ServerRow> servers_;
+  std::map<Ticket, PathLock> tickets_;
+  ServerRow storeRow_;                                 // the store's parts, as its events tell
+  std::map<std::string, CacheNamespace> namespaces_;   // exact names, so no two share a number
+  std::map<TenantName, std::size_t> namespaceCounts_;  // how many rows each tenant has there
+  Token lastNamespaceNumber_ = 0;
+  std::uint64_t useCounter_ = 0;
+  std::uint64_t lastTreeGeneration_ = 0;  // no two trees share a life
   Ticket lastTicket_ = 0;
-  PendingParts unplaced_{kMaxPendingParts};
+  PendingParts pendingParts_{kMaxPendingParts};
   std::uint64_t nextTurn_ = 0, gaps_ = 0;
 };
 
