--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -143,11 +143,11 @@
 double Placement::ownPrefillTokens(const Option& option, const PromptHolders& sources,
                                    double prompt, double shared) const {
   const auto matched = static_cast<double>(option.candidate.matchedTokens);
-  const auto held = static_cast<double>(sources.longestMatch.at(option.row->state.weights));
+  const auto cached = static_cast<double>(sources.longestMatch.at(option.row->state.weights));
   double own = prompt - matched;
   if (has(Mechanism::PeerFetch))
-    own = std::min(own, prompt - held + kCopyCostTokens + kFetchTokenShare * (held - matched));
-  const bool isUnknown = held < shared && matched < shared;
+    own = std::min(own, prompt - cached + kCopyCostTokens + kFetchTokenShare * (cached - matched));
+  const bool isUnknown = cached < shared && matched < shared;
   if (isUnknown && sources.homeServer == option.row) own = std::min(own, prompt - shared);
   return own;
 }
@@ -240,9 +240,9 @@
   for (const Option& option : options) {
     if (!has(Mechanism::PeerFetch) || option.row == chosen.row) continue;
     if (option.row->state.weights != chosen.row->state.weights) continue;
-    const std::size_t held = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
+    const std::size_t cached = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
     const std::size_t holds = option.candidate.matchedTokens;
-    if (holds > held)
+    if (holds > cached)
       placed.source = FetchSource{option.candidate.server, option.row->state.identity, holds};
   }
   const bool isWorth =
@@ -279,7 +279,7 @@
       row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
   if (has(Mechanism::Locks)) row.tree.lock(inserted.node);
   row.load.onRequestPlaced(unreadTokens, now);
-  tickets_[++lastTicket_] = {row.state.name, row.treeLife,         inserted.node,
+  tickets_[++lastTicket_] = {row.state.name, row.treeGeneration,   inserted.node,
                              path,           before < path.size(), unreadTokens};
   enforceCapacity(row);
   return lastTicket_;
--- a/src/placement/part_events.cpp
+++ b/src/placement/part_events.cpp
@@ -60,9 +60,9 @@
   const std::vector<Token> whole =
       pathFor(space->second.number, prefixBlocks(prefix, settings_.blockTokens));
   if (event.isAdded) {
-    const std::size_t held = row.tree.peekPrefix(whole);
+    const std::size_t cached = row.tree.peekPrefix(whole);
     const std::size_t to = std::min(whole.size(), kept + 1);
-    if (held >= to || (before > 0 && held < before / settings_.blockTokens + 1)) return true;
+    if (cached >= to || (before > 0 && cached < before / settings_.blockTokens + 1)) return true;
     const std::vector<Token> path(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(to));
     row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
     enforceCapacity(row);
@@ -73,17 +73,17 @@
 }
 
 void Placement::applyPendingParts(const PromptPrefix& prefix) {
-  const auto isKnown = [&](const PendingParts::Held& held) {
-    return namespaces_.contains(namespaceKey(held.model, held.salt));
+  const auto isKnown = [&](const PendingParts::CachedPart& cached) {
+    return namespaces_.contains(namespaceKey(cached.model, cached.salt));
   };
   for (std::size_t i = 0; i + 1 < prefix.parts.size(); ++i) {
     const std::string& part = prefix.parts[i].id;
-    for (const PendingParts::Held& held : pendingParts_.take(part, isKnown)) {
-      const auto entry = servers_.find(held.holder);
-      if (entry == servers_.end() && held.holder.value != store_.value) continue;
+    for (const PendingParts::CachedPart& cached : pendingParts_.take(part, isKnown)) {
+      const auto entry = servers_.find(cached.holder);
+      if (entry == servers_.end() && cached.holder.value != store_.value) continue;
       ServerRow& row = entry == servers_.end() ? storeRow_ : entry->second;
-      if (row.treeLife == held.treeLife)
-        applyPartEvent(row, {0, true, held.salt, part, held.tokens, held.model});
+      if (row.treeGeneration == cached.treeGeneration)
+        applyPartEvent(row, {0, true, cached.salt, part, cached.tokens, cached.model});
     }
   }
 }
@@ -112,7 +112,8 @@
   for (const PartEvent& event : batch.events) {
     if (event.position != 0 && event.position <= row.eventPosition) continue;
     if (!applyPartEvent(row, event))
-      pendingParts_.put(event.part, {server, row.treeLife, event.salt, event.model, event.tokens});
+      pendingParts_.put(event.part,
+                        {server, row.treeGeneration, event.salt, event.model, event.tokens});
   }
   row.eventPosition = batch.next;
 }
--- a/src/placement/pending_parts.h
+++ b/src/placement/pending_parts.h
@@ -13,24 +13,25 @@
 
 class PendingParts {
  public:
-  struct Held {
+  struct CachedPart {
     ServerName holder;
-    std::uint64_t treeLife = 0;  // of the holder's tree when it was told
+    std::uint64_t treeGeneration = 0;  // of the holder's tree when it was told
     CacheSalt salt;
     ModelName model;
     std::uint32_t tokens = 0;
   };
-  explicit PendingParts(std::size_t mostParts) : mostParts_(mostParts) {}
+  explicit PendingParts(std::size_t maxParts) : maxParts_(maxParts) {}
 
   // What the holder keeps of the part now, in place of what it kept; 0 tokens: nothing.
-  void put(const std::string& part, Held held);
+  void put(const std::string& part, CachedPart cached);
   // Those of a part that `wanted` takes; they wait no longer.
-  std::vector<Held> take(const std::string& part, const std::function<bool(const Held&)>& wanted);
-  std::size_t size() const { return held_.size(); }
+  std::vector<CachedPart> take(const std::string& part,
+                               const std::function<bool(const CachedPart&)>& wanted);
+  std::size_t size() const { return cachedParts_.size(); }
 
  private:
-  std::size_t mostParts_;
-  std::unordered_map<std::string, std::vector<Held>> held_;  // no row is empty
+  std::size_t maxParts_;
+  std::unordered_map<std::string, std::vector<CachedPart>> cachedParts_;  // no row is empty
   // In the order in which the parts were first told; past the bound the oldest go. May name parts
   // that are gone.
   std::deque<std::string> order_;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -48,7 +48,7 @@
   namespaces_.erase(name);
   if (--namespaceCounts_[row.tenant] == 0) namespaceCounts_.erase(row.tenant);
   // What is locked stays until eviction; its number leads nobody there.
-  for (auto& [server, held] : servers_) held.tree.prune(std::span(&row.number, 1));
+  for (auto& [server, cached] : servers_) cached.tree.prune(std::span(&row.number, 1));
   storeRow_.tree.prune(std::span(&row.number, 1));
 }
 
@@ -60,7 +60,7 @@
 
 void Placement::dropTree(ServerRow& row) {
   row.tree = RadixTree(1);
-  row.treeLife = ++lastTreeGeneration_;
+  row.treeGeneration = ++lastTreeGeneration_;
 }
 
 void Placement::setServers(const std::vector<ServerState>& servers) {
@@ -71,7 +71,7 @@
     ServerRow& row = entry->second;
     if (fresh) {
       dropTree(row);
-      row.firstGeneration = row.treeLife;
+      row.firstGeneration = row.treeGeneration;
     }
     const bool known = !row.state.identity.value.empty();
     const bool sameProcess = known && row.state.identity == server.identity;
@@ -147,7 +147,7 @@
   if (entry == tickets_.end()) return;
   PathLock& lock = entry->second;
   const auto row = servers_.find(lock.server);
-  if (row != servers_.end() && lock.treeLife >= row->second.firstGeneration)
+  if (row != servers_.end() && lock.treeGeneration >= row->second.firstGeneration)
     row->second.load.onPrefillDone(lock.unreadTokens, now);
   lock.unreadTokens = 0;
 }
@@ -164,9 +164,9 @@
   const PathLock lock = entry->second;
   tickets_.erase(entry);
   const auto row = servers_.find(lock.server);
-  if (row == servers_.end() || lock.treeLife < row->second.firstGeneration) return;
+  if (row == servers_.end() || lock.treeGeneration < row->second.firstGeneration) return;
   row->second.load.onRequestDone(lock.unreadTokens, now);
-  if (row->second.treeLife != lock.treeLife) return;
+  if (row->second.treeGeneration != lock.treeGeneration) return;
   if (has(Mechanism::Locks)) row->second.tree.unlock(lock.node);
   if (!ran && lock.inserted) row->second.tree.prune(lock.path);
   enforceCapacity(row->second);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -184,7 +184,7 @@
     ServerState state;
     RadixTree tree{1};
     // Of this tree alone, also where a server's name comes back: tickets of others are void.
-    std::uint64_t treeLife = 0;
+    std::uint64_t treeGeneration = 0;
     std::uint64_t firstGeneration =
         0;               // of this row; tickets of lives before it are of a row that left
     ServerLoad load;     // requests placed here and not yet released
@@ -198,7 +198,7 @@
   // A ticket is in the table exactly while its path is locked in that life of the tree.
   struct PathLock {
     ServerName server;
-    std::uint64_t treeLife = 0;
+    std::uint64_t treeGeneration = 0;
     NodeHandle node;
     std::vector<Token> path;
     bool inserted = false;
