--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -162,11 +162,11 @@
     Candidate& candidate = option.candidate;
     double own = ownPrefillTokens(option, sources, static_cast<double>(promptTokens), shared);
     if (!candidate.isNewest && has(Mechanism::NewestFirst)) own *= 1 + kOldWeightsPenalty;
-    candidate.unreadTokens = option.row->load.unreadTokens(now);
+    candidate.pendingPrefillTokens = option.row->load.pendingPrefillTokens(now);
     // The less there is to read, the more urgent the request: it passes most of what waits.
     const double waited = has(Mechanism::Urgency)
-                              ? candidate.unreadTokens * own / (own + kUrgencyHalfTokens)
-                              : candidate.unreadTokens;
+                              ? candidate.pendingPrefillTokens * own / (own + kUrgencyHalfTokens)
+                              : candidate.pendingPrefillTokens;
     candidate.expectedTokens = waited + own + kQueueCostTokens * std::max(0.0, candidate.load - 1);
   }
 }
@@ -271,16 +271,16 @@
     placed.storeTo = store_;
 }
 
-Ticket Placement::lockPath(const Option& chosen, std::uint64_t unreadTokens, Instant now) {
+Ticket Placement::lockPath(const Option& chosen, std::uint64_t pendingPrefillTokens, Instant now) {
   ServerRow& row = *chosen.row;
   const std::vector<Token>& path = *chosen.path;
   const std::size_t before = row.tree.peekPrefix(path);
   const PrefixInsert inserted =
       row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
   if (has(Mechanism::Locks)) row.tree.lock(inserted.node);
-  row.load.onRequestPlaced(unreadTokens, now);
+  row.load.onRequestPlaced(pendingPrefillTokens, now);
   tickets_[++lastTicket_] = {row.state.name, row.treeGeneration,   inserted.node,
-                             path,           before < path.size(), unreadTokens};
+                             path,           before < path.size(), pendingPrefillTokens};
   enforceCapacity(row);
   return lastTicket_;
 }
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -148,8 +148,8 @@
   PathLock& lock = entry->second;
   const auto row = servers_.find(lock.server);
   if (row != servers_.end() && lock.treeGeneration >= row->second.firstGeneration)
-    row->second.load.onPrefillDone(lock.unreadTokens, now);
-  lock.unreadTokens = 0;
+    row->second.load.onPrefillDone(lock.pendingPrefillTokens, now);
+  lock.pendingPrefillTokens = 0;
 }
 
 void Placement::enforceCapacity(ServerRow& row) {
@@ -165,7 +165,7 @@
   tickets_.erase(entry);
   const auto row = servers_.find(lock.server);
   if (row == servers_.end() || lock.treeGeneration < row->second.firstGeneration) return;
-  row->second.load.onRequestDone(lock.unreadTokens, now);
+  row->second.load.onRequestDone(lock.pendingPrefillTokens, now);
   if (row->second.treeGeneration != lock.treeGeneration) return;
   if (has(Mechanism::Locks)) row->second.tree.unlock(lock.node);
   if (!ran && lock.inserted) row->second.tree.prune(lock.path);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -65,7 +65,7 @@
   ServerName server;
   std::size_t matchedTokens = 0;
   double load = 0;
-  double unreadTokens = 0;    // to be read there for requests that were placed before
+  double pendingPrefillTokens = 0;  // to be read there for requests that were placed before
   double expectedTokens = 0;  // the same with this request's own, a fetch and its weights weighed
   bool capped = false;        // over the spread rule's cap: its match does not count
   bool isNewest = true;       // no other candidate has newer weights of its model
@@ -202,7 +202,7 @@
     NodeHandle node;
     std::vector<Token> path;
     bool inserted = false;
-    std::uint64_t unreadTokens = 0;  // 0 once its prompt was read
+    std::uint64_t pendingPrefillTokens = 0;  // 0 once its prompt was read
   };
   // One (model, weights, salt). Its number is given once and never again, so that a path left
   // behind by one that was let go is met by nobody. A tenant that asks for ever new salts lets its
@@ -267,7 +267,7 @@
   void chooseFetchSource(PlacementResult& placed, const Option& chosen,
                          const std::vector<Option>& options, const ServerRow* homeServer,
                          const PromptPrefix& prefix, Instant now) const;
-  Ticket lockPath(const Option& chosen, std::uint64_t unreadTokens, Instant now);
+  Ticket lockPath(const Option& chosen, std::uint64_t pendingPrefillTokens, Instant now);
 
   PlacementSettings settings_;
   Address store_;
--- a/src/placement/server_load.cpp
+++ b/src/placement/server_load.cpp
@@ -15,21 +15,21 @@
   while (past_.size() > 1 && past_.front().first + kPast < now) past_.pop_front();
 }
 
-void ServerLoad::onRequestPlaced(std::uint64_t unreadTokens, Instant now) {
+void ServerLoad::onRequestPlaced(std::uint64_t pendingPrefillTokens, Instant now) {
   keep(now);
   ++own_.requests;
-  own_.unreadTokens += unreadTokens;
+  own_.pendingPrefillTokens += pendingPrefillTokens;
 }
 
-void ServerLoad::onPrefillDone(std::uint64_t unreadTokens, Instant now) {
+void ServerLoad::onPrefillDone(std::uint64_t pendingPrefillTokens, Instant now) {
   keep(now);
-  own_.unreadTokens -= std::min(own_.unreadTokens, unreadTokens);
+  own_.pendingPrefillTokens -= std::min(own_.pendingPrefillTokens, pendingPrefillTokens);
 }
 
-void ServerLoad::onRequestDone(std::uint64_t unreadTokens, Instant now) {
+void ServerLoad::onRequestDone(std::uint64_t pendingPrefillTokens, Instant now) {
   keep(now);
   if (own_.requests > 0) --own_.requests;
-  own_.unreadTokens -= std::min(own_.unreadTokens, unreadTokens);
+  own_.pendingPrefillTokens -= std::min(own_.pendingPrefillTokens, pendingPrefillTokens);
 }
 
 void ServerLoad::onFleetReport(const Outstanding& fleet, Instant at) {
@@ -44,11 +44,11 @@
   return later == past_.end() ? own_ : later->second;
 }
 
-double ServerLoad::unreadTokens(Instant now) const {
-  const auto own = static_cast<double>(own_.unreadTokens);
+double ServerLoad::pendingPrefillTokens(Instant now) const {
+  const auto own = static_cast<double>(own_.pendingPrefillTokens);
   if (toldAt_ == Instant{} || now - toldAt_ > kToldSpan) return own;
-  const double then = static_cast<double>(ownAt(toldAt_).unreadTokens);
-  return std::max(own, static_cast<double>(told_.unreadTokens) + own - then);
+  const double then = static_cast<double>(ownAt(toldAt_).pendingPrefillTokens);
+  return std::max(own, static_cast<double>(told_.pendingPrefillTokens) + own - then);
 }
 
 }  // namespace quayrill
--- a/src/placement/server_load.h
+++ b/src/placement/server_load.h
@@ -12,18 +12,18 @@
 // Requests at a server, and the prompt tokens that it has still to read for them.
 struct Outstanding {
   std::uint32_t requests = 0;
-  std::uint64_t unreadTokens = 0;
+  std::uint64_t pendingPrefillTokens = 0;
   bool operator==(const Outstanding&) const = default;
 };
 
 class ServerLoad {
  public:
   // A request was placed, whose prompt has so many tokens to be read.
-  void onRequestPlaced(std::uint64_t unreadTokens, Instant now);
+  void onRequestPlaced(std::uint64_t pendingPrefillTokens, Instant now);
   // Its prompt was read; once for each request.
-  void onPrefillDone(std::uint64_t unreadTokens, Instant now);
-  // It ended. `unreadTokens`: what onPrefillDone did not take off.
-  void onRequestDone(std::uint64_t unreadTokens, Instant now);
+  void onPrefillDone(std::uint64_t pendingPrefillTokens, Instant now);
+  // It ended. `pendingPrefillTokens`: what onPrefillDone did not take off.
+  void onRequestDone(std::uint64_t pendingPrefillTokens, Instant now);
   // What all daemons together, this one too, had there at `at`.
   void onFleetReport(const Outstanding& fleet, Instant at);
 
@@ -32,7 +32,7 @@
   Outstanding ownAt(Instant at) const;
   // Tokens that the server has still to read: as the fleet told, while that is fresh, with what
   // changed here since; the own part at least.
-  double unreadTokens(Instant now) const;
+  double pendingPrefillTokens(Instant now) const;
 
  private:
   void keep(Instant now);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -30,7 +30,7 @@
                      result.detail + ", " + placed.reason;
   text += ", matched " + std::to_string(placed.matchedTokens) + "/" +
           std::to_string(placed.promptTokens);
-  text += ", waiting " + std::to_string(std::llround(chosen.unreadTokens)) + ", expected " +
+  text += ", waiting " + std::to_string(std::llround(chosen.pendingPrefillTokens)) + ", expected " +
           std::to_string(std::llround(chosen.expectedTokens)) + " of at least " +
           std::to_string(std::llround(placed.minExpectedTokens)) + " tokens";
   if (!placed.fetchFrom.value.empty()) text += ", from " + placed.fetchFrom.value;
--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -47,8 +47,9 @@
     return *placed;
   }
   // All daemons have so many tokens to be read at that server.
-  void tell(const ServerName& server, std::uint64_t unreadTokens, std::uint32_t requests = 1) {
-    placement.noteFleetLoad({{server, {requests, unreadTokens}}}, kNow);
+  void tell(const ServerName& server, std::uint64_t pendingPrefillTokens,
+            std::uint32_t requests = 1) {
+    placement.noteFleetLoad({{server, {requests, pendingPrefillTokens}}}, kNow);
   }
 };
 }  // namespace
@@ -74,7 +75,7 @@
   REQUIRE(again);
   std::uint64_t unread = 0;
   for (const ServerOutstanding& row : fleet.placement.ownOutstanding())
-    unread += row.outstanding.unreadTokens;
+    unread += row.outstanding.pendingPrefillTokens;
   CHECK(unread == 4096);
 }
 
--- a/tests/server_load_tests.cpp
+++ b/tests/server_load_tests.cpp
@@ -28,14 +28,14 @@
   now += 500ms;
   // All daemons' as of 300 ms ago, this one's 1000 among them.
   load.onFleetReport({9, 30000}, now - 300ms);
-  CHECK(load.unreadTokens(now) == 30000);
+  CHECK(load.pendingPrefillTokens(now) == 30000);
   load.onRequestPlaced(4000, now);
-  CHECK(load.unreadTokens(now) == 34000);
+  CHECK(load.pendingPrefillTokens(now) == 34000);
   load.onPrefillDone(1000, now);
-  CHECK(load.unreadTokens(now) == 33000);
+  CHECK(load.pendingPrefillTokens(now) == 33000);
   // The own part is certain.
   load.onFleetReport({0, 0}, now);
-  CHECK(load.unreadTokens(now) == 4000);
+  CHECK(load.pendingPrefillTokens(now) == 4000);
 }
 
 TEST_CASE("server load: what was told long ago counts no more") {
@@ -43,8 +43,8 @@
   const Instant now{10s};
   load.onRequestPlaced(700, now);
   load.onFleetReport({50, 90000}, now);
-  CHECK(load.unreadTokens(now + 1900ms) == 90000);
-  CHECK(load.unreadTokens(now + 2100ms) == 700);
+  CHECK(load.pendingPrefillTokens(now + 1900ms) == 90000);
+  CHECK(load.pendingPrefillTokens(now + 2100ms) == 700);
 }
 
 TEST_CASE("server load: what stood at an instant is kept for seconds, and boundedly") {
