--- a/src/placement/server_load.h
+++ b/src/placement/server_load.h
@@ -35,13 +35,14 @@
   double pendingPrefillTokens(Instant now) const;
 
  private:
-  void keep(Instant now);
+  void recordHistory(Instant now);
 
   Outstanding own_;
-  // own_ as it was until each instant, oldest first; no longer ago than kPast but for one entry.
-  std::deque<std::pair<Instant, Outstanding>> past_;
-  Outstanding told_;
-  Instant toldAt_{};
+  // own_ as it was until each instant, oldest first; no longer ago than kHistorySpan but for one
+  // entry.
+  std::deque<std::pair<Instant, Outstanding>> history_;
+  Outstanding fleet_;
+  Instant fleetAt_{};
 };
 
 }  // namespace quayrill
