--- a/src/placement/admission.h
+++ b/src/placement/admission.h
@@ -33,15 +33,16 @@
   }
 
  private:
-  struct Presence {
-    std::size_t inside = 0;
+  struct TenantActivity {
+    std::size_t active = 0;
     Instant lastEntered;
   };
-  // Each count is the number of requests inside; enter and leave come in pairs. inside_ is the sum
-  // over the tenants. A tenant has a row while it is inside or was seen within the last seconds.
-  std::map<TenantName, Presence> tenants_;
+  // Each count is the number of requests inside; enter and leave come in pairs. totalActive_ is the
+  // sum over the tenants. A tenant has a row while it is inside or was seen within the last
+  // seconds.
+  std::map<TenantName, TenantActivity> tenants_;
   std::map<PolicyName, std::size_t> policies_;
-  std::size_t inside_ = 0;
+  std::size_t totalActive_ = 0;
   static ServiceName serviceOf(const ModelName& model) { return ServiceName{model.value}; }
   // Over all daemons at most a fifth of the traffic in any ten seconds.
   RetryBudgets budgets_{0.2, std::chrono::seconds(10)};
