--- a/src/placement/retry_budget.cpp
+++ b/src/placement/retry_budget.cpp
@@ -9,9 +9,9 @@
 namespace {
 // A window that starts between a burst of traffic and the tries it paid for would see the tries
 // alone. Asking shorter windows too spaces the tries out with the traffic.
-constexpr int kDivisors[] = {1, 2, 5};
+constexpr int kWindowDivisors[] = {1, 2, 5};
 // Ours: how many times more daemons there may be than one of them knows of.
-constexpr double kUnknownDaemons = 2;
+constexpr double kUnseenDaemonFactor = 2;
 }  // namespace
 
 std::size_t RetryBudget::count(const std::deque<Instant>& times, Instant now, Span window) {
@@ -19,68 +19,68 @@
   return static_cast<std::size_t>(times.end() - first);
 }
 
-void RetryBudget::forget(Instant now) {
-  for (auto* times : {&firsts_, &extras_}) {
+void RetryBudget::dropExpired(Instant now) {
+  for (auto* times : {&requests_, &retries_}) {
     while (!times->empty() && times->front() <= now - window_) times->pop_front();
   }
 }
 
 void RetryBudget::countRequest(Instant now) {
-  forget(now);
-  firsts_.push_back(now);
+  dropExpired(now);
+  requests_.push_back(now);
 }
 
 bool RetryBudget::canTakeRetry(Instant now) const {
-  return std::all_of(std::begin(kDivisors), std::end(kDivisors), [&](int divisor) {
+  return std::all_of(std::begin(kWindowDivisors), std::end(kWindowDivisors), [&](int divisor) {
     const Span window = window_ / divisor;
     const double allowed =
-        share_ * static_cast<double>(count(firsts_, now, window)) + slack_ / divisor;
-    return static_cast<double>(count(extras_, now, window) + 1) <= allowed + 1e-9;
+        share_ * static_cast<double>(count(requests_, now, window)) + slack_ / divisor;
+    return static_cast<double>(count(retries_, now, window) + 1) <= allowed + 1e-9;
   });
 }
 
 bool RetryBudget::takeRetry(Instant now) {
-  forget(now);
+  dropExpired(now);
   if (!canTakeRetry(now)) return false;
-  extras_.push_back(now);
+  retries_.push_back(now);
   return true;
 }
 
-RetryBudget& RetryBudgets::rowOf(const ServiceName& service) {
-  return rows_.try_emplace(service, share_, slack_, window_).first->second;
+RetryBudget& RetryBudgets::budgetFor(const ServiceName& service) {
+  return budgets_.try_emplace(service, share_, slack_, window_).first->second;
 }
 
 void RetryBudgets::setSlack(double slack) {
   slack_ = slack;
-  for (auto& [service, row] : rows_) row.setSlack(slack);
+  for (auto& [service, budget] : budgets_) budget.setSlack(slack);
 }
 
 void RetryBudgets::countRequest(const ServiceName& service, Instant now) {
-  rowOf(service).countRequest(now);
+  budgetFor(service).countRequest(now);
 }
 
 bool RetryBudgets::canTakeRetry(const ServiceName& service, Instant now) const {
-  const auto row = rows_.find(service);
-  return row != rows_.end() && row->second.canTakeRetry(now);
+  const auto budget = budgets_.find(service);
+  return budget != budgets_.end() && budget->second.canTakeRetry(now);
 }
 
 bool RetryBudgets::takeRetry(const ServiceName& service, Instant now) {
-  return rowOf(service).takeRetry(now);
+  return budgetFor(service).takeRetry(now);
 }
 
 void RetryBudgets::removeIdle(Instant now) {
-  std::erase_if(rows_, [&](const auto& row) { return row.second.isIdle(now); });
+  std::erase_if(budgets_, [&](const auto& budget) { return budget.second.isIdle(now); });
 }
 
-void RetrySlack::note(std::size_t daemons, Instant now) {
-  if (daemons <= most_) return;
-  most_ = daemons;
-  grewAt_ = now;
+void RetrySlack::noteDaemons(std::size_t daemons, Instant now) {
+  if (daemons <= maxDaemons_) return;
+  maxDaemons_ = daemons;
+  lastGrowth_ = now;
 }
 
-double RetrySlack::of(double fleetSlack, Instant now) const {
-  if (most_ == 0 || now - grewAt_ < window_) return 0;
-  return fleetSlack / (kUnknownDaemons * static_cast<double>(most_));
+double RetrySlack::shareOf(double fleetSlack, Instant now) const {
+  if (maxDaemons_ == 0 || now - lastGrowth_ < window_) return 0;
+  return fleetSlack / (kUnseenDaemonFactor * static_cast<double>(maxDaemons_));
 }
 
 }  // namespace quayrill
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -32,18 +32,20 @@
   bool takeRetry(Instant now);
   void setSlack(double slack) { slack_ = slack; }
   // A whole window has passed over it.
-  bool isIdle(Instant now) const { return firsts(now, window_) + extras(now, window_) == 0; }
-  std::size_t firsts(Instant now, Span window) const { return count(firsts_, now, window); }
-  std::size_t extras(Instant now, Span window) const { return count(extras_, now, window); }
+  bool isIdle(Instant now) const {
+    return requestCount(now, window_) + retryCount(now, window_) == 0;
+  }
+  std::size_t requestCount(Instant now, Span window) const { return count(requests_, now, window); }
+  std::size_t retryCount(Instant now, Span window) const { return count(retries_, now, window); }
 
  private:
   static std::size_t count(const std::deque<Instant>& times, Instant now, Span window);
-  void forget(Instant now);
+  void dropExpired(Instant now);
   double share_;
   double slack_;
   Span window_;
   // Both rise and hold no more than the longest window.
-  std::deque<Instant> firsts_, extras_;
+  std::deque<Instant> requests_, retries_;
 };
 
 // One daemon's parts for all services.
@@ -59,14 +61,14 @@
   // Rows over which a whole window has passed with no request go: those that stay are of services
   // that the configuration named within it.
   void removeIdle(Instant now);
-  std::size_t rows() const { return rows_.size(); }
+  std::size_t serviceCount() const { return budgets_.size(); }
 
  private:
-  RetryBudget& rowOf(const ServiceName& service);
+  RetryBudget& budgetFor(const ServiceName& service);
   double share_;
   double slack_ = 0;
   Span window_;
-  std::map<ServiceName, RetryBudget> rows_;
+  std::map<ServiceName, RetryBudget> budgets_;
 };
 
 // One daemon's part of the slack. How many daemons there are is told nowhere; each knows the live
@@ -75,15 +77,15 @@
  public:
   explicit RetrySlack(Span window) : window_(window) {}
   // `daemons`: live ones that take requests, as far as is known now.
-  void note(std::size_t daemons, Instant now);
+  void noteDaemons(std::size_t daemons, Instant now);
   // 0 until the number has not grown for a window. Half of an even part then, by the largest number
   // ever known: the sum keeps the bound while each daemon knows half of the others or more.
-  double of(double fleetSlack, Instant now) const;
+  double shareOf(double fleetSlack, Instant now) const;
 
  private:
   Span window_;
-  std::size_t most_ = 0;
-  Instant grewAt_{};
+  std::size_t maxDaemons_ = 0;
+  Instant lastGrowth_{};
 };
 
 }  // namespace quayrill
