--- a/src/radix/radix_tree.cpp
+++ b/src/radix/radix_tree.cpp
@@ -28,8 +28,8 @@
 std::uint32_t RadixTree::lockCount(NodeHandle node) const { return at(node).lockCount; }
 
 NodeHandle RadixTree::parent(NodeHandle node) const {
-  const Node& chosenNode = at(node);
-  return chosenNode.parent == kNone ? root() : handle(chosenNode.parent);
+  const Node& found = at(node);
+  return found.parent == kNone ? root() : handle(found.parent);
 }
 
 std::vector<NodeHandle> RadixTree::children(NodeHandle node) const {
@@ -41,18 +41,18 @@
 
 std::vector<NodeHandle> RadixTree::lruOrder() const {
   std::vector<NodeHandle> order;
-  for (std::uint32_t i = head_; i != kNone; i = nodes_[i].next) order.push_back(handle(i));
+  for (std::uint32_t i = lruHead_; i != kNone; i = nodes_[i].next) order.push_back(handle(i));
   return order;
 }
 
-std::uint64_t RadixTree::firstHash(std::span<const Token> key) const {
+std::uint64_t RadixTree::firstBlockHash(std::span<const Token> key) const {
   std::uint64_t hash = 0;
   for (std::size_t i = 0; i < granule_; ++i) hash = mixHash(hash, key[i]);
   return hash;
 }
 
 std::uint32_t RadixTree::findChild(std::uint32_t node, std::span<const Token> key) const {
-  auto [first, last] = nodes_[node].children.equal_range(firstHash(key));
+  auto [first, last] = nodes_[node].children.equal_range(firstBlockHash(key));
   for (; first != last; ++first) {
     if (std::equal(key.begin(), key.begin() + granule_, nodes_[first->second].label.begin()))
       return first->second;
@@ -61,7 +61,7 @@
 }
 
 void RadixTree::unlinkChild(std::uint32_t parent, std::uint32_t child) {
-  auto [first, last] = nodes_[parent].children.equal_range(firstHash(nodes_[child].label));
+  auto [first, last] = nodes_[parent].children.equal_range(firstBlockHash(nodes_[child].label));
   for (; first != last; ++first) {
     if (first->second == child) {
       nodes_[parent].children.erase(first);
@@ -110,8 +110,8 @@
   upper.lockCount = lower.lockCount;
   upper.stamp = lower.stamp;
   lower.parent = middle;
-  upper.children.emplace(firstHash(lower.label), child);
-  nodes_[parent].children.emplace(firstHash(upper.label), middle);
+  upper.children.emplace(firstBlockHash(lower.label), child);
+  nodes_[parent].children.emplace(firstBlockHash(upper.label), middle);
   return middle;
 }
 
@@ -137,37 +137,37 @@
   --liveCount_;
 }
 
-void RadixTree::unlinkList(std::uint32_t index) {
+void RadixTree::removeFromLru(std::uint32_t index) {
   Node& node = nodes_[index];
-  if (!node.onList) return;
-  (node.prev == kNone ? head_ : nodes_[node.prev].next) = node.next;
-  (node.next == kNone ? tail_ : nodes_[node.next].prev) = node.prev;
+  if (!node.isInLru) return;
+  (node.prev == kNone ? lruHead_ : nodes_[node.prev].next) = node.next;
+  (node.next == kNone ? lruTail_ : nodes_[node.next].prev) = node.prev;
   node.prev = node.next = kNone;
-  node.onList = false;
+  node.isInLru = false;
 }
 
 // Puts the node on the list at its own stamp, or takes it off, as the list's invariant asks.
-void RadixTree::refreshList(std::uint32_t index) {
-  unlinkList(index);
+void RadixTree::updateLru(std::uint32_t index) {
+  removeFromLru(index);
   Node& node = nodes_[index];
   if (index == 0 || !node.live || node.lockCount > 0 || !node.children.empty()) return;
-  std::uint32_t after = tail_;
+  std::uint32_t after = lruTail_;
   while (after != kNone && nodes_[after].stamp > node.stamp) after = nodes_[after].prev;
   node.prev = after;
-  node.next = after == kNone ? head_ : nodes_[after].next;
-  (node.prev == kNone ? head_ : nodes_[node.prev].next) = index;
-  (node.next == kNone ? tail_ : nodes_[node.next].prev) = index;
-  node.onList = true;
+  node.next = after == kNone ? lruHead_ : nodes_[after].next;
+  (node.prev == kNone ? lruHead_ : nodes_[node.prev].next) = index;
+  (node.next == kNone ? lruTail_ : nodes_[node.next].prev) = index;
+  node.isInLru = true;
 }
 
 void RadixTree::touch(std::uint32_t index, std::uint64_t stamp) {
   nodes_[index].stamp = stamp;
-  refreshList(index);
+  updateLru(index);
 }
 
 std::uint32_t RadixTree::descend(std::span<const Token> key, std::size_t* tokens,
                                  std::vector<NodeHandle>* path) {
-  ++clock_;
+  ++lastStamp_;
   std::vector<std::uint32_t> walked;
   const Step step = walk(key, &walked);
   std::uint32_t last = step.node;
@@ -178,7 +178,7 @@
     walked.push_back(last);
   }
   for (std::uint32_t index : walked) {
-    touch(index, clock_);
+    touch(index, lastStamp_);
     if (path) path->push_back(handle(index));
   }
   return last;
@@ -210,9 +210,9 @@
     node.values.assign(values.begin() + storedRuns, values.end());
     node.parent = last;
     valueCount_ += node.values.size();
-    nodes_[last].children.emplace(firstHash(node.label), leaf);
-    refreshList(last);
-    touch(leaf, clock_);
+    nodes_[last].children.emplace(firstBlockHash(node.label), leaf);
+    updateLru(last);
+    touch(leaf, lastStamp_);
     last = leaf;
   }
   result.node = handle(last);
@@ -223,41 +223,41 @@
   at(node);
   for (std::uint32_t i = node.index; i != 0 && i != kNone; i = nodes_[i].parent) {
     ++nodes_[i].lockCount;
-    refreshList(i);
+    updateLru(i);
   }
 }
 
 void RadixTree::unlock(NodeHandle node) {
-  const Node& chosenNode = at(node);
+  const Node& found = at(node);
   if (node.index == 0) return;
-  if (chosenNode.lockCount == 0)
+  if (found.lockCount == 0)
     throw std::logic_error("unlock without a lock: release each stream's lock exactly once");
   for (std::uint32_t i = node.index; i != 0 && i != kNone; i = nodes_[i].parent) {
     --nodes_[i].lockCount;
-    refreshList(i);
+    updateLru(i);
   }
 }
 
 // Returns the parent, which is relisted at its own stamp when this was its last child.
 std::uint32_t RadixTree::removeLeaf(std::uint32_t index,
-                                    const std::function<void(BlockValue)>& onValue,
+                                    const std::function<void(BlockValue)>& onEvicted,
                                     std::size_t* freed) {
-  unlinkList(index);
+  removeFromLru(index);
   const std::uint32_t parent = nodes_[index].parent;
   unlinkChild(parent, index);
   for (BlockValue value : nodes_[index].values) {
-    if (onValue) onValue(value);
+    if (onEvicted) onEvicted(value);
   }
   *freed += nodes_[index].values.size();
   valueCount_ -= nodes_[index].values.size();
   release(index);
-  refreshList(parent);
+  updateLru(parent);
   return parent;
 }
 
-std::size_t RadixTree::evict(std::size_t count, const std::function<void(BlockValue)>& onValue) {
+std::size_t RadixTree::evict(std::size_t count, const std::function<void(BlockValue)>& onEvicted) {
   std::size_t freed = 0;
-  while (freed < count && head_ != kNone) removeLeaf(head_, onValue, &freed);
+  while (freed < count && lruHead_ != kNone) removeLeaf(lruHead_, onEvicted, &freed);
   return freed;
 }
 
@@ -273,7 +273,7 @@
   }
   std::size_t freed = 0;
   for (auto index = below.rbegin(); index != below.rend(); ++index) {
-    if (nodes_[*index].onList) removeLeaf(*index, nullptr, &freed);
+    if (nodes_[*index].isInLru) removeLeaf(*index, nullptr, &freed);
   }
   return freed;
 }
--- a/src/radix/radix_tree.h
+++ b/src/radix/radix_tree.h
@@ -55,7 +55,7 @@
   PrefixInsert insert(std::span<const Token> key, std::vector<BlockValue> values);
   void lock(NodeHandle node);
   void unlock(NodeHandle node);  // throws std::logic_error when not locked or stale
-  std::size_t evict(std::size_t count, const std::function<void(BlockValue)>& onValue);
+  std::size_t evict(std::size_t count, const std::function<void(BlockValue)>& onEvicted);
   // Drops the unlocked leaves at and below the node that ends `key`; locked paths stay.
   std::size_t prune(std::span<const Token> key);
 
@@ -63,7 +63,7 @@
   static constexpr std::uint32_t kNone = UINT32_MAX;
   // label.size() == values.size() * granule, and both are empty only in the root.
   // lockCount >= the sum of the children's lock counts.
-  // onList is true exactly for live, non-root, childless nodes with lockCount == 0; the list runs
+  // isInLru is true exactly for live, non-root, childless nodes with lockCount == 0; the list runs
   // from head (smallest stamp) to tail.
   struct Node {
     std::vector<Token> label;
@@ -72,7 +72,7 @@
     std::uint32_t parent = kNone, prev = kNone, next = kNone;
     std::uint32_t generation = 0, lockCount = 0;
     std::uint64_t stamp = 0;
-    bool live = false, onList = false;
+    bool live = false, isInLru = false;
   };
   struct Step {
     std::uint32_t node = 0;
@@ -83,26 +83,26 @@
 
   const Node& at(NodeHandle node) const;
   NodeHandle handle(std::uint32_t index) const { return {index, nodes_[index].generation}; }
-  std::uint64_t firstHash(std::span<const Token> key) const;
+  std::uint64_t firstBlockHash(std::span<const Token> key) const;
   std::uint32_t findChild(std::uint32_t node, std::span<const Token> key) const;
   void unlinkChild(std::uint32_t parent, std::uint32_t child);
   Step walk(std::span<const Token> key, std::vector<std::uint32_t>* path) const;
   std::uint32_t split(std::uint32_t child, std::size_t tokens);
   std::uint32_t allocate();
   void release(std::uint32_t index);
-  void refreshList(std::uint32_t index);
-  void unlinkList(std::uint32_t index);
+  void updateLru(std::uint32_t index);
+  void removeFromLru(std::uint32_t index);
   void touch(std::uint32_t index, std::uint64_t stamp);
   std::uint32_t descend(std::span<const Token> key, std::size_t* tokens,
                         std::vector<NodeHandle>* path);
-  std::uint32_t removeLeaf(std::uint32_t index, const std::function<void(BlockValue)>& onValue,
+  std::uint32_t removeLeaf(std::uint32_t index, const std::function<void(BlockValue)>& onEvicted,
                            std::size_t* freed);
 
   std::size_t granule_;
   std::vector<Node> nodes_;          // slot 0 is the root and is never freed
   std::vector<std::uint32_t> free_;  // slots that are not live
-  std::uint32_t head_ = kNone, tail_ = kNone;
-  std::uint64_t clock_ = 0;                     // rises by one on every match and insert
+  std::uint32_t lruHead_ = kNone, lruTail_ = kNone;
+  std::uint64_t lastStamp_ = 0;                 // rises by one on every match and insert
   std::size_t valueCount_ = 0, liveCount_ = 0;  // liveCount_ leaves the root out
 };
 
