--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -9,17 +9,17 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kConnectDue = 400ms;
+constexpr Span kConnectTimeout = 400ms;
 // Ours: a process that took longer than this between two steps with nothing awaited stood still.
-constexpr Span kStoodStill = 100ms;
+constexpr Span kStallThreshold = 100ms;
 }  // namespace
 
 void Relay::Attempt::arm(Instant deadline) {
   watch->deadline = deadline;
   const Instant now = BootClock::now();
-  const Instant until = watch->hasBegun ? Instant::max() : watch->mayBeginUntil();
+  const Instant until = watch->hasStarted ? Instant::max() : watch->startDeadline();
   Instant next = deadline;
-  if (!watch->hasBegun) next = std::min(next, now + kBeginningEvery);
+  if (!watch->hasStarted) next = std::min(next, now + kStartCheckInterval);
   if (until > now) next = std::min(next, until);
   timer.expires_after(std::max(next, now) - now);
   timer.async_wait([this, watch = watch](const ErrorCode& code) {
@@ -31,17 +31,17 @@
 // read before is handled first, and events that follow a head are waited for.
 void Relay::Attempt::onTimer() {
   const Instant now = BootClock::now();
-  watch->isOutdated = !watch->hasBegun && now >= watch->mayBeginUntil();
+  watch->isOutdated = !watch->hasStarted && now >= watch->startDeadline();
   if (!watch->isOutdated && now < watch->deadline) return arm(watch->deadline);
-  if (!watch->hasBegun) {
-    if (!std::exchange(watch->isPutOff, true))
+  if (!watch->hasStarted) {
+    if (!std::exchange(watch->isDeferred, true))
       return asio::post(timer.get_executor(), [this, watch = watch] {
         if (watch->socket) onTimer();
       });
-    watch->isPutOff = false;
+    watch->isDeferred = false;
     const bool isAlive =
-        watch->isAnswering(now) || (!watch->isOutdated && watch->deservesMore(now));
-    if (isAlive) return arm(std::min(watch->latest, now + kSignsOfLife));
+        watch->isReceiving(now) || (!watch->isOutdated && watch->deservesExtension(now));
+    if (isAlive) return arm(std::min(watch->hardDeadline, now + kActivityWindow));
   }
   watch->expired = true;
   ErrorCode ignored;
@@ -49,11 +49,11 @@
 }
 
 // Asked right before bytes of the request leave. "" lets them.
-std::string Relay::whyNot(const Caller& caller, const RelayRequest& job, const ServerState& server,
-                          Instant now) const {
+std::string Relay::reasonNotToSend(const Caller& caller, const RelayRequest& job,
+                                   const ServerState& server, Instant now) const {
   if (now >= job.deadline) return "the deadline passed";
-  if (caller.isGone) return "the caller left";
-  if (!mayRun(job, server)) return "no longer allowed at the point of use";
+  if (caller.isDisconnected) return "the caller left";
+  if (!isStillAllowed(job, server)) return "no longer allowed at the point of use";
   return "";
 }
 
@@ -73,9 +73,9 @@
                   asio::steady_timer(io_)};
   // Without an id nothing tells a late answer of another request from its own.
   if (!job.id.value.empty())
-    attempt.connection = pool_.acquireIdle(server.name, attempt.begun, job.id);
+    attempt.connection = pool_.acquireIdle(server.name, attempt.startedAt, job.id);
   if (!attempt.connection) {
-    const Span due = std::min<Span>(kConnectDue, job.deadline - attempt.begun);
+    const Span due = std::min<Span>(kConnectTimeout, job.deadline - attempt.startedAt);
     auto connected = co_await pool_.connect(server.name, due);
     if (!connected.ok()) {
       AttemptResult result{AttemptOutcome::NeverSent, std::string(connected.status().message())};
@@ -86,8 +86,9 @@
   }
   // Nothing is awaited from here until the first bytes have left.
   const Instant now = BootClock::now();
-  const std::string refused = whyNot(*caller, job, server, now);
-  if (caller->isGone) co_return AttemptResult{AttemptOutcome::CallerGone, "before it was sent"};
+  const std::string refused = reasonNotToSend(*caller, job, server, now);
+  if (caller->isDisconnected)
+    co_return AttemptResult{AttemptOutcome::CallerGone, "before it was sent"};
   if (!refused.empty()) co_return AttemptResult{AttemptOutcome::NeverSent, refused};
   if (asked.isRetry && !budgets_.takeRetry(server.service, now)) {
     AttemptResult result{AttemptOutcome::NeverSent, "the budget of extra tries is spent"};
@@ -97,12 +98,12 @@
 
   Tcp::socket& socket = attempt.connection->socket;
   attempt.watch->socket = &socket;
-  attempt.watch->signs = signsOf(server.name);
-  attempt.watch->begun = now;
-  attempt.watch->latest = job.deadline;
+  attempt.watch->lastActivity = lastActivityOf(server.name);
+  attempt.watch->startedAt = now;
+  attempt.watch->hardDeadline = job.deadline;
   // Only a stream shows when it begins.
   if (job.policy.isStream)
-    attempt.watch->mayBeginUntil = [this, &server] { return mayBeginUntil(server); };
+    attempt.watch->startDeadline = [this, &server] { return startDeadline(server); };
   caller->abortAttempt = [watch = attempt.watch] {
     ErrorCode ignored;
     if (watch->socket) watch->socket->close(ignored);
@@ -114,18 +115,18 @@
                          const bool isFirst = attempt.sentAt == Instant{};
                          attempt.sentAt = asking;
                          // The head names the time that was left at `now`.
-                         if (isFirst && asking - now >= kStoodStill) return false;
-                         return whyNot(*caller, job, server, asking).empty();
+                         if (isFirst && asking - now >= kStallThreshold) return false;
+                         return reasonNotToSend(*caller, job, server, asking).empty();
                        });
   sender.begin();
   AttemptResult result;
   if (sender.isUntouched() && sender.isEnded())
     result = {AttemptOutcome::NeverSent, "send: " + sender.code().message()};
-  else if (BootClock::now() - attempt.sentAt >= kStoodStill &&
-           !whyNot(*caller, job, server, BootClock::now()).empty())
+  else if (BootClock::now() - attempt.sentAt >= kStallThreshold &&
+           !reasonNotToSend(*caller, job, server, BootClock::now()).empty())
     result = {AttemptOutcome::Unknown, "stood still while it was sent"};
   else
-    result = co_await readAnswer(attempt);
+    result = co_await readResponse(attempt);
   if (!sender.isWhole()) {
     ErrorCode ignored;
     socket.close(ignored);
@@ -134,30 +135,30 @@
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
   caller->abortAttempt = nullptr;
-  if (result.end != AttemptOutcome::Done && caller->isGone)
+  if (result.end != AttemptOutcome::Done && caller->isDisconnected)
     co_return AttemptResult{AttemptOutcome::CallerGone, result.detail};
   if (attempt.watch->expired && result.end == AttemptOutcome::Unknown) {
     if (!attempt.watch->isOutdated) result.end = AttemptOutcome::Silent;
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
-  if (sender.isWhole()) keepConnection(attempt, result);
+  if (sender.isWhole()) returnConnection(attempt, result);
   co_return result;
 }
 
 // Gives the connection back if nothing but whole requests and whole answers, each by its id, went
 // over it.
-void Relay::keepConnection(Attempt& attempt, const AttemptResult& result) {
+void Relay::returnConnection(Attempt& attempt, const AttemptResult& result) {
   const auto& answered = attempt.parser;
   const bool whole = answered && answered->is_done() && answered->keep_alive() &&
                      (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::NotRun);
-  if (!whole || attempt.strays > 0 || attempt.job.id.value.empty()) return;
+  if (!whole || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
   std::optional<Span> keepFor;
   const auto named = parseNumbers(view(answered->get()["Keep-Alive"]));
   if (!named.empty()) keepFor = std::chrono::seconds(named.front());
   attempt.connection->lastRequest = attempt.job.id;
-  pool_.give(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
-             BootClock::now());
+  pool_.returnIdle(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
+                   BootClock::now());
 }
 
 }  // namespace quayrill
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -5,10 +5,10 @@
 namespace quayrill {
 
 // Ours: a server that sent something this lately is alive.
-inline constexpr Span kSignsOfLife = std::chrono::milliseconds(500);
+inline constexpr Span kActivityWindow = std::chrono::milliseconds(500);
 // Ours: how often it is asked until when a request that waits at a server may begin there. Newer
 // weights may be named while it waits.
-inline constexpr Span kBeginningEvery = std::chrono::seconds(1);
+inline constexpr Span kStartCheckInterval = std::chrono::seconds(1);
 
 struct Relay::Attempt {
   // Outlives the timer's handler; `socket` is null once the try has ended.
@@ -16,19 +16,21 @@
     Tcp::socket* socket = nullptr;
     Instant deadline = Instant::max();
     // Until the first event: a server that answered others since `begun` is given more time.
-    std::shared_ptr<Instant> signs;
-    Instant begun{}, latest{};
-    Instant headAt{};  // when the head of its own success was read: the first event is close behind
+    std::shared_ptr<Instant> lastActivity;
+    Instant startedAt{}, hardDeadline{};
+    Instant
+        headReadAt{};  // when the head of its own success was read: the first event is close behind
     // Until when the request may begin at the server.
-    std::function<Instant()> mayBeginUntil = [] { return Instant::max(); };
-    bool hasBegun = false, expired = false, isOutdated = false;
-    bool isPutOff = false;  // it was due, and what was read by then is looked at first
-    bool isAnswering(Instant now) const {
+    std::function<Instant()> startDeadline = [] { return Instant::max(); };
+    bool hasStarted = false, expired = false, isOutdated = false;
+    bool isDeferred = false;  // it was due, and what was read by then is looked at first
+    bool isReceiving(Instant now) const {
       ErrorCode ignored;
-      return now < latest && (now - headAt < kSignsOfLife || socket->available(ignored) > 0);
+      return now < hardDeadline &&
+             (now - headReadAt < kActivityWindow || socket->available(ignored) > 0);
     }
-    bool deservesMore(Instant now) const {
-      return now<latest&& * signs> begun && now - *signs < kSignsOfLife;
+    bool deservesExtension(Instant now) const {
+      return now<hardDeadline&& * lastActivity> startedAt && now - *lastActivity < kActivityWindow;
     }
   };
   const std::shared_ptr<Caller>& caller;
@@ -36,13 +38,13 @@
   const PlacementResult& placed;
   ResponseProgress* progress;
   bool keepAlive;
-  Instant begun;
+  Instant startedAt;
   std::unique_ptr<ServerConnection> connection;
   std::optional<http::response_parser<http::buffer_body>> parser;
   std::shared_ptr<Watch> watch = std::make_shared<Watch>();
   asio::steady_timer timer;
-  Instant sentAt{};  // right before the latest piece of the request left
-  int strays = 0;    // whole answers that were not the request's
+  Instant sentAt{};        // right before the latest piece of the request left
+  int strayResponses = 0;  // whole answers that were not the request's
 
   // Defined in attempt.cpp.
   void arm(Instant deadline);
--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -9,14 +9,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kWriteDue = 10s;
-constexpr Span kDrainSpan = 1s;                // ours: for a caller to see a refusal
-constexpr std::size_t kDrainLimit = 1 << 20;   // ours: of what it goes on sending meanwhile
-constexpr std::size_t kEarlyBlock = 4096;      // ours: read at once of a next request
-constexpr std::size_t kEarlyLimit = 64 << 10;  // ours: kept of one; a close behind more is not seen
-constexpr std::size_t kCallerLimit = 3000;
-constexpr std::size_t kMostIdle = 32;  // ours: connections kept for each server
-constexpr Span kIdleSpan = 4s;         // ours: how long, where the server names no time
+constexpr Span kWriteTimeout = 10s;
+constexpr Span kDrainTimeout = 1s;                // ours: for a caller to see a refusal
+constexpr std::size_t kDrainLimit = 1 << 20;      // ours: of what it goes on sending meanwhile
+constexpr std::size_t kPipelinedReadSize = 4096;  // ours: read at once of a next request
+constexpr std::size_t kMaxPipelinedBytes =
+    64 << 10;  // ours: kept of one; a close behind more is not seen
+constexpr std::size_t kMaxCallerConnections = 3000;
+constexpr std::size_t kMaxIdlePerServer = 32;  // ours: connections kept for each server
+constexpr Span kDefaultIdleTimeout = 4s;       // ours: how long, where the server names no time
 // Ours: prompts wait for each other's reading, so a few requests over the mean are many.
 constexpr double kSpreadRequests = 4, kSpreadFactor = 1.5;
 
@@ -33,12 +34,13 @@
 Relay::Relay(Settings settings, Dialect dialect)
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
-      names_(dialect_.relayNames.value()),
+      headerNames_(dialect_.relayNames.value()),
       callers_(io_),
       placement_(placementSettings(settings_)),
       budgets_(settings_.extraShare, settings_.extraWindow),
       slackShare_(settings_.extraWindow),
-      pool_(io_, settings_.mechanisms.has(Mechanism::KeptConnections) ? kMostIdle : 0, kIdleSpan) {}
+      pool_(io_, settings_.mechanisms.has(Mechanism::KeptConnections) ? kMaxIdlePerServer : 0,
+            kDefaultIdleTimeout) {}
 
 Relay::~Relay() {
   stop();
@@ -53,7 +55,7 @@
     readySettings.connectionLimit = 64;
     ready_ = std::make_unique<HttpServer>(
         io_, readySettings,
-        [this](Connection&, HttpRequest& request) { return handleOwn(request); });
+        [this](Connection&, HttpRequest& request) { return handleAdminRequest(request); });
     if (auto status = ready_->start(); !status.ok()) return status;
   }
   asio::co_spawn(io_, accept(callers_), asio::detached);
@@ -74,7 +76,7 @@
          now - view_->confirmedAt < settings_.freshLimit;
 }
 
-awaitable<std::optional<HttpResponse>> Relay::handleOwn(HttpRequest& request) {
+awaitable<std::optional<HttpResponse>> Relay::handleAdminRequest(HttpRequest& request) {
   const std::string path = pathOf(request);
   if (path == "/readyz") {
     const bool ready = isReady(BootClock::now());
@@ -105,11 +107,11 @@
       co_await pauseFor(10ms);  // out of descriptors: let some go
       continue;
     }
-    if (openCallers_ >= kCallerLimit) continue;  // closes it, unread
+    if (openCallers_ >= kMaxCallerConnections) continue;  // closes it, unread
     socket.set_option(Tcp::no_delay(true), code);
     auto caller = std::make_shared<Caller>(std::move(socket));
-    open_.remove_if([](const auto& weak) { return weak.expired(); });
-    open_.push_back(caller);
+    callerList_.remove_if([](const auto& weak) { return weak.expired(); });
+    callerList_.push_back(caller);
     asio::co_spawn(io_, serveCaller(std::move(caller)), asio::detached);
   }
 }
@@ -118,13 +120,13 @@
 // timer fires.
 void Relay::setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline) {
   caller->deadline = deadline;
-  if (caller->armedFor <= deadline) return;
-  caller->armedFor = deadline;
+  if (caller->timerSetFor <= deadline) return;
+  caller->timerSetFor = deadline;
   caller->timer.expires_after(deadline - BootClock::now());
   caller->timer.async_wait([this, weak = std::weak_ptr(caller)](const ErrorCode& code) {
     const auto timed = weak.lock();
     if (code || !timed) return;
-    timed->armedFor = Instant::max();
+    timed->timerSetFor = Instant::max();
     if (BootClock::now() < timed->deadline) {
       if (timed->deadline != Instant::max()) setDeadline(timed, timed->deadline);
       return;
@@ -139,25 +141,25 @@
 // for one. Bytes that come meanwhile are a next request: they are read, within a bound, since the
 // close behind them shows only then.
 void Relay::watch(const std::shared_ptr<Caller>& caller) {
-  if (caller->isWatched) return;
-  caller->isWatched = true;
+  if (caller->isDisconnectWatched) return;
+  caller->isDisconnectWatched = true;
   caller->socket.async_wait(
       Tcp::socket::wait_read,
       [this, alive = alive_, weak = std::weak_ptr(caller)](const ErrorCode& code) {
         const auto watched = weak.lock();
         if (!watched) return;
-        watched->isWatched = false;
+        watched->isDisconnectWatched = false;
         if (code || !watched->isAwaitingResponse || !*alive) return;
-        const auto room = watched->buffer.prepare(kEarlyBlock);
+        const auto room = watched->buffer.prepare(kPipelinedReadSize);
         const auto got =
             ::recv(watched->socket.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
         if (got > 0) watched->buffer.commit(static_cast<std::size_t>(got));
         const bool isThere = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
         if (isThere) {
-          if (watched->buffer.size() < kEarlyLimit) watch(watched);
+          if (watched->buffer.size() < kMaxPipelinedBytes) watch(watched);
           return;
         }
-        watched->isGone = true;
+        watched->isDisconnected = true;
         if (watched->abortAttempt && watched->mayAbort) watched->abortAttempt();
       });
 }
@@ -175,20 +177,20 @@
   ErrorCode code;
   caller->isIdle = true;
   caller->socket.shutdown(Tcp::socket::shutdown_send, code);
-  setDeadline(caller, BootClock::now() + kDrainSpan);
+  setDeadline(caller, BootClock::now() + kDrainTimeout);
   while (!code && left > 0) {
     const auto got = co_await caller->socket.async_read_some(asio::buffer(scrap), into(code));
     left -= std::min(left, got);
   }
 }
 
-awaitable<bool> Relay::answer(const std::shared_ptr<Caller>& caller, HttpResponse response,
-                              bool keepAlive) {
+awaitable<bool> Relay::sendResponse(const std::shared_ptr<Caller>& caller, HttpResponse response,
+                                    bool keepAlive) {
   response.version(11);
   response.keep_alive(keepsOpen(caller, keepAlive));
   response.prepare_payload();
   ErrorCode code;
-  setDeadline(caller, BootClock::now() + kWriteDue);
+  setDeadline(caller, BootClock::now() + kWriteTimeout);
   co_await http::async_write(caller->socket, response, into(code));
   co_return !code;
 }
@@ -211,7 +213,7 @@
   }
   caller->isIdle = false;
   caller->timedOut = false;
-  caller->requestBegun = BootClock::now();
+  caller->requestStartedAt = BootClock::now();
   const CallerLimits limits = limitsNow();
   http::request_parser<http::string_body> parser;
   parser.header_limit(static_cast<std::uint32_t>(limits.headerBytes));
@@ -219,7 +221,7 @@
   setDeadline(caller, BootClock::now() + limits.headerDue);
   co_await http::async_read_header(caller->socket, caller->buffer, parser, into(code));
   if (!code && !parser.is_done()) {
-    setDeadline(caller, bodyDeadline(parser.get(), caller->requestBegun));
+    setDeadline(caller, bodyDeadline(parser.get(), caller->requestStartedAt));
     if (parser.get()[http::field::expect] == "100-continue") {
       static const std::string kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
       co_await asio::async_write(caller->socket, asio::buffer(kContinue), into(code));
@@ -240,7 +242,7 @@
                       code == http::error::partial_message;
   if (!closed) {
     ++counters_.badInput;
-    co_await answer(caller, errorResponse(error), false);
+    co_await sendResponse(caller, errorResponse(error), false);
     co_await drain(caller);
   }
   co_return false;
@@ -262,7 +264,7 @@
     const bool whole = co_await readRequest(caller, &job.original);
     if (!whole) break;
     ++counters_.requests;
-    job.begun = caller->requestBegun;
+    job.startedAt = caller->requestStartedAt;
     const bool keepAlive = job.original.keep_alive();
     std::optional<HttpResponse> refusal = intake(job.original, &job);
     if (!refusal) {
@@ -272,14 +274,14 @@
       refusal = co_await run(caller, job, keepAlive);
       caller->isAwaitingResponse = false;
     }
-    if (caller->isGone || !caller->socket.is_open()) break;
+    if (caller->isDisconnected || !caller->socket.is_open()) break;
     if (refusal) {
-      const bool written = co_await answer(caller, std::move(*refusal), keepAlive);
+      const bool written = co_await sendResponse(caller, std::move(*refusal), keepAlive);
       if (!written) break;
     }
     caller->deadline = Instant::max();
     const bool hasMore = caller->buffer.size() > 0;
-    if (!caller->staysOpen || (refusing_ && !hasMore)) break;
+    if (!caller->staysOpen || (isRejecting_ && !hasMore)) break;
   }
   ErrorCode code;
   caller->timer.cancel();
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kMargin = 300ms;  // the other end counts from a little earlier
+constexpr Span kIdleMargin = 300ms;  // the other end counts from a little earlier
 constexpr int kUserTimeoutMs = 4000;
 
 // True while the other end has sent nothing and not closed.
@@ -63,18 +63,19 @@
   co_return connection;
 }
 
-void ConnectionPool::give(const ServerName& server, std::unique_ptr<ServerConnection> connection,
-                          std::optional<Span> keepFor, Instant now) {
-  const Span kept = keepFor ? *keepFor - kMargin : idleSpan_;
+void ConnectionPool::returnIdle(const ServerName& server,
+                                std::unique_ptr<ServerConnection> connection,
+                                std::optional<Span> keepFor, Instant now) {
+  const Span kept = keepFor ? *keepFor - kIdleMargin : idleSpan_;
   if (kept <= Span{} || connection->buffer.size() > 0) return;
   connection->usableUntil = now + kept;
-  ++connection->served;
+  ++connection->responsesRead;
   auto& row = idle_[server];
   row.push_back(std::move(connection));
   if (row.size() > mostIdle_) row.pop_front();
 }
 
-void ConnectionPool::sweep(Instant now) {
+void ConnectionPool::closeExpired(Instant now) {
   for (auto row = idle_.begin(); row != idle_.end();) {
     row->second.remove_if([&](const auto& connection) { return now >= connection->usableUntil; });
     row = row->second.empty() ? idle_.erase(row) : std::next(row);
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -16,9 +16,9 @@
   explicit ServerConnection(asio::io_context& io) : socket(io) {}
   Tcp::socket socket;
   beast::flat_buffer buffer;
-  std::size_t served = 0;  // answers read to their end on it
-  Instant usableUntil{};   // idle past this it may be closed at the other end
-  RequestId lastRequest;   // the one answered last; "" where it was none of a caller's
+  std::size_t responsesRead = 0;  // answers read to their end on it
+  Instant usableUntil{};          // idle past this it may be closed at the other end
+  RequestId lastRequest;          // the one answered last; "" where it was none of a caller's
 };
 
 class ConnectionPool {
@@ -36,11 +36,11 @@
   awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> connect(const ServerName& server,
                                                                        Span due);
   // `keepFor`: what the server said of idle connections; nothing where it said nothing.
-  void give(const ServerName& server, std::unique_ptr<ServerConnection> connection,
-            std::optional<Span> keepFor, Instant now);
+  void returnIdle(const ServerName& server, std::unique_ptr<ServerConnection> connection,
+                  std::optional<Span> keepFor, Instant now);
   // Closes what has been idle too long.
-  void sweep(Instant now);
-  void forget(const ServerName& server) { idle_.erase(server); }
+  void closeExpired(Instant now);
+  void dropIdle(const ServerName& server) { idle_.erase(server); }
   std::uint64_t opened() const { return opened_; }
 
  private:
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -12,10 +12,11 @@
 namespace {
 // A daemon that could not confirm its configuration for this long may lack a route or a key that is
 // there: it turns such requests away instead of denying them.
-constexpr Span kDenyLimit = 1s;
-constexpr Span kLastWords = 150ms;  // ours: beyond the deadline, for what servers sent until then
-constexpr Span kBodyDue = 30s;      // ours: where no route is known yet
-constexpr std::uint64_t kLongestDueMs = 600000;
+constexpr Span kMaxAgeToDeny = 1s;
+constexpr Span kFinalEventGrace =
+    150ms;  // ours: beyond the deadline, for what servers sent until then
+constexpr Span kDefaultBodyTimeout = 30s;  // ours: where no route is known yet
+constexpr std::uint64_t kMaxTimeoutMs = 600000;
 
 std::string headerOf(const http::request_header<>& request, const std::string& name) {
   const auto field = request.find(name);
@@ -30,28 +31,29 @@
 }
 }  // namespace
 
-Instant streamDeadline(const RelayRequest& job) { return job.deadline + kLastWords; }
+Instant streamDeadline(const RelayRequest& job) { return job.deadline + kFinalEventGrace; }
 
 // The route's time, or the caller's own where that is shorter.
-Span Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
+Span Relay::timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const {
   const Span due = policy.due;
-  const auto named = numberOf(headerOf(head, names_.dueMs));
+  const auto named = numberOf(headerOf(head, headerNames_.dueMs));
   if (!named) return due;
-  return std::min<Span>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
+  return std::min<Span>(due, std::chrono::milliseconds(std::min(*named, kMaxTimeoutMs)));
 }
 
 // A body that is not in by then is not worth waiting for.
-Instant Relay::bodyDeadline(const http::request_header<>& head, Instant begun) const {
+Instant Relay::bodyDeadline(const http::request_header<>& head, Instant startedAt) const {
   const auto configuration = view_->configuration;
   const std::string target(head.target());
   const Route* route = configuration ? findRoute(*configuration, headerOf(head, "Host"),
                                                  target.substr(0, target.find('?')))
                                      : nullptr;
-  if (!route) return begun + kBodyDue;
-  return begun + std::min(kBodyDue, dueOf(head, configuration->policies.at(route->policy)));
+  if (!route) return startedAt + kDefaultBodyTimeout;
+  return startedAt +
+         std::min(kDefaultBodyTimeout, timeoutFor(head, configuration->policies.at(route->policy)));
 }
 
-HttpResponse Relay::refuse(ErrorKind kind, const std::string& why, const std::string& id) {
+HttpResponse Relay::reject(ErrorKind kind, const std::string& why, const std::string& id) {
   HttpResponse response = errorResponse({kind, why});
   if (kind == ErrorKind::TurnedAway) {
     ++counters_.turnedAway;
@@ -59,25 +61,25 @@
     const auto tenths = 2 + random_() % 4;
     response.set(http::field::retry_after, "0." + std::to_string(tenths));
   }
-  if (!id.empty()) response.set(names_.requestId, id);
+  if (!id.empty()) response.set(headerNames_.requestId, id);
   return response;
 }
 
 std::optional<HttpResponse> Relay::intake(const HttpRequest& request, RelayRequest* job) {
-  const std::string id = headerOf(request, names_.requestId);
+  const std::string id = headerOf(request, headerNames_.requestId);
   job->id = RequestId{id};
-  if (refusing_) return refuse(ErrorKind::TurnedAway, "this daemon is leaving", id);
+  if (isRejecting_) return reject(ErrorKind::TurnedAway, "this daemon is leaving", id);
   const auto& seen = *view_;
   const Span unconfirmed = BootClock::now() - seen.confirmedAt;
   if (!seen.configuration || unconfirmed >= settings_.freshLimit) {
     ++counters_.unconfirmed;
-    return refuse(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now", id);
+    return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now", id);
   }
   const auto deny = [&](ErrorKind kind, const std::string& why) {
     ++counters_.badInput;
-    if (unconfirmed >= kDenyLimit)
-      return refuse(ErrorKind::TurnedAway, "the configuration is not confirmed: " + why, id);
-    return refuse(kind, why, id);
+    if (unconfirmed >= kMaxAgeToDeny)
+      return reject(ErrorKind::TurnedAway, "the configuration is not confirmed: " + why, id);
+    return reject(kind, why, id);
   };
   const Configuration& configuration = *seen.configuration;
   const std::string path = pathOf(request);
@@ -86,23 +88,23 @@
   job->needsKey = !route->isPublic && !configuration.tenants.empty();
   std::optional<unsigned> tenantPriority;
   if (job->needsKey) {
-    job->keyDigest = keyDigest(headerOf(request, names_.key));
+    job->keyDigest = keyDigest(headerOf(request, headerNames_.key));
     const auto owner = configuration.tenantOfDigest.find(job->keyDigest);
     if (owner == configuration.tenantOfDigest.end())
       return deny(ErrorKind::UnknownKey, "the key is of no tenant");
     job->tenant = owner->second;
     const Tenant& tenant = configuration.tenants.at(job->tenant);
     tenantPriority = tenant.priority;
-    if (tenant.isolated) job->wall = CacheSalt{job->tenant.value};
+    if (tenant.isolated) job->isolationSalt = CacheSalt{job->tenant.value};
   }
   job->policy = configuration.policies.at(route->policy);
   job->split = route->split;
   job->priority = tenantPriority.value_or(job->policy.priority);
-  job->deadline = job->begun + dueOf(request, job->policy);
-  job->model = ModelName{headerOf(request, names_.model)};
-  if (auto prefix = parsePrefix(headerOf(request, names_.prefix)); prefix.ok())
+  job->deadline = job->startedAt + timeoutFor(request, job->policy);
+  job->model = ModelName{headerOf(request, headerNames_.model)};
+  if (auto prefix = parsePrefix(headerOf(request, headerNames_.prefix)); prefix.ok())
     job->prefix = std::move(*prefix);
-  job->resumeAfter = numberOf(headerOf(request, names_.lastEventId)).value_or(0);
+  job->resumeAfter = numberOf(headerOf(request, headerNames_.lastEventId)).value_or(0);
   return std::nullopt;
 }
 
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -8,27 +8,28 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kRound = 1s;          // ours: each source is asked once in this time
-constexpr Span kStoreRound = 500ms;  // ours: requests wait at servers for a store that is down
-constexpr Span kEventsDue = 500ms;
-constexpr Span kLookEvery = 100ms;  // ours: for sources that are due
-constexpr Span kReportEvery = 100ms;
+constexpr Span kServerPollInterval = 1s;  // ours: each source is asked once in this time
+constexpr Span kStorePollInterval =
+    500ms;  // ours: requests wait at servers for a store that is down
+constexpr Span kFetchTimeout = 500ms;
+constexpr Span kCheckInterval = 100ms;  // ours: for sources that are due
+constexpr Span kReportInterval = 100ms;
 }  // namespace
 
-void Relay::applyDigest(PlaneDigest digest, Instant toldAt) {
-  asio::post(io_, [this, digest = std::move(digest), toldAt] {
+void Relay::applyDigest(PlaneDigest digest, Instant receivedAt) {
+  asio::post(io_, [this, digest = std::move(digest), receivedAt] {
     ++counters_.fleetDigests;
     if (settings_.mechanisms.has(Mechanism::SharedLoad)) {
       std::vector<ServerOutstanding> fleet;
       for (const OutstandingRow& row : digest.outstanding)
         fleet.push_back({row.server, {row.requests, row.unreadTokens}});
-      placement_.noteFleetLoad(fleet, toldAt - std::chrono::microseconds(digest.agoMicros));
+      placement_.noteFleetLoad(fleet, receivedAt - std::chrono::microseconds(digest.agoMicros));
     }
-    for (const PartEventBatch& batch : digest.batches) takeBatch(batch);
+    for (const PartEventBatch& batch : digest.batches) applyBatch(batch);
   });
 }
 
-void Relay::takeBatch(const PartEventBatch& batch) {
+void Relay::applyBatch(const PartEventBatch& batch) {
   if (isStore(batch.source)) placement_.setStoreReachable(batch.isReachable);
   // Without a life nothing was told but that the source is there.
   if (batch.isReachable && !batch.life.empty()) applyEvents(batch.source, fromBatch(batch));
@@ -49,13 +50,13 @@
 
 awaitable<void> Relay::reportLoop() {
   for (;;) {
-    co_await pauseFor(kReportEvery);
+    co_await pauseFor(kReportInterval);
     if (!reporter_) continue;
     PlaneReport report;
     for (const ServerOutstanding& row : placement_.ownOutstanding())
       report.outstanding.push_back(
           {row.server, row.outstanding.requests, row.outstanding.unreadTokens});
-    report.batches = std::exchange(readBatches_, {});
+    report.batches = std::exchange(unreportedBatches_, {});
     reporter_(std::move(report));
   }
 }
@@ -67,20 +68,20 @@
     const Instant now = BootClock::now();
     std::erase_if(dueAt, [&](const auto& row) { return !seen->eventSources.contains(row.first); });
     for (const ServerName& source : seen->eventSources) {
-      const Span round = isStore(source) ? kStoreRound : kRound;
+      const Span round = isStore(source) ? kStorePollInterval : kServerPollInterval;
       // Spread from the start, so that sources are asked one after the other.
       const auto [due, isNew] = dueAt.try_emplace(source, now + round * (random_() % 100) / 100);
       if (isNew || now < due->second) continue;
       due->second = now + round;
       asio::co_spawn(io_, pullEvents(source), asio::detached);
     }
-    co_await pauseFor(kLookEvery);
+    co_await pauseFor(kCheckInterval);
   }
 }
 
 awaitable<void> Relay::pullEvents(ServerName source) {
   const std::uint64_t since = placement_.eventPosition(source);
-  const auto body = co_await askEvents(source, since);
+  const auto body = co_await fetchEvents(source, since);
   PartEventBatch batch;
   batch.source = source;
   batch.isReachable = body.ok();
@@ -95,21 +96,21 @@
   if (isStore(source)) placement_.setStoreReachable(batch.isReachable);
   const bool isTold = isStore(source) || (batch.isReachable && !batch.groups.empty());
   const bool isShared = settings_.mechanisms.has(Mechanism::SharedEvents);
-  if (isTold && isShared && reporter_) readBatches_.push_back(std::move(batch));
+  if (isTold && isShared && reporter_) unreportedBatches_.push_back(std::move(batch));
 }
 
 // The body of a successful answer, "" where the source has none now; an error where it can't be
 // reached.
-awaitable<absl::StatusOr<std::string>> Relay::askEvents(ServerName source, std::uint64_t since) {
+awaitable<absl::StatusOr<std::string>> Relay::fetchEvents(ServerName source, std::uint64_t since) {
   auto connection = pool_.acquireIdle(source, BootClock::now());
   if (!connection) {
-    auto connected = co_await pool_.connect(source, kEventsDue);
+    auto connected = co_await pool_.connect(source, kFetchTimeout);
     if (!connected.ok()) co_return connected.status();
     connection = std::move(*connected);
   }
   auto open = std::make_shared<Tcp::socket*>(&connection->socket);
   asio::steady_timer timer(io_);
-  timer.expires_after(kEventsDue);
+  timer.expires_after(kFetchTimeout);
   timer.async_wait([open](const ErrorCode& code) {
     ErrorCode ignored;
     if (!code && *open) (*open)->close(ignored);
@@ -126,7 +127,7 @@
   if (code) co_return absl::UnavailableError("cache events: " + code.message());
   std::string body = parser.get().result_int() == 200 ? parser.get().body() : std::string{};
   if (parser.get().keep_alive())
-    pool_.give(source, std::move(connection), std::nullopt, BootClock::now());
+    pool_.returnIdle(source, std::move(connection), std::nullopt, BootClock::now());
   co_return body;
 }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -15,11 +15,11 @@
 namespace {
 // Ours: from a request's sending to its first token, as a rule. One that waits longer is ended when
 // its server's weights may be begun on no more.
-constexpr Span kBeginsWithin = 2s;
+constexpr Span kExpectedStartDelay = 2s;
 // Ours: from a server's first token until it is seen here, and from a close here until the server
 // knows of it.
-constexpr Span kBeginningSlack = 200ms;
-constexpr Span kSilentSlack = 400ms;  // ours: beyond the route's target for a first event
+constexpr Span kStartDeadlineMargin = 200ms;
+constexpr Span kFirstEventSlack = 400ms;  // ours: beyond the route's target for a first event
 }  // namespace
 
 // One try for operators: how it ended, and what was expected where it was placed.
@@ -43,10 +43,10 @@
   return kNames[static_cast<std::size_t>(end)];
 }
 
-void Relay::applySnapshot(Snapshot told, Instant askedAt) {
-  asio::post(io_, [this, told = std::move(told), askedAt] {
-    auto next =
-        std::make_shared<ProxyView>(nextView(*view_, told, askedAt, dialect_.readConfiguration));
+void Relay::applySnapshot(Snapshot told, Instant requestedAt) {
+  asio::post(io_, [this, told = std::move(told), requestedAt] {
+    auto next = std::make_shared<ProxyView>(
+        nextView(*view_, told, requestedAt, dialect_.readConfiguration));
     if (next->configurationVersion != view_->configurationVersion) {
       ++counters_.configurationChanges;
       const auto& stores = next->configuration->stores;
@@ -58,32 +58,33 @@
     // The platform's list tells no load; what answers show stays.
     for (ServerState& server : next->servers) server.polledAt = Instant{};
     view_ = std::move(next);
-    viewRows_.clear();
-    for (std::size_t i = 0; i < view_->servers.size(); ++i) viewRows_[view_->servers[i].name] = i;
+    serverRows_.clear();
+    for (std::size_t i = 0; i < view_->servers.size(); ++i) serverRows_[view_->servers[i].name] = i;
     placement_.setServers(view_->servers);
     const Instant now = BootClock::now();
-    pool_.sweep(now);
-    keepBudgets(told.proxies, now);
-    std::erase_if(signs_, [this](const auto& row) { return !viewRows_.contains(row.first); });
+    pool_.closeExpired(now);
+    updateRetryBudgets(told.proxies, now);
+    std::erase_if(lastActivity_,
+                  [this](const auto& row) { return !serverRows_.contains(row.first); });
   });
 }
 
-void Relay::keepBudgets(std::size_t daemons, Instant now) {
+void Relay::updateRetryBudgets(std::size_t daemons, Instant now) {
   slackShare_.note(daemons, now);
   budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.extraSlack), now));
   budgets_.removeIdle(now);
 }
 
-std::shared_ptr<Instant> Relay::signsOf(const ServerName& server) {
-  auto& signs = signs_[server];
-  if (!signs) signs = std::make_shared<Instant>();
-  return signs;
+std::shared_ptr<Instant> Relay::lastActivityOf(const ServerName& server) {
+  auto& lastActivity = lastActivity_[server];
+  if (!lastActivity) lastActivity = std::make_shared<Instant>();
+  return lastActivity;
 }
 
 // Asked right before a request's first byte leaves: what let it in must still stand.
-bool Relay::mayRun(const RelayRequest& job, const ServerState& server) const {
+bool Relay::isStillAllowed(const RelayRequest& job, const ServerState& server) const {
   const auto& seen = *view_;
-  if (ending_) return false;
+  if (isAborting_) return false;
   if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.freshLimit)
     return false;
   if (job.needsKey) {
@@ -91,27 +92,27 @@
     if (owner == seen.configuration->tenantOfDigest.end() || owner->second != job.tenant)
       return false;
   }
-  const auto row = viewRows_.find(server.name);
-  if (row == viewRows_.end()) return false;
+  const auto row = serverRows_.find(server.name);
+  if (row == serverRows_.end()) return false;
   const ServerState& now = seen.servers[row->second];
   return !now.leaving && now.identity == server.identity &&
-         mayBeginUntil(server) > BootClock::now();
+         startDeadline(server) > BootClock::now();
 }
 
 // By the weights that a request for that server asks for.
-Instant Relay::mayBeginUntil(const ServerState& server) const {
+Instant Relay::startDeadline(const ServerState& server) const {
   const Instant until = view_->usableUntil(server, settings_.rolloutDue);
-  return until == Instant::max() || until == Instant::min() ? until : until - kBeginningSlack;
+  return until == Instant::max() || until == Instant::min() ? until : until - kStartDeadlineMargin;
 }
 
 std::optional<PlacementResult> Relay::place(const RelayRequest& job,
                                             const std::set<ServerName>& tried) {
-  PlacementRequest asked{job.model, job.tenant, job.wall, job.prefix, tried};
+  PlacementRequest asked{job.model, job.tenant, job.isolationSalt, job.prefix, tried};
   std::vector<SplitShare> left = job.split;
   const Instant now = BootClock::now();
   // What is sent now may wait at the server before it begins.
   asked.isAllowed = [this, now](const ServerState& server) {
-    return mayBeginUntil(server) > now + kBeginsWithin;
+    return startDeadline(server) > now + kExpectedStartDelay;
   };
   while (!left.empty()) {
     std::uint64_t sum = 0;
@@ -127,7 +128,7 @@
   return std::nullopt;
 }
 
-void Relay::noteOutcome(const ServerState& server, const AttemptResult& result) {
+void Relay::applyOutcome(const ServerState& server, const AttemptResult& result) {
   const Instant now = BootClock::now();
   switch (result.end) {
     case AttemptOutcome::Done:
@@ -136,13 +137,13 @@
       break;
     case AttemptOutcome::Silent:
       placement_.noteFailure(server.name, now);
-      pool_.forget(server.name);
+      pool_.dropIdle(server.name);
       break;
     case AttemptOutcome::NeverSent:
       // Where a connection came up, what stopped the request was not the server.
       if (!result.isUnreachable) break;
       placement_.noteFailure(server.name, now);
-      pool_.forget(server.name);
+      pool_.dropIdle(server.name);
       break;
     case AttemptOutcome::NotRun:
     case AttemptOutcome::Unknown:
@@ -158,14 +159,15 @@
   if (job.resumeAfter > 0) progress.lastEventId = job.resumeAfter;
   // arrivals: sends that may have reached a server. mayHaveRun only rises: while it is false,
   // refusing the request is the truth.
-  std::size_t arrivals = 0, neverSent = 0;
+  std::size_t sentAttempts = 0, unsentAttempts = 0;
   bool mayHaveRun = false, isCountedInBudget = false;
-  std::string lastDetail = "no server is free", trail;
+  std::string lastDetail = "no server is free", attemptLog;
   std::optional<HttpResponse> failure;
-  AttemptOutcome lastEnd = AttemptOutcome::NeverSent;
-  const bool triesFurther = settings_.mechanisms.has(Mechanism::FurtherTries);
-  const std::size_t most = triesFurther ? std::max<std::size_t>(1, job.policy.tries) : 1;
-  while (BootClock::now() < job.deadline && neverSent < 4 && !caller->isGone && !ending_) {
+  AttemptOutcome lastOutcome = AttemptOutcome::NeverSent;
+  const bool mayRetry = settings_.mechanisms.has(Mechanism::FurtherTries);
+  const std::size_t maxServers = mayRetry ? std::max<std::size_t>(1, job.policy.tries) : 1;
+  while (BootClock::now() < job.deadline && unsentAttempts < 4 && !caller->isDisconnected &&
+         !isAborting_) {
     const auto placed = place(job, tried);
     if (!placed) break;
     const ServerState& server = placed->chosenServer;
@@ -174,37 +176,38 @@
       if (*alive) placement_.release(ticket, ran, BootClock::now());
     });
     // One that said what it lacked may be asked again; each other one counts.
-    if (sentTo.size() >= most && !sentTo.contains(server.name)) break;
+    if (sentTo.size() >= maxServers && !sentTo.contains(server.name)) break;
     Instant firstDeadline = job.deadline;
     const Instant now = BootClock::now();
     if (!isCountedInBudget) budgets_.countRequest(server.service, now);
     isCountedInBudget = true;
-    if (arrivals > 0 && !budgets_.canTakeRetry(server.service, now)) break;
-    if (job.policy.repeatable && sentTo.size() + 1 < most &&
+    if (sentAttempts > 0 && !budgets_.canTakeRetry(server.service, now)) break;
+    if (job.policy.repeatable && sentTo.size() + 1 < maxServers &&
         budgets_.canTakeRetry(server.service, now))
-      firstDeadline = std::min(firstDeadline, now + Span(job.policy.target) + kSilentSlack);
+      firstDeadline = std::min(firstDeadline, now + Span(job.policy.target) + kFirstEventSlack);
     ran = true;
-    AttemptResult result = co_await attempt(caller, job, *placed, &progress,
-                                            AttemptOptions{firstDeadline, keepAlive, arrivals > 0});
-    lastEnd = result.end;
+    AttemptResult result =
+        co_await attempt(caller, job, *placed, &progress,
+                         AttemptOptions{firstDeadline, keepAlive, sentAttempts > 0});
+    lastOutcome = result.end;
     lastDetail = result.detail;
     ran = result.end != AttemptOutcome::NeverSent && result.end != AttemptOutcome::NotRun;
-    noteOutcome(server, result);
+    applyOutcome(server, result);
     counters_.promptTokens += placed->promptTokens;
     counters_.matchedTokens += placed->matchedTokens;
-    trail += (trail.empty() ? "" : "; ") + describeAttempt(*placed, result);
+    attemptLog += (attemptLog.empty() ? "" : "; ") + describeAttempt(*placed, result);
     if (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::CallerGone) break;
     if (result.isRetryBudgetSpent) break;
     if (result.end == AttemptOutcome::NeverSent) {
-      ++neverSent;
+      ++unsentAttempts;
       tried.insert(server.name);
       continue;
     }
-    if (arrivals > 0) ++counters_.extraTries;
-    ++arrivals;
+    if (sentAttempts > 0) ++counters_.extraTries;
+    ++sentAttempts;
     sentTo.insert(server.name);
     if (result.end == AttemptOutcome::NotRun && result.retrySameServer) {
-      if (++neverSent >= 3) break;
+      if (++unsentAttempts >= 3) break;
       continue;  // the same server, by what it just said
     }
     tried.insert(server.name);
@@ -215,30 +218,30 @@
     const bool canGoOn = job.policy.isResumable && progress.canResume;
     if (progress.headSent && !canGoOn) break;
   }
-  if (lastEnd == AttemptOutcome::Done) {
+  if (lastOutcome == AttemptOutcome::Done) {
     ++counters_.done;
-    record(job, trail, "done");
+    recordDecision(job, attemptLog, "done");
     co_return std::nullopt;
   }
-  if (lastEnd == AttemptOutcome::CallerGone || caller->isGone) {
+  if (lastOutcome == AttemptOutcome::CallerGone || caller->isDisconnected) {
     ++counters_.callerGone;
-    caller->isGone = true;
-    record(job, trail, "caller gone");
+    caller->isDisconnected = true;
+    recordDecision(job, attemptLog, "caller gone");
     co_return std::nullopt;
   }
   if (progress.headSent) {  // nothing may follow but the close: a cut answer never looks complete
     ++counters_.cut;
     ErrorCode code;
     caller->socket.close(code);
-    record(job, trail, "cut");
+    recordDecision(job, attemptLog, "cut");
     co_return std::nullopt;
   }
   if (!mayHaveRun) {
-    record(job, trail, "refused");
-    co_return refuse(ErrorKind::TurnedAway, lastDetail, job.id.value);
+    recordDecision(job, attemptLog, "refused");
+    co_return reject(ErrorKind::TurnedAway, lastDetail, job.id.value);
   }
   ++counters_.unknown;
-  record(job, trail, "unknown");
+  recordDecision(job, attemptLog, "unknown");
   if (failure) co_return std::move(*failure);
   const bool late = BootClock::now() >= job.deadline;
   const ErrorKind kind =
@@ -246,14 +249,14 @@
           ? (late ? ErrorKind::DuePassedRepeatable : ErrorKind::OutcomeUnknownRepeatable)
           : (late ? ErrorKind::DuePassed : ErrorKind::OutcomeUnknown);
   HttpResponse response =
-      refuse(kind, "the request may have run (" + lastDetail + ")", job.id.value);
+      reject(kind, "the request may have run (" + lastDetail + ")", job.id.value);
   if (job.policy.repeatable) response.set(http::field::retry_after, "0.2");
   co_return response;
 }
 
-void Relay::record(const RelayRequest& job, const std::string& tries, const char* outcome) {
+void Relay::recordDecision(const RelayRequest& job, const std::string& tries, const char* outcome) {
   const auto took =
-      std::chrono::duration_cast<std::chrono::milliseconds>(BootClock::now() - job.begun);
+      std::chrono::duration_cast<std::chrono::milliseconds>(BootClock::now() - job.startedAt);
   decisions_.add(job.id.value, "{\"decision\":\"request\",\"request\":\"" + job.id.value +
                                    "\",\"tenant\":\"" + job.tenant.value + "\",\"outcome\":\"" +
                                    outcome + "\",\"took_ms\":" + std::to_string(took.count()) +
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -30,12 +30,12 @@
   bool needsKey = true;
   std::string keyDigest;
   TenantName tenant;
-  CacheSalt wall;  // "" where cache is shared
+  CacheSalt isolationSalt;  // "" where cache is shared
   ModelName model;
   PromptPrefix prefix;
-  std::uint64_t resumeAfter = 0;  // the caller's own last event
-  unsigned priority = 1;          // 0 is the most urgent
-  Instant begun{}, deadline{};    // from its first byte on
+  std::uint64_t resumeAfter = 0;    // the caller's own last event
+  unsigned priority = 1;            // 0 is the most urgent
+  Instant startedAt{}, deadline{};  // from its first byte on
   HttpRequest original;
 };
 
@@ -51,15 +51,15 @@
   asio::steady_timer timer;
   beast::flat_buffer buffer;
   // At `deadline` the timer cancels what waits on the socket. It is armed for no later than that.
-  Instant deadline = Instant::max(), armedFor = Instant::max();
+  Instant deadline = Instant::max(), timerSetFor = Instant::max();
   bool timedOut = false;
-  bool isIdle = true;      // nothing of a next request was read
-  Instant requestBegun{};  // when the first byte of the request now read or answered was there
-  bool isWatched = false;  // a wait for the caller's leaving is under way
-  bool staysOpen = true;   // after the answer under way
-  bool isAwaitingResponse = false;  // a whole request was read, and its answer is not out yet
-  bool isGone = false;              // it closed, or half-closed, while an answer was owed
-  bool mayAbort = false;            // the request owed is of no more use once the caller has left
+  bool isIdle = true;          // nothing of a next request was read
+  Instant requestStartedAt{};  // when the first byte of the request now read or answered was there
+  bool isDisconnectWatched = false;  // a wait for the caller's leaving is under way
+  bool staysOpen = true;             // after the answer under way
+  bool isAwaitingResponse = false;   // a whole request was read, and its answer is not out yet
+  bool isDisconnected = false;       // it closed, or half-closed, while an answer was owed
+  bool mayAbort = false;             // the request owed is of no more use once the caller has left
   std::function<void()> abortAttempt;  // while a server has the request: ends the connection to it
 };
 
@@ -107,9 +107,9 @@
   ~Relay();
   absl::Status start();
   // Called by the agent's thread, each time that something may have changed.
-  void applySnapshot(Snapshot told, Instant askedAt);
+  void applySnapshot(Snapshot told, Instant requestedAt);
   // What the fleet's data planes observe. Called by the agent's thread.
-  void applyDigest(PlaneDigest digest, Instant toldAt);
+  void applyDigest(PlaneDigest digest, Instant receivedAt);
   // Who tells the fleet what this data plane observes. Set it before start; called on the traffic
   // thread.
   using Reporter = std::function<void(PlaneReport)>;
@@ -125,56 +125,56 @@
   awaitable<void> accept(Tcp::acceptor& acceptor);
   awaitable<void> serveCaller(std::shared_ptr<Caller> caller);
   awaitable<bool> readRequest(const std::shared_ptr<Caller>& caller, HttpRequest* request);
-  awaitable<bool> answer(const std::shared_ptr<Caller>& caller, HttpResponse response,
-                         bool keepAlive);
+  awaitable<bool> sendResponse(const std::shared_ptr<Caller>& caller, HttpResponse response,
+                               bool keepAlive);
   void setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline);
   void watch(const std::shared_ptr<Caller>& caller);
   // Whether the connection outlasts this answer. Asked last when the answer's head is made.
   bool keepsOpen(const std::shared_ptr<Caller>& caller, bool keepAlive) const;
   awaitable<void> drain(const std::shared_ptr<Caller>& caller);
   bool isReady(Instant now) const;
-  awaitable<std::optional<HttpResponse>> handleOwn(HttpRequest& request);
+  awaitable<std::optional<HttpResponse>> handleAdminRequest(HttpRequest& request);
 
   // leaving.cpp
   awaitable<void> leave(LeaveSchedule schedule);
-  void closeIdle();
+  void closeIdleCallers();
   bool isBusy() const;
-  void endTries();
+  void abortAttempts();
 
   // intake.cpp
-  Span dueOf(const http::request_header<>& head, const RoutePolicy& policy) const;
-  Instant bodyDeadline(const http::request_header<>& head, Instant begun) const;
+  Span timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const;
+  Instant bodyDeadline(const http::request_header<>& head, Instant startedAt) const;
   std::optional<HttpResponse> intake(const HttpRequest& request, RelayRequest* job);
-  HttpResponse refuse(ErrorKind kind, const std::string& why, const std::string& id);
+  HttpResponse reject(ErrorKind kind, const std::string& why, const std::string& id);
 
   // relay.cpp: one request over its tries
   awaitable<std::optional<HttpResponse>> run(const std::shared_ptr<Caller>& caller,
                                              const RelayRequest& job, bool keepAlive);
-  void keepBudgets(std::size_t daemons, Instant now);
+  void updateRetryBudgets(std::size_t daemons, Instant now);
   std::optional<PlacementResult> place(const RelayRequest& job, const std::set<ServerName>& tried);
-  bool mayRun(const RelayRequest& job, const ServerState& server) const;
-  Instant mayBeginUntil(const ServerState& server) const;
-  void noteOutcome(const ServerState& server, const AttemptResult& result);
-  void record(const RelayRequest& job, const std::string& tries, const char* outcome);
+  bool isStillAllowed(const RelayRequest& job, const ServerState& server) const;
+  Instant startDeadline(const ServerState& server) const;
+  void applyOutcome(const ServerState& server, const AttemptResult& result);
+  void recordDecision(const RelayRequest& job, const std::string& tries, const char* outcome);
 
   // part_events.cpp: what servers and the store keep
   awaitable<void> eventLoop();
   awaitable<void> reportLoop();
   awaitable<void> pullEvents(ServerName source);
-  awaitable<absl::StatusOr<std::string>> askEvents(ServerName source, std::uint64_t since);
-  void takeBatch(const PartEventBatch& batch);
+  awaitable<absl::StatusOr<std::string>> fetchEvents(ServerName source, std::uint64_t since);
+  void applyBatch(const PartEventBatch& batch);
   void applyEvents(const ServerName& source, const PartEvents& told);
   bool isStore(const ServerName& source) const;
-  std::shared_ptr<Instant> signsOf(const ServerName& server);
+  std::shared_ptr<Instant> lastActivityOf(const ServerName& server);
 
   // attempt.cpp: one try at one server
   struct Attempt;
   awaitable<AttemptResult> attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
                                    const PlacementResult& placed, ResponseProgress* progress,
                                    const AttemptOptions& asked);
-  std::string whyNot(const Caller& caller, const RelayRequest& job, const ServerState& server,
-                     Instant now) const;
-  void keepConnection(Attempt& attempt, const AttemptResult& result);
+  std::string reasonNotToSend(const Caller& caller, const RelayRequest& job,
+                              const ServerState& server, Instant now) const;
+  void returnConnection(Attempt& attempt, const AttemptResult& result);
 
   // request_head.cpp
   std::string requestHead(const RelayRequest& job, const PlacementResult& placed, Instant now,
@@ -182,14 +182,14 @@
 
   // answer.cpp: what comes back
   awaitable<absl::StatusOr<std::string>> readBody(Attempt& attempt);
-  AttemptResult judgeNotRun(const Attempt& attempt, const http::response_header<>& head);
-  awaitable<AttemptResult> readAnswer(Attempt& attempt);
-  awaitable<AttemptResult> passEvents(Attempt& attempt);
-  void noteHead(const ServerState& server, const http::response_header<>& head);
+  AttemptResult handleNotRun(const Attempt& attempt, const http::response_header<>& head);
+  awaitable<AttemptResult> readResponse(Attempt& attempt);
+  awaitable<AttemptResult> forwardEvents(Attempt& attempt);
+  void applyResponseHeaders(const ServerState& server, const http::response_header<>& head);
 
   Settings settings_;
   Dialect dialect_;
-  const HeaderNames names_;
+  const HeaderNames headerNames_;
   asio::io_context io_{1};
   Tcp::acceptor callers_;
   std::unique_ptr<HttpServer> ready_;
@@ -198,18 +198,18 @@
   RetryBudgets budgets_;
   RetrySlack slackShare_;
   ConnectionPool pool_;
-  std::map<ServerName, std::size_t> viewRows_;  // row of each server in view_
-  std::list<std::weak_ptr<Caller>> open_;
+  std::map<ServerName, std::size_t> serverRows_;  // row of each server in view_
+  std::list<std::weak_ptr<Caller>> callerList_;
   // When each listed server last sent anything: one that answers others is slow, not silent.
-  std::map<ServerName, std::shared_ptr<Instant>> signs_;
+  std::map<ServerName, std::shared_ptr<Instant>> lastActivity_;
   Reporter reporter_;
-  std::vector<PartEventBatch> readBatches_;  // since the last report
+  std::vector<PartEventBatch> unreportedBatches_;  // since the last report
   Counters counters_;
   DecisionLog decisions_{5000};
   std::mt19937_64 random_{std::random_device{}()};
   std::atomic<std::size_t> openCallers_{0};
   std::atomic<bool> leaving_{false}, hasLeft_{false};
-  bool refusing_ = false, ending_ = false;  // by LeaveSchedule
+  bool isRejecting_ = false, isAborting_ = false;  // by LeaveSchedule
   // False once this is being destroyed: what coroutines let go of is gone then.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::thread thread_;
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -28,25 +28,29 @@
     if (isHopByHop(name) || (!named.empty() && named.find(name) != std::string::npos)) continue;
     bool isOurs = false;
     for (const std::string* own :
-         {&names_.key, &names_.tenant, &names_.identityWanted, &names_.weightsWanted, &names_.salt,
-          &names_.fetchSource, &names_.keepAt, &names_.urgency, &names_.dueMs, &names_.lastEventId})
+         {&headerNames_.key, &headerNames_.tenant, &headerNames_.identityWanted,
+          &headerNames_.weightsWanted, &headerNames_.salt, &headerNames_.fetchSource,
+          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.dueMs,
+          &headerNames_.lastEventId})
       isOurs = isOurs || isSameHeaderName(name, *own);
     if (!isOurs) addHeader(&head, name, view(field.value()));
   }
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, names_.dueMs, std::to_string(std::max<std::int64_t>(1, left.count())));
-  addHeader(&head, names_.identityWanted, server.identity.value);
-  if (!server.weights.value.empty()) addHeader(&head, names_.weightsWanted, server.weights.value);
-  if (job.needsKey) addHeader(&head, names_.tenant, job.tenant.value);
+  addHeader(&head, headerNames_.dueMs, std::to_string(std::max<std::int64_t>(1, left.count())));
+  addHeader(&head, headerNames_.identityWanted, server.identity.value);
+  if (!server.weights.value.empty())
+    addHeader(&head, headerNames_.weightsWanted, server.weights.value);
+  if (job.needsKey) addHeader(&head, headerNames_.tenant, job.tenant.value);
   // No two versions and no two walls share a salt, so no match and no fetch leads across: servers
   // and stores check neither.
-  addHeader(&head, names_.salt, scopedCacheSalt(server.weights, job.wall).value);
+  addHeader(&head, headerNames_.salt, scopedCacheSalt(server.weights, job.isolationSalt).value);
   if (settings_.mechanisms.has(Mechanism::Urgency))
-    addHeader(&head, names_.urgency, std::to_string(urgencyOf(job, placed)));
-  if (!placed.fetchFrom.value.empty()) addHeader(&head, names_.fetchSource, placed.fetchFrom.value);
-  if (!placed.keepAt.value.empty()) addHeader(&head, names_.keepAt, placed.keepAt.value);
+    addHeader(&head, headerNames_.urgency, std::to_string(urgencyOf(job, placed)));
+  if (!placed.fetchFrom.value.empty())
+    addHeader(&head, headerNames_.fetchSource, placed.fetchFrom.value);
+  if (!placed.keepAt.value.empty()) addHeader(&head, headerNames_.keepAt, placed.keepAt.value);
   if (progress.lastEventId)
-    addHeader(&head, names_.lastEventId, std::to_string(*progress.lastEventId));
+    addHeader(&head, headerNames_.lastEventId, std::to_string(*progress.lastEventId));
   const bool hasBody = !original.body().empty() || original.method() == http::verb::post ||
                        original.method() == http::verb::put ||
                        original.method() == http::verb::patch;
--- a/src/relay/response.cpp
+++ b/src/relay/response.cpp
@@ -10,11 +10,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kAnswerLimit = 16 << 20;
-constexpr std::size_t kEventLimit = 1 << 20;
-constexpr int kStrayAnswers = 16;  // ours: more that aren't the request's show a server out of step
+constexpr std::size_t kMaxResponseBytes = 16 << 20;
+constexpr std::size_t kMaxEventBytes = 1 << 20;
+constexpr int kMaxStrayResponses =
+    16;  // ours: more that aren't the request's show a server out of step
 
-std::string chunkOf(std::string_view bytes) {
+std::string encodeChunk(std::string_view bytes) {
   char size[24];
   const auto [end, error] = std::to_chars(size, size + sizeof size, bytes.size(), 16);
   (void)error;
@@ -23,11 +24,11 @@
 }
 }  // namespace
 
-void Relay::noteHead(const ServerState& server, const http::response_header<>& head) {
+void Relay::applyResponseHeaders(const ServerState& server, const http::response_header<>& head) {
   const Instant now = BootClock::now();
-  const auto load = parseNumbers(view(head[names_.load]));
+  const auto load = parseNumbers(view(head[headerNames_.load]));
   if (load.size() == 3) placement_.noteLoad(server.name, load[0], load[1], load[2], now);
-  const auto weights = parseNumbers(view(head[names_.weights]));
+  const auto weights = parseNumbers(view(head[headerNames_.weights]));
   if (!weights.empty())
     placement_.noteWeights(server.name, server.identity,
                            WeightsVersion{std::to_string(weights.back())});
@@ -47,19 +48,21 @@
     if (code == http::error::need_buffer) code = {};
     if (code) co_return absl::UnavailableError("answer: " + code.message());
     body.append(block, sizeof block - parser.get().body().size);
-    if (body.size() > kAnswerLimit) co_return absl::ResourceExhaustedError("an endless answer");
+    if (body.size() > kMaxResponseBytes)
+      co_return absl::ResourceExhaustedError("an endless answer");
   }
   co_return body;
 }
 
-AttemptResult Relay::judgeNotRun(const Attempt& attempt, const http::response_header<>& head) {
+AttemptResult Relay::handleNotRun(const Attempt& attempt, const http::response_header<>& head) {
   const ServerState& server = attempt.placed.chosenServer;
   const unsigned status = head.result_int();
   AttemptResult result{AttemptOutcome::NotRun, "the server answered " + std::to_string(status)};
   // Other weights than asked for, and it said which it has now: ask again for those.
-  const bool isSameServer = head.find(names_.identity) == head.end() ||
-                            view(head[names_.identity]) == server.identity.value;
-  result.retrySameServer = status == 421 && isSameServer && head.find(names_.weights) != head.end();
+  const bool isSameServer = head.find(headerNames_.identity) == head.end() ||
+                            view(head[headerNames_.identity]) == server.identity.value;
+  result.retrySameServer =
+      status == 421 && isSameServer && head.find(headerNames_.weights) != head.end();
   if (status == 421 && !isSameServer) placement_.noteFailure(server.name, BootClock::now());
   if (status != 421) placement_.noteRejection(server.name, BootClock::now());
   return result;
@@ -67,11 +70,11 @@
 
 // Answers to earlier requests may stand before this one's; their ids tell. What nobody can be told
 // to own is passed over as theirs.
-awaitable<AttemptResult> Relay::readAnswer(Attempt& attempt) {
+awaitable<AttemptResult> Relay::readResponse(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   beast::flat_buffer& buffer = attempt.connection->buffer;
   ErrorCode code;
-  for (int passed = 0; passed < kStrayAnswers; ++passed) {
+  for (int passed = 0; passed < kMaxStrayResponses; ++passed) {
     attempt.parser.emplace();
     auto& parser = *attempt.parser;
     parser.body_limit(std::numeric_limits<std::uint64_t>::max());
@@ -81,28 +84,28 @@
     const auto& head = parser.get();
     const unsigned status = head.result_int();
     if (status / 100 == 1) continue;
-    const bool isFirst = attempt.connection->served == 0 && attempt.strays == 0;
-    const ResponseOwner owner = responseOwner(head, names_, attempt.job.id, isFirst);
-    if (owner == ResponseOwner::Broken)
+    const bool isFirst = attempt.connection->responsesRead == 0 && attempt.strayResponses == 0;
+    const ResponseOwner owner = responseOwner(head, headerNames_, attempt.job.id, isFirst);
+    if (owner == ResponseOwner::Malformed)
       co_return AttemptResult{AttemptOutcome::Unknown, "answers run into one another"};
     const bool isOurs = owner == ResponseOwner::Request;
-    if (isOurs) noteHead(attempt.placed.chosenServer, head);
+    if (isOurs) applyResponseHeaders(attempt.placed.chosenServer, head);
     const bool isSuccess = status / 100 == 2;
-    const bool isSealed = names_.seal.empty() || head.find(names_.seal) != head.end();
+    const bool isSealed = headerNames_.seal.empty() || head.find(headerNames_.seal) != head.end();
     if (isOurs && isSuccess && !isSealed)
       co_return AttemptResult{AttemptOutcome::Unknown, "a success without a seal"};
     if (isOurs && isSuccess && attempt.job.policy.isStream) {
-      attempt.watch->headAt = BootClock::now();
-      co_return co_await passEvents(attempt);
+      attempt.watch->headReadAt = BootClock::now();
+      co_return co_await forwardEvents(attempt);
     }
     // Anything else is read whole before it is judged.
     auto body = co_await readBody(attempt);
     if (!body.ok())
       co_return AttemptResult{AttemptOutcome::Unknown, std::string(body.status().message())};
-    const bool isNotRun = owner != ResponseOwner::Somebody && reportsNotRun(head, names_);
-    if (isNotRun) co_return judgeNotRun(attempt, head);
+    const bool isNotRun = owner != ResponseOwner::Other && reportsNotRun(head, headerNames_);
+    if (isNotRun) co_return handleNotRun(attempt, head);
     if (!isOurs) {
-      ++attempt.strays;
+      ++attempt.strayResponses;
       if (!parser.keep_alive()) break;
       continue;
     }
@@ -114,7 +117,8 @@
     }
     response.body() = std::move(*body);
     if (isSuccess) {
-      const bool written = co_await answer(attempt.caller, std::move(response), attempt.keepAlive);
+      const bool written =
+          co_await sendResponse(attempt.caller, std::move(response), attempt.keepAlive);
       co_return AttemptResult{written ? AttemptOutcome::Done : AttemptOutcome::CallerGone, "whole"};
     }
     AttemptResult result{AttemptOutcome::Unknown, "the server answered " + std::to_string(status)};
@@ -125,7 +129,7 @@
   co_return AttemptResult{AttemptOutcome::Unknown, "answers of others only"};
 }
 
-awaitable<AttemptResult> Relay::passEvents(Attempt& attempt) {
+awaitable<AttemptResult> Relay::forwardEvents(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   auto& parser = *attempt.parser;
   ResponseProgress& progress = *attempt.progress;
@@ -140,12 +144,12 @@
     co_await http::async_read_some(socket, attempt.connection->buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
     // Once the connection was given up no first event goes out: the rest of the answer is lost.
-    if (attempt.watch->expired && !attempt.watch->hasBegun) code = asio::error::operation_aborted;
+    if (attempt.watch->expired && !attempt.watch->hasStarted) code = asio::error::operation_aborted;
     if (code) break;
-    *attempt.watch->signs = BootClock::now();
+    *attempt.watch->lastActivity = BootClock::now();
     const std::size_t got = sizeof block - parser.get().body().size;
     const EventBatch batch = splitter.take({block, got});
-    if (splitter.rest().size() > kEventLimit) break;
+    if (splitter.rest().size() > kMaxEventBytes) break;
     const bool isEnd = parser.is_done();
     // A server that ended within an event broke off, unless it framed that end itself.
     if (isEnd && hasNoLength && !splitter.rest().empty()) {
@@ -166,15 +170,15 @@
       addHeader(&bytes, "Transfer-Encoding", "chunked");
       if (!keepsOpen(attempt.caller, attempt.keepAlive)) addHeader(&bytes, "Connection", "close");
       bytes += "\r\n";
-      result.timeToFirstEvent = BootClock::now() - attempt.begun;
+      result.timeToFirstEvent = BootClock::now() - attempt.startedAt;
     }
-    if (!events.empty()) bytes += chunkOf(events);
+    if (!events.empty()) bytes += encodeChunk(events);
     if (isEnd) bytes += "0\r\n\r\n";
     progress.headSent = true;
-    if (!attempt.watch->hasBegun)
+    if (!attempt.watch->hasStarted)
       placement_.notePrefillDone(attempt.placed.ticket, BootClock::now());
     // From here on only the route's own deadline ends the answer.
-    attempt.watch->hasBegun = true;
+    attempt.watch->hasStarted = true;
     attempt.watch->deadline = streamDeadline(attempt.job);
     setDeadline(attempt.caller, streamDeadline(attempt.job));
     ErrorCode written;
--- a/src/relay/response_owner.cpp
+++ b/src/relay/response_owner.cpp
@@ -10,25 +10,27 @@
 
 std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
-bool holdsHead(beast::string_view text) { return view(text).find(kProtocol) != std::string::npos; }
+bool containsStatusLine(beast::string_view text) {
+  return view(text).find(kProtocol) != std::string::npos;
+}
 }  // namespace
 
 ResponseOwner responseOwner(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
                             bool isFirst) {
   const auto ids = head.count(names.requestId);
-  if (ids > 1 || isSpliced(head)) return ResponseOwner::Broken;
+  if (ids > 1 || isSpliced(head)) return ResponseOwner::Malformed;
   if (ids == 1) {
     const bool isOurs = !id.value.empty() && view(head[names.requestId]) == id.value;
-    return isOurs ? ResponseOwner::Request : ResponseOwner::Somebody;
+    return isOurs ? ResponseOwner::Request : ResponseOwner::Other;
   }
-  if (!isFirst) return ResponseOwner::Somebody;
-  return id.value.empty() ? ResponseOwner::Request : ResponseOwner::Unnamed;
+  if (!isFirst) return ResponseOwner::Other;
+  return id.value.empty() ? ResponseOwner::Request : ResponseOwner::Unidentified;
 }
 
 bool isSpliced(const ResponseHead& head) {
-  return holdsHead(head.reason()) || std::any_of(head.begin(), head.end(), [](const auto& field) {
-           return holdsHead(field.value());
-         });
+  return containsStatusLine(head.reason()) ||
+         std::any_of(head.begin(), head.end(),
+                     [](const auto& field) { return containsStatusLine(field.value()); });
 }
 
 bool promisesNotRun(unsigned status) {
--- a/src/relay/response_owner.h
+++ b/src/relay/response_owner.h
@@ -8,10 +8,10 @@
 using ResponseHead = http::response_header<>;
 
 enum class ResponseOwner {
-  Request,   // it bears the request's id, or answers one without an id on a fresh connection
-  Unnamed,   // without an id, but the first answer of a connection that carried nothing else
-  Somebody,  // another request's, or nobody can say whose
-  Broken,    // two heads run into one: the request's own answer may be in it, and can't be had
+  Request,       // it bears the request's id, or answers one without an id on a fresh connection
+  Unidentified,  // without an id, but the first answer of a connection that carried nothing else
+  Other,         // another request's, or nobody can say whose
+  Malformed,     // two heads run into one: the request's own answer may be in it, and can't be had
 };
 
 // `isFirst`: no other request went over the connection and no other answer came on it. An answer
