--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -31,7 +31,7 @@
 LeaveSchedule leaveSchedule(Instant signalAt, Span grace) {
   LeaveSchedule schedule;
   schedule.exitBy = signalAt + grace - std::min<Span>(kExitMargin, grace / 32);
-  schedule.endsAt = signalAt + grace - std::min<Span>(kAbortMargin, grace / 16);
+  schedule.abortAt = signalAt + grace - std::min<Span>(kAbortMargin, grace / 16);
   schedule.rejectFrom = signalAt + std::min<Span>(kHandoverPeriod, grace / 2);
   schedule.earliestExit = schedule.rejectFrom + std::min<Span>(kRejectPeriod, grace / 16);
   return schedule;
@@ -47,7 +47,7 @@
   isRejecting_ = true;
   closeIdleCallers();
   co_await pauseFor(schedule.earliestExit - BootClock::now());
-  while (isBusy() && BootClock::now() < schedule.endsAt) co_await pauseFor(kCheckInterval);
+  while (isBusy() && BootClock::now() < schedule.abortAt) co_await pauseFor(kCheckInterval);
   isAborting_ = true;
   abortAttempts();
   while (isBusy() && BootClock::now() < schedule.exitBy) co_await pauseFor(kCheckInterval);
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -9,7 +9,7 @@
 struct LeaveSchedule {
   Instant rejectFrom{};    // requests read later are refused unrun: they might not end in time
   Instant earliestExit{};  // not sooner, so that whoever still comes gets a refusal and no reset
-  Instant endsAt{};        // what still runs gets its final answer now
+  Instant abortAt{};       // what still runs gets its final answer now
   Instant exitBy{};        // whoever has not taken that answer by now never gets it
 };
 
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -35,14 +35,14 @@
   const LeaveSchedule of8 = leaveSchedule(signal, 8s);
   CHECK(of8.rejectFrom == signal + 3s);
   CHECK(of8.earliestExit == signal + 3500ms);
-  CHECK(of8.endsAt == signal + 7500ms);
+  CHECK(of8.abortAt == signal + 7500ms);
   CHECK(of8.exitBy == signal + 7750ms);
   for (Span grace = 10ms; grace <= 30s; grace += 10ms) {
     const LeaveSchedule schedule = leaveSchedule(signal, grace);
     CHECK(signal < schedule.rejectFrom);
     CHECK(schedule.rejectFrom <= schedule.earliestExit);
-    CHECK(schedule.earliestExit <= schedule.endsAt);
-    CHECK(schedule.endsAt < schedule.exitBy);
+    CHECK(schedule.earliestExit <= schedule.abortAt);
+    CHECK(schedule.abortAt < schedule.exitBy);
     CHECK(schedule.exitBy < signal + grace);
   }
 }
