--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -171,8 +171,8 @@
   }
 }
 
-std::vector<Placement::Option> Placement::usable(const std::vector<Option>& options,
-                                                 bool isOverShare, Instant now) const {
+std::vector<Placement::Option> Placement::filterUsable(const std::vector<Option>& options,
+                                                       bool isOverShare, Instant now) const {
   // A server with twice its slots waiting would only let the request age in its queue. The last
   // places of that queue are for tenants that hold no more than their share.
   std::vector<Option> left = options;
@@ -299,7 +299,7 @@
     estimatePrefill(options, sources, request.prefix, placed.promptTokens, now);
   }
   if (!comparesExpected()) markCapped(options);
-  const std::vector<Option> left = usable(options, request.isOverShare, now);
+  const std::vector<Option> left = filterUsable(options, request.isOverShare, now);
   if (left.empty()) return std::nullopt;
   const Option& chosen = choose(left, request.prefix, &placed.reason);
   placed.matchedTokens = chosen.candidate.matchedTokens;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -257,8 +257,8 @@
     return tokens - tokens % settings_.blockTokens;
   }
   // Those that are neither full nor, where others are left, in trouble.
-  std::vector<Option> usable(const std::vector<Option>& options, bool isOverShare,
-                             Instant now) const;
+  std::vector<Option> filterUsable(const std::vector<Option>& options, bool isOverShare,
+                                   Instant now) const;
   const Option& choose(const std::vector<Option>& usable, const PromptPrefix& prefix,
                        std::string* reason);
   const Option& chooseByExpectedPrefill(const std::vector<Option>& usable,
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -135,10 +135,10 @@
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
   caller->abortAttempt = nullptr;
-  if (result.end != AttemptOutcome::Done && caller->isDisconnected)
+  if (result.outcome != AttemptOutcome::Done && caller->isDisconnected)
     co_return AttemptResult{AttemptOutcome::CallerGone, result.detail};
-  if (attempt.watch->expired && result.end == AttemptOutcome::Unknown) {
-    if (!attempt.watch->isOutdated) result.end = AttemptOutcome::Silent;
+  if (attempt.watch->expired && result.outcome == AttemptOutcome::Unknown) {
+    if (!attempt.watch->isOutdated) result.outcome = AttemptOutcome::Silent;
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
@@ -150,8 +150,9 @@
 // over it.
 void Relay::returnConnection(Attempt& attempt, const AttemptResult& result) {
   const auto& answered = attempt.parser;
-  const bool whole = answered && answered->is_done() && answered->keep_alive() &&
-                     (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::NotRun);
+  const bool whole =
+      answered && answered->is_done() && answered->keep_alive() &&
+      (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::NotRun);
   if (!whole || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
   std::optional<Span> keepFor;
   const auto named = parseNumbers(view(answered->get()["Keep-Alive"]));
--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -38,7 +38,7 @@
       callers_(io_),
       placement_(placementSettings(settings_)),
       budgets_(settings_.extraShare, settings_.extraWindow),
-      slackShare_(settings_.extraWindow),
+      retrySlack_(settings_.extraWindow),
       pool_(io_, settings_.mechanisms.has(Mechanism::KeptConnections) ? kMaxIdlePerServer : 0,
             kDefaultIdleTimeout) {}
 
@@ -140,7 +140,7 @@
 // Sees a caller leave while its answer is being made. A half-close looks like a close and is taken
 // for one. Bytes that come meanwhile are a next request: they are read, within a bound, since the
 // close behind them shows only then.
-void Relay::watch(const std::shared_ptr<Caller>& caller) {
+void Relay::watchForDisconnect(const std::shared_ptr<Caller>& caller) {
   if (caller->isDisconnectWatched) return;
   caller->isDisconnectWatched = true;
   caller->socket.async_wait(
@@ -156,7 +156,7 @@
         if (got > 0) watched->buffer.commit(static_cast<std::size_t>(got));
         const bool isThere = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
         if (isThere) {
-          if (watched->buffer.size() < kMaxPipelinedBytes) watch(watched);
+          if (watched->buffer.size() < kMaxPipelinedBytes) watchForDisconnect(watched);
           return;
         }
         watched->isDisconnected = true;
@@ -270,7 +270,7 @@
     if (!refusal) {
       caller->isAwaitingResponse = true;
       caller->mayAbort = job.policy.repeatable || job.policy.isStream;
-      watch(caller);
+      watchForDisconnect(caller);
       refusal = co_await run(caller, job, keepAlive);
       caller->isAwaitingResponse = false;
     }
--- a/src/relay/part_event_batch.cpp
+++ b/src/relay/part_event_batch.cpp
@@ -15,7 +15,7 @@
 }
 
 PartEventBatch toBatch(const ServerName& source, const PartEvents& told) {
-  PartEventBatch batch{source, true, told.life, told.first, told.next, told.hasGap, {}};
+  PartEventBatch batch{source, true, told.incarnation, told.first, told.next, told.hasGap, {}};
   std::map<std::tuple<CacheSalt, ModelName>, PartEventGroup> groups;
   for (const PartEvent& event : told.events) {
     PartEventGroup& group = groups[{event.salt, event.model}];
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -55,7 +55,7 @@
     PlaneReport report;
     for (const ServerOutstanding& row : placement_.ownOutstanding())
       report.outstanding.push_back(
-          {row.server, row.outstanding.requests, row.outstanding.unreadTokens});
+          {row.server, row.outstanding.requests, row.outstanding.pendingPrefillTokens});
     report.batches = std::exchange(unreportedBatches_, {});
     reporter_(std::move(report));
   }
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -26,8 +26,8 @@
 std::string describeAttempt(const PlacementResult& placed, const AttemptResult& result) {
   const Candidate& chosen = placed.chosen;
   const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.timeToFirstEvent);
-  std::string text = placed.chosenServer.name.value + " " + attemptOutcomeName(result.end) + " " +
-                     result.detail + ", " + placed.reason;
+  std::string text = placed.chosenServer.name.value + " " + attemptOutcomeName(result.outcome) +
+                     " " + result.detail + ", " + placed.reason;
   text += ", matched " + std::to_string(placed.matchedTokens) + "/" +
           std::to_string(placed.promptTokens);
   text += ", waiting " + std::to_string(std::llround(chosen.pendingPrefillTokens)) + ", expected " +
@@ -37,10 +37,10 @@
   return text + ", first " + std::to_string(first.count()) + " ms";
 }
 
-const char* attemptOutcomeName(AttemptOutcome end) {
+const char* attemptOutcomeName(AttemptOutcome outcome) {
   static constexpr const char* kNames[] = {"never sent", "not run", "unknown",    "silent",
                                            "done",       "cut",     "caller gone"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
 void Relay::applySnapshot(Snapshot told, Instant requestedAt) {
@@ -70,8 +70,8 @@
 }
 
 void Relay::updateRetryBudgets(std::size_t daemons, Instant now) {
-  slackShare_.note(daemons, now);
-  budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.extraSlack), now));
+  retrySlack_.noteDaemons(daemons, now);
+  budgets_.setSlack(retrySlack_.shareOf(static_cast<double>(settings_.extraSlack), now));
   budgets_.removeIdle(now);
 }
 
@@ -130,10 +130,10 @@
 
 void Relay::applyOutcome(const ServerState& server, const AttemptResult& result) {
   const Instant now = BootClock::now();
-  switch (result.end) {
+  switch (result.outcome) {
     case AttemptOutcome::Done:
     case AttemptOutcome::CallerGone:
-      if (result.end == AttemptOutcome::Done) placement_.noteSuccess(server.name, now);
+      if (result.outcome == AttemptOutcome::Done) placement_.noteSuccess(server.name, now);
       break;
     case AttemptOutcome::Silent:
       placement_.noteFailure(server.name, now);
@@ -189,16 +189,17 @@
     AttemptResult result =
         co_await attempt(caller, job, *placed, &progress,
                          AttemptOptions{firstDeadline, keepAlive, sentAttempts > 0});
-    lastOutcome = result.end;
+    lastOutcome = result.outcome;
     lastDetail = result.detail;
-    ran = result.end != AttemptOutcome::NeverSent && result.end != AttemptOutcome::NotRun;
+    ran = result.outcome != AttemptOutcome::NeverSent && result.outcome != AttemptOutcome::NotRun;
     applyOutcome(server, result);
     counters_.promptTokens += placed->promptTokens;
     counters_.matchedTokens += placed->matchedTokens;
     attemptLog += (attemptLog.empty() ? "" : "; ") + describeAttempt(*placed, result);
-    if (result.end == AttemptOutcome::Done || result.end == AttemptOutcome::CallerGone) break;
+    if (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::CallerGone)
+      break;
     if (result.isRetryBudgetSpent) break;
-    if (result.end == AttemptOutcome::NeverSent) {
+    if (result.outcome == AttemptOutcome::NeverSent) {
       ++unsentAttempts;
       tried.insert(server.name);
       continue;
@@ -206,13 +207,13 @@
     if (sentAttempts > 0) ++counters_.extraTries;
     ++sentAttempts;
     sentTo.insert(server.name);
-    if (result.end == AttemptOutcome::NotRun && result.retrySameServer) {
+    if (result.outcome == AttemptOutcome::NotRun && result.retrySameServer) {
       if (++unsentAttempts >= 3) break;
       continue;  // the same server, by what it just said
     }
     tried.insert(server.name);
     failure = std::move(result.failure);
-    if (result.end == AttemptOutcome::NotRun) continue;
+    if (result.outcome == AttemptOutcome::NotRun) continue;
     mayHaveRun = true;
     if (!job.policy.repeatable) break;
     const bool canGoOn = job.policy.isResumable && progress.canResume;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -80,12 +80,12 @@
   Cut,        // events reached the caller, then the answer broke
   CallerGone,
 };
-const char* attemptOutcomeName(AttemptOutcome end);
+const char* attemptOutcomeName(AttemptOutcome outcome);
 struct AttemptResult;
 std::string describeAttempt(const PlacementResult& placed, const AttemptResult& result);
 
 struct AttemptResult {
-  AttemptOutcome end{};
+  AttemptOutcome outcome{};
   std::string detail;
   Span timeToFirstEvent{};                // to the first event
   std::optional<HttpResponse> failure{};  // the server's own failure, whole, for where it stands
@@ -128,7 +128,7 @@
   awaitable<bool> sendResponse(const std::shared_ptr<Caller>& caller, HttpResponse response,
                                bool keepAlive);
   void setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline);
-  void watch(const std::shared_ptr<Caller>& caller);
+  void watchForDisconnect(const std::shared_ptr<Caller>& caller);
   // Whether the connection outlasts this answer. Asked last when the answer's head is made.
   bool keepsOpen(const std::shared_ptr<Caller>& caller, bool keepAlive) const;
   awaitable<void> drain(const std::shared_ptr<Caller>& caller);
@@ -196,7 +196,7 @@
   std::shared_ptr<const ProxyView> view_ = std::make_shared<ProxyView>();
   Placement placement_;
   RetryBudgets budgets_;
-  RetrySlack slackShare_;
+  RetrySlack retrySlack_;
   ConnectionPool pool_;
   std::map<ServerName, std::size_t> serverRows_;  // row of each server in view_
   std::list<std::weak_ptr<Caller>> callerList_;
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -48,7 +48,7 @@
     addHeader(&head, headerNames_.urgency, std::to_string(urgencyOf(job, placed)));
   if (!placed.fetchFrom.value.empty())
     addHeader(&head, headerNames_.fetchSource, placed.fetchFrom.value);
-  if (!placed.keepAt.value.empty()) addHeader(&head, headerNames_.keepAt, placed.keepAt.value);
+  if (!placed.storeTo.value.empty()) addHeader(&head, headerNames_.keepAt, placed.storeTo.value);
   if (progress.lastEventId)
     addHeader(&head, headerNames_.lastEventId, std::to_string(*progress.lastEventId));
   const bool hasBody = !original.body().empty() || original.method() == http::verb::post ||
--- a/src/relay/response.cpp
+++ b/src/relay/response.cpp
@@ -190,12 +190,12 @@
     progress.canResume = splitter.canResume();
   }
   if (!code && parser.is_done()) {
-    result.end = AttemptOutcome::Done;
+    result.outcome = AttemptOutcome::Done;
     result.detail = std::to_string(progress.events) + " events";
     co_return result;
   }
   result.detail = code ? code.message() : "an endless event";
-  result.end = progress.headSent ? AttemptOutcome::Cut : AttemptOutcome::Unknown;
+  result.outcome = progress.headSent ? AttemptOutcome::Cut : AttemptOutcome::Unknown;
   co_return result;
 }
 
--- a/tests/retry_budget_tests.cpp
+++ b/tests/retry_budget_tests.cpp
@@ -83,9 +83,9 @@
 
 RetryBudgets budgetsOf(std::size_t known) {
   RetrySlack slack(kWindow);
-  slack.note(known, Instant{1s});
+  slack.noteDaemons(known, Instant{1s});
   RetryBudgets budgets(kShare, kWindow);
-  budgets.setSlack(slack.of(kSlack, Instant{1s} + kWindow));
+  budgets.setSlack(slack.shareOf(kSlack, Instant{1s} + kWindow));
   return budgets;
 }
 }  // namespace
@@ -127,18 +127,18 @@
 
 TEST_CASE("extra tries: the slack waits until the number of daemons is known") {
   RetrySlack slack(kWindow);
-  CHECK(slack.of(kSlack, Instant{100s}) == 0);
-  slack.note(0, Instant{100s});
-  CHECK(slack.of(kSlack, Instant{200s}) == 0);
-  slack.note(9, Instant{200s});
-  CHECK(slack.of(kSlack, Instant{209s}) == 0);
-  CHECK(slack.of(kSlack, Instant{210s}) == Approx(kSlack / 18));
+  CHECK(slack.shareOf(kSlack, Instant{100s}) == 0);
+  slack.noteDaemons(0, Instant{100s});
+  CHECK(slack.shareOf(kSlack, Instant{200s}) == 0);
+  slack.noteDaemons(9, Instant{200s});
+  CHECK(slack.shareOf(kSlack, Instant{209s}) == 0);
+  CHECK(slack.shareOf(kSlack, Instant{210s}) == Approx(kSlack / 18));
   // Fewer heard of, as behind a cut, are no reason to take more.
-  slack.note(1, Instant{220s});
-  CHECK(slack.of(kSlack, Instant{300s}) == Approx(kSlack / 18));
-  slack.note(10, Instant{300s});
-  CHECK(slack.of(kSlack, Instant{301s}) == 0);
-  CHECK(slack.of(kSlack, Instant{310s}) == Approx(kSlack / 20));
+  slack.noteDaemons(1, Instant{220s});
+  CHECK(slack.shareOf(kSlack, Instant{300s}) == Approx(kSlack / 18));
+  slack.noteDaemons(10, Instant{300s});
+  CHECK(slack.shareOf(kSlack, Instant{301s}) == 0);
+  CHECK(slack.shareOf(kSlack, Instant{310s}) == Approx(kSlack / 20));
 }
 
 TEST_CASE("extra tries: one service's requests pay for no other's, and idle rows go") {
@@ -154,6 +154,6 @@
     const Instant at = now + i * 1s;
     budgets.countRequest(ServiceName{"s" + std::to_string(i)}, at);
     budgets.removeIdle(at);
-    CHECK(budgets.rows() <= 13);
+    CHECK(budgets.serviceCount() <= 13);
   }
 }
