--- a/src/placement/admission.cpp
+++ b/src/placement/admission.cpp
@@ -5,7 +5,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Ours: a tenant keeps its claim to a share for this long after its last request.
+// How long after its last request a tenant still counts when shares are computed.
 constexpr Span kShareRetention = 5s;
 }  // namespace
 
--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -1,4 +1,4 @@
-// The choice of a server for one request, and of the source of what that server lacks.
+// Chooses the server for a request, and the source for the cache that this server lacks.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -10,44 +10,44 @@
 namespace quayrill {
 
 namespace {
-// Ours: a server over this much above the mean loses the pull of its match.
+// A server whose load exceeds the mean by this much is over the cap: its match does not count.
 constexpr double kSpreadMargin = 0.35;
-// Ours: loads from which on a server is over the spread rule's cap, whatever the mean.
+// A server with at least this load is over the cap, whatever the mean.
 constexpr double kOverCapLoad = 1.5;
-// Ours: a fetch costs a fixed part and a part per token; prefill costs per token.
+// Cost model: a fetch has a fixed cost and a cost per token; prefill has a cost per token.
 constexpr double kFetchFixedMicros = 8000, kFetchTokenMicros = 4, kPrefillTokenMicros = 25;
-// The same, in tokens that could be read meanwhile.
+// The cost of a fetch expressed in tokens of prefill.
 constexpr double kFetchFixedTokens = kFetchFixedMicros / kPrefillTokenMicros;
 constexpr double kFetchTokenShare = kFetchTokenMicros / kPrefillTokenMicros;
-// Ours: loads from which on a server is full; the first for tenants over their share.
+// A server is full from this load on. The first value applies to tenants over their share.
 constexpr double kFullLoadOverShare = 1.5, kFullLoad = 2.0;
-// Ours: loads within one step tie, and so do expected reads.
+// Loads within the same step are considered equal, and so are expected prefill tokens.
 constexpr double kLoadStep = 0.25, kExpectedTokensStep = 9000;
-// Ours: what is read for weights that are about to be replaced is read again soon.
+// Prefill for weights that are about to be replaced soon has to be repeated.
 constexpr double kOldWeightsPenalty = 0.5;
-// Ours: what a copy at a second server costs, in tokens, beside the time of its fetch: it takes the
-// room of another prompt's, which is then read again.
+// The cost of a copy at a second server, in tokens, in addition to the time of the fetch: it evicts
+// another prompt, which then needs prefill again.
 constexpr double kCopyCostTokens = 6000;
-// Ours: a request with as much to read waits for half of what waits.
+// A request with this many tokens to prefill waits for half of the pending prefill.
 constexpr double kUrgencyHalfTokens = 30000;
-// Ours: tokens that each slot's worth of requests beyond all slots counts for.
+// A queue as long as the number of slots counts as this many tokens.
 constexpr double kQueueCostTokens = 20000;
 
-// All daemons break a tie by the same name, so that one prefix gathers on one server fleet-wide.
-// The last part is a prompt's own.
+// The seed for breaking ties. It is the same on all daemons, so that a prefix gathers on one server
+// fleet-wide. Excludes the last part, which is specific to one prompt.
 std::uint64_t tieSeedOf(const PromptPrefix& prefix) {
-  std::uint64_t name = 1;
+  std::uint64_t seed = 1;
   const std::size_t shared =
       prefix.parts.size() > 1 ? prefix.parts.size() - 1 : prefix.parts.size();
-  for (std::size_t i = 0; i < shared; ++i) name = mixHash(name, stableHash(prefix.parts[i].id));
-  return name;
+  for (std::size_t i = 0; i < shared; ++i) seed = mixHash(seed, stableHash(prefix.parts[i].id));
+  return seed;
 }
 
 std::uint64_t tieRank(const ServerName& server, std::uint64_t tieSeed) {
   return mixHash(stableHash(server.value), tieSeed);
 }
 
-// The last part is a prompt's own, or its session's.
+// Excludes the last part, which is specific to one prompt or session.
 std::size_t sharedPrefixTokens(const PromptPrefix& prefix) {
   std::size_t tokens = 0;
   for (std::size_t i = 0; i + 1 < prefix.parts.size(); ++i) tokens += prefix.parts[i].tokens;
@@ -77,11 +77,12 @@
     if (!path) path = std::make_shared<const std::vector<Token>>(pathFor(number, blocks));
     options.push_back({&row, path, {name}});
   }
-  // The salts of this request are known by now.
+  // After the loop above, the namespaces of this request exist.
   applyPendingParts(request.prefix);
   for (Option& option : options) {
-    const std::size_t runs = option.row->tree.peekPrefix(*option.path);
-    option.candidate.matchedTokens = runs > 1 ? (runs - 1) * settings_.blockTokens : 0;
+    const std::size_t matchedBlocks = option.row->tree.peekPrefix(*option.path);
+    option.candidate.matchedTokens =
+        matchedBlocks > 1 ? (matchedBlocks - 1) * settings_.blockTokens : 0;
     option.candidate.load = currentLoad(*option.row);
   }
   return options;
@@ -117,72 +118,75 @@
   }
 }
 
-// The most of this prompt that is known to be kept, by weights, and the server where a prefix
-// gathers that nothing is known of: the same whichever weights it has, so that while weights
-// change, load moves to the newest as servers do.
+// Finds the longest known match by weights, and the home server of the prefix: the server that is
+// used when no match is known. The home does not depend on weights, so that during a rollout load
+// moves to the newest weights along with the servers.
 Placement::PromptHolders Placement::findHolders(const std::vector<Option>& options,
                                                 const PromptPrefix& prefix) const {
   const std::uint64_t tieSeed = tieSeedOf(prefix);
   const bool hasHome = has(Mechanism::PrefixHome) && !prefix.parts.empty();
-  PromptHolders sources;
+  PromptHolders holders;
   std::uint64_t highest = 0;
   for (const Option& option : options) {
-    std::size_t& most = sources.longestMatch[option.row->state.weights];
+    std::size_t& most = holders.longestMatch[option.row->state.weights];
     most = std::max(most, option.candidate.matchedTokens);
     const std::uint64_t tie = tieRank(option.candidate.server, tieSeed);
-    if (!hasHome || (sources.homeServer && tie <= highest)) continue;
+    if (!hasHome || (holders.homeServer && tie <= highest)) continue;
     highest = tie;
-    sources.homeServer = option.row;
+    holders.homeServer = option.row;
   }
-  return sources;
+  return holders;
 }
 
-// Tokens of the prompt that a server has to read, and what a fetch costs it, as far as can be
-// expected. Where nothing is known of a prefix, its home is taken to keep it: others placed it
-// there.
-double Placement::ownPrefillTokens(const Option& option, const PromptHolders& sources,
+// Estimates the tokens that a server has to prefill for this request, including the cost of a
+// fetch. If no match for the prefix is known, assumes that its home server has it cached, because
+// the other daemons place it there.
+double Placement::ownPrefillTokens(const Option& option, const PromptHolders& holders,
                                    double prompt, double shared) const {
   const auto matched = static_cast<double>(option.candidate.matchedTokens);
-  const auto cached = static_cast<double>(sources.longestMatch.at(option.row->state.weights));
+  const auto cached = static_cast<double>(holders.longestMatch.at(option.row->state.weights));
   double own = prompt - matched;
   if (has(Mechanism::PeerFetch))
     own = std::min(own, prompt - cached + kCopyCostTokens + kFetchTokenShare * (cached - matched));
   const bool isUnknown = cached < shared && matched < shared;
-  if (isUnknown && sources.homeServer == option.row) own = std::min(own, prompt - shared);
+  if (isUnknown && holders.homeServer == option.row) own = std::min(own, prompt - shared);
   return own;
 }
 
-// What is read before the first token of this request, on each server: what waits there, and what
-// of the prompt neither it keeps nor a peer can give.
-void Placement::estimatePrefill(std::vector<Option>& options, const PromptHolders& sources,
+// Estimates, for each server, the tokens to prefill before the first token of this request: those
+// already pending there, and those of this prompt that neither the server nor a peer has cached.
+void Placement::estimatePrefill(std::vector<Option>& options, const PromptHolders& holders,
                                 const PromptPrefix& prefix, std::size_t promptTokens,
                                 Instant now) const {
   const auto shared = static_cast<double>(wholeBlocks(sharedPrefixTokens(prefix)));
   for (Option& option : options) {
     Candidate& candidate = option.candidate;
-    double own = ownPrefillTokens(option, sources, static_cast<double>(promptTokens), shared);
+    double own = ownPrefillTokens(option, holders, static_cast<double>(promptTokens), shared);
     if (!candidate.isNewest && has(Mechanism::NewestFirst)) own *= 1 + kOldWeightsPenalty;
     candidate.pendingPrefillTokens = option.row->load.pendingPrefillTokens(now);
-    // The less there is to read, the more urgent the request: it passes most of what waits.
-    const double waited = has(Mechanism::Urgency)
-                              ? candidate.pendingPrefillTokens * own / (own + kUrgencyHalfTokens)
-                              : candidate.pendingPrefillTokens;
-    candidate.expectedTokens = waited + own + kQueueCostTokens * std::max(0.0, candidate.load - 1);
+    // Servers prefill short prompts first, so a request with few tokens to prefill overtakes most
+    // of the pending prefill.
+    const double pendingAhead =
+        has(Mechanism::Urgency) ? candidate.pendingPrefillTokens * own / (own + kUrgencyHalfTokens)
+                                : candidate.pendingPrefillTokens;
+    candidate.expectedTokens =
+        pendingAhead + own + kQueueCostTokens * std::max(0.0, candidate.load - 1);
   }
 }
 
 std::vector<Placement::Option> Placement::filterUsable(const std::vector<Option>& options,
                                                        bool isOverShare, Instant now) const {
-  // A server with twice its slots waiting would only let the request age in its queue. The last
-  // places of that queue are for tenants that hold no more than their share.
-  std::vector<Option> left = options;
+  // At a server with twice its slots in use or waiting, the request would only age in the queue.
+  // The last places of the queue are reserved for tenants within their share.
+  std::vector<Option> remaining = options;
   const double full = isOverShare ? kFullLoadOverShare : kFullLoad;
-  std::erase_if(left, [&](const Option& option) {
+  std::erase_if(remaining, [&](const Option& option) {
     return std::max(option.candidate.load, extrapolatedLoad(*option.row)) >= full;
   });
   const auto isAvoided = [&](const Option& option) { return now < option.row->avoidUntil; };
-  if (!std::all_of(left.begin(), left.end(), isAvoided)) std::erase_if(left, isAvoided);
-  return left;
+  if (!std::all_of(remaining.begin(), remaining.end(), isAvoided))
+    std::erase_if(remaining, isAvoided);
+  return remaining;
 }
 
 const Placement::Option& Placement::chooseByExpectedPrefill(const std::vector<Option>& usable,
@@ -216,13 +220,14 @@
   const auto rank = [&](const Candidate& candidate) {
     const std::size_t match = byMatch && !candidate.capped ? candidate.matchedTokens : 0;
     const double load = byMatch ? std::floor(candidate.load / kLoadStep) : candidate.load;
-    // Bounded: those over the cap come last, the least loaded of them first.
+    // With a spread bound, servers over the cap rank last, the least loaded of them first.
     const bool isBounded = settings_.spreadRequests > 0;
     const bool isUnder = isBounded && !candidate.capped;
-    const double shown = !isBounded ? load : isUnder ? 0 : candidate.load;
-    // What must be read anew is best read for the weights that stay.
+    const double rankedLoad = !isBounded ? load : isUnder ? 0 : candidate.load;
+    // If the prompt needs prefill anyway, prefer the weights that will stay.
     const bool isNewest = isBounded && candidate.isNewest && has(Mechanism::NewestFirst);
-    return std::make_tuple(isUnder, match, isNewest, -shown, tieRank(candidate.server, tieSeed));
+    return std::make_tuple(isUnder, match, isNewest, -rankedLoad,
+                           tieRank(candidate.server, tieSeed));
   };
   const Option& chosen =
       *std::max_element(usable.begin(), usable.end(), [&](const Option& left, const Option& right) {
@@ -233,22 +238,23 @@
   return chosen;
 }
 
-// A source must hold more, under the same weights; its salt is the request's by construction.
+// A source must have more of the prompt cached under the same weights. Its salt matches by
+// construction, because the path contains it.
 void Placement::chooseFetchSource(PlacementResult& placed, const Option& chosen,
                                   const std::vector<Option>& options, const ServerRow* homeServer,
                                   const PromptPrefix& prefix, Instant now) const {
   for (const Option& option : options) {
     if (!has(Mechanism::PeerFetch) || option.row == chosen.row) continue;
     if (option.row->state.weights != chosen.row->state.weights) continue;
-    const std::size_t cached = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
-    const std::size_t holds = option.candidate.matchedTokens;
-    if (holds > cached)
-      placed.source = FetchSource{option.candidate.server, option.row->state.identity, holds};
+    const std::size_t best = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
+    const std::size_t offered = option.candidate.matchedTokens;
+    if (offered > best)
+      placed.source = FetchSource{option.candidate.server, option.row->state.identity, offered};
   }
-  const bool isWorth =
+  const bool isWorthwhile =
       placed.source &&
       isWorthFetching(static_cast<double>(placed.source->matchedTokens - placed.matchedTokens));
-  if (!isWorth) placed.source.reset();
+  if (!isWorthwhile) placed.source.reset();
   placed.isFetchWorthwhile =
       isWorthFetching(static_cast<double>(placed.promptTokens - placed.matchedTokens));
   if (placed.source) {
@@ -256,18 +262,20 @@
     return;
   }
   const std::size_t shared = wholeBlocks(sharedPrefixTokens(prefix));
-  const bool isRead = placed.matchedTokens < shared;
-  // Where the other daemons placed this prefix, as far as nothing is known of it.
-  const bool isSource =
-      homeServer && isRead && has(Mechanism::HomeFetch) && homeServer != chosen.row &&
+  const bool needsPrefill = placed.matchedTokens < shared;
+  // If nothing else is known of this prefix, assumes that the other daemons placed it at its home
+  // server.
+  const bool usesHomeServer =
+      homeServer && needsPrefill && has(Mechanism::HomeFetch) && homeServer != chosen.row &&
       homeServer->state.weights == chosen.row->state.weights && now >= homeServer->avoidUntil;
-  if (isSource) placed.fetchFrom = Address{homeServer->state.name.value};
+  if (usesHomeServer) placed.fetchFrom = Address{homeServer->state.name.value};
   if (store_.value.empty() || !isStoreReachable_) return;
-  // What the estimate takes for held may have been evicted: a source that has no more costs next
-  // to nothing, reading the part again costs much. Shared parts that are to be read are kept.
-  if (!isSource && has(Mechanism::StoreFetch)) placed.fetchFrom = store_;
-  const std::size_t kept = storeRow_.tree.peekPrefix(*chosen.path);
-  if (isRead && kept < shared / settings_.blockTokens + 1 && has(Mechanism::StoreKeep))
+  // The estimate may count cache that has been evicted since. Asking a source that has no more
+  // costs almost nothing, while prefill costs much. Shared parts that need prefill are written to
+  // the store.
+  if (!usesHomeServer && has(Mechanism::StoreFetch)) placed.fetchFrom = store_;
+  const std::size_t stored = storeRow_.tree.peekPrefix(*chosen.path);
+  if (needsPrefill && stored < shared / settings_.blockTokens + 1 && has(Mechanism::StoreKeep))
     placed.storeTo = store_;
 }
 
@@ -293,15 +301,15 @@
   PlacementResult placed;
   placed.promptTokens = blocks.size() * settings_.blockTokens;
   markNewest(options);
-  PromptHolders sources;
+  PromptHolders holders;
   if (settings_.byExpectedPrefill) {
-    sources = findHolders(options, request.prefix);
-    estimatePrefill(options, sources, request.prefix, placed.promptTokens, now);
+    holders = findHolders(options, request.prefix);
+    estimatePrefill(options, holders, request.prefix, placed.promptTokens, now);
   }
   if (!comparesExpected()) markCapped(options);
-  const std::vector<Option> left = filterUsable(options, request.isOverShare, now);
-  if (left.empty()) return std::nullopt;
-  const Option& chosen = choose(left, request.prefix, &placed.reason);
+  const std::vector<Option> usable = filterUsable(options, request.isOverShare, now);
+  if (usable.empty()) return std::nullopt;
+  const Option& chosen = choose(usable, request.prefix, &placed.reason);
   placed.matchedTokens = chosen.candidate.matchedTokens;
   placed.chosenServer = chosen.row->state;
   placed.chosen = chosen.candidate;
@@ -310,9 +318,9 @@
     placed.candidates.push_back(option.candidate);
     placed.minExpectedTokens = std::min(placed.minExpectedTokens, option.candidate.expectedTokens);
   }
-  chooseFetchSource(placed, chosen, options, sources.homeServer, request.prefix, now);
-  const std::size_t given = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
-  placed.ticket = lockPath(chosen, placed.promptTokens - given, now);
+  chooseFetchSource(placed, chosen, options, holders.homeServer, request.prefix, now);
+  const std::size_t available = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
+  placed.ticket = lockPath(chosen, placed.promptTokens - available, now);
   return placed;
 }
 
--- a/src/placement/part_events.cpp
+++ b/src/placement/part_events.cpp
@@ -1,4 +1,4 @@
-// What servers and the store tell of single parts, laid over the trees.
+// Applies cache events of single parts, from servers and from the store, to the trees.
 #include <algorithm>
 
 #include "placement/placement.h"
@@ -6,9 +6,10 @@
 namespace quayrill {
 
 namespace {
+// Bounds partChains_.
 constexpr std::size_t kMaxPartChains = 50000;
 
-// The position behind which nothing is missing.
+// The position after which the batch is complete.
 std::uint64_t firstKnown(const PartEvents& batch) {
   if (batch.events.empty()) return batch.next;
   return batch.events.front().position == 0 ? batch.next : batch.events.front().position - 1;
@@ -36,9 +37,9 @@
   storeRow_.state.cacheTokens = cacheTokens;
 }
 
-void Placement::setStoreReachable(bool isUp) { isStoreReachable_ = isUp; }
+void Placement::setStoreReachable(bool isReachable) { isStoreReachable_ = isReachable; }
 
-// The last part is a prompt's own: nobody else's events are about it.
+// The last part is specific to one prompt, so no other request produces events about it.
 void Placement::recordPartChain(const PromptPrefix& prefix) {
   if (partChains_.size() > kMaxPartChains) partChains_.clear();
   std::vector<PromptPart> chain;
@@ -51,23 +52,24 @@
 bool Placement::applyPartEvent(ServerRow& row, const PartEvent& event) {
   const auto chain = partChains_.find(event.part);
   if (chain == partChains_.end()) return false;
-  const auto space = namespaces_.find(namespaceKey(event.model, event.salt));
-  if (space == namespaces_.end()) return false;
+  const auto known = namespaces_.find(namespaceKey(event.model, event.salt));
+  if (known == namespaces_.end()) return false;
   PromptPrefix prefix{chain->second};
   std::size_t before = 0;
   for (std::size_t i = 0; i + 1 < prefix.parts.size(); ++i) before += prefix.parts[i].tokens;
-  const std::size_t kept = (before + event.tokens) / settings_.blockTokens;
-  const std::vector<Token> whole =
-      pathFor(space->second.number, prefixBlocks(prefix, settings_.blockTokens));
+  const std::size_t keptBlocks = (before + event.tokens) / settings_.blockTokens;
+  const std::vector<Token> fullPath =
+      pathFor(known->second.number, prefixBlocks(prefix, settings_.blockTokens));
   if (event.isAdded) {
-    const std::size_t cached = row.tree.peekPrefix(whole);
-    const std::size_t to = std::min(whole.size(), kept + 1);
-    if (cached >= to || (before > 0 && cached < before / settings_.blockTokens + 1)) return true;
-    const std::vector<Token> path(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(to));
+    const std::size_t cached = row.tree.peekPrefix(fullPath);
+    const std::size_t end = std::min(fullPath.size(), keptBlocks + 1);
+    if (cached >= end || (before > 0 && cached < before / settings_.blockTokens + 1)) return true;
+    const std::vector<Token> path(fullPath.begin(),
+                                  fullPath.begin() + static_cast<std::ptrdiff_t>(end));
     row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
     enforceCapacity(row);
-  } else if (kept + 1 < whole.size()) {
-    row.tree.prune(std::span(whole).first(kept + 2));
+  } else if (keptBlocks + 1 < fullPath.size()) {
+    row.tree.prune(std::span(fullPath).first(keptBlocks + 2));
   }
   return true;
 }
@@ -93,7 +95,8 @@
   const bool isStore = server.value == store_.value;
   if (entry == servers_.end() && !isStore) return;
   ServerRow& row = isStore ? storeRow_ : entry->second;
-  // A source that is behind what was asked of it never told that position.
+  // A source whose position is behind the requested one never issued that position, so reading
+  // starts over. A new incarnation has lost its cache.
   if (row.eventIncarnation != batch.incarnation || batch.first > batch.next) {
     if (!row.eventIncarnation.empty()) {
       dropTree(row);
@@ -102,12 +105,13 @@
     row.eventIncarnation = batch.incarnation;
     row.eventPosition = 0;
   } else if (batch.next < row.eventPosition) {
-    return;  // of another reader, told late
+    return;  // from another reader, delivered late
   } else if (batch.hasGap && row.eventPosition < firstKnown(batch)) {
-    dropTree(row);  // what was dropped in between is not known
+    dropTree(row);  // the events in between, which may include drops, are lost
     ++gaps_;
   } else if (row.eventPosition < batch.first) {
-    ++gaps_;  // a batch was lost on its way; what it told of drops costs a read at most
+    ++gaps_;  // a batch was lost in transit; keeps the tree, as a missed drop costs one prefill at
+              // most
   }
   for (const PartEvent& event : batch.events) {
     if (event.position != 0 && event.position <= row.eventPosition) continue;
--- a/src/placement/pending_parts.h
+++ b/src/placement/pending_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-// Cache events name a part alone. Those of parts whose place in a prompt is not known yet wait here
-// until a request shows it.
+// Buffers cache events for prompt parts whose position within a prompt is not known yet. A cache
+// event names only the part itself, so it waits here until a request shows which parts precede it.
 #include <deque>
 #include <functional>
 #include <string>
@@ -11,29 +11,32 @@
 
 namespace quayrill {
 
+// The buffered events, by part. Bounded: drops the parts that were buffered first.
 class PendingParts {
  public:
+  // How much of one part a server or the store has cached.
   struct CachedPart {
     ServerName holder;
-    std::uint64_t treeGeneration = 0;  // of the holder's tree when it was told
+    std::uint64_t treeGeneration = 0;  // the generation of the holder's tree when the event arrived
     CacheSalt salt;
     ModelName model;
     std::uint32_t tokens = 0;
   };
   explicit PendingParts(std::size_t maxParts) : maxParts_(maxParts) {}
 
-  // What the holder keeps of the part now, in place of what it kept; 0 tokens: nothing.
+  // Records how much of the part the holder has cached now, replacing its earlier record. 0 tokens
+  // remove the record.
   void put(const std::string& part, CachedPart cached);
-  // Those of a part that `wanted` takes; they wait no longer.
+  // Removes and returns the records of a part that satisfy `wanted`.
   std::vector<CachedPart> take(const std::string& part,
                                const std::function<bool(const CachedPart&)>& wanted);
   std::size_t size() const { return cachedParts_.size(); }
 
  private:
   std::size_t maxParts_;
-  std::unordered_map<std::string, std::vector<CachedPart>> cachedParts_;  // no row is empty
-  // In the order in which the parts were first told; past the bound the oldest go. May name parts
-  // that are gone.
+  std::unordered_map<std::string, std::vector<CachedPart>> cachedParts_;  // no list is empty
+  // Parts in the order of their first record. Parts at the front are dropped beyond maxParts_. May
+  // contain parts that were removed already.
   std::deque<std::string> order_;
 };
 
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -7,12 +7,13 @@
 namespace quayrill {
 
 namespace {
-// Ours: salts (times models and weights) that one tenant's prompts are remembered under.
+// Bounds the namespaces (salts times models and weights) that are indexed for one tenant.
 constexpr std::size_t kMaxNamespacesPerTenant = 512;
+// Bounds the factor by which load changes on this daemon are extrapolated to all daemons.
 constexpr double kMaxDaemonRatio = 16;
-// Ours: answers told a load as long ago as this say nothing of it now.
+// A load reported by a response is out of date after this time.
 constexpr Span kHeaderLoadTtl = std::chrono::seconds(2);
-// Ours: how long others go before a server that failed once, and one that turned a request away.
+// How long other servers are preferred after a first failure, and after a rejected request.
 constexpr Span kFailureBackoff = std::chrono::milliseconds(800);
 constexpr Span kRejectionBackoff = std::chrono::milliseconds(250);
 
@@ -44,12 +45,12 @@
 }
 
 void Placement::removeNamespace(const std::string& name) {
-  const CacheNamespace row = namespaces_.at(name);
+  const CacheNamespace removed = namespaces_.at(name);
   namespaces_.erase(name);
-  if (--namespaceCounts_[row.tenant] == 0) namespaceCounts_.erase(row.tenant);
-  // What is locked stays until eviction; its number leads nobody there.
-  for (auto& [server, cached] : servers_) cached.tree.prune(std::span(&row.number, 1));
-  storeRow_.tree.prune(std::span(&row.number, 1));
+  if (--namespaceCounts_[removed.tenant] == 0) namespaceCounts_.erase(removed.tenant);
+  // Locked paths stay until they are evicted, but no request can reach them by this number.
+  for (auto& [server, row] : servers_) row.tree.prune(std::span(&removed.number, 1));
+  storeRow_.tree.prune(std::span(&removed.number, 1));
 }
 
 std::vector<Token> Placement::pathFor(Token number, const std::vector<Token>& blocks) const {
@@ -87,14 +88,14 @@
     }
     const ServerState before = row.state;
     row.state = server;
-    // A list may show weights later than an answer did; those of one life never fall.
+    // The list may be older than a response. Within one identity, weights versions never decrease.
     if (older) row.state.weights = before.weights;
     if (known && server.identity == before.identity && server.polledAt < before.polledAt) {
-      row.state.running = before.running;  // what its answers showed is newer
+      row.state.running = before.running;  // responses have reported newer values
       row.state.queued = before.queued;
       row.state.polledAt = before.polledAt;
     }
-    if (!server.healthy && known) {  // keep what it last said of itself
+    if (!server.healthy && known) {  // keep its last known state
       row.state.identity = before.identity;
       row.state.weights = before.weights;
       row.state.cacheTokens = before.cacheTokens;
@@ -103,7 +104,8 @@
   std::erase_if(servers_, [&](const auto& row) { return !listed.contains(row.first); });
 }
 
-// The poll counts what all daemons sent; what this one sent and saw end since is added to it.
+// The polled load covers the requests of all daemons. Adds what this daemon has sent, and subtracts
+// what it has seen complete, since the poll.
 double Placement::currentLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double own = row.load.own().requests;
@@ -111,8 +113,8 @@
   return std::max(polled + since, own) / std::max(1U, row.state.slots);
 }
 
-// The other daemons do as this one does, as far as it can know: what changed here since the poll is
-// taken for its share of what changed in all.
+// Extrapolates to other daemons, assuming that they behave like this one: divides the change on
+// this daemon since the poll by its share of the polled load.
 double Placement::extrapolatedLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double then = row.load.ownAt(row.state.polledAt).requests;
@@ -130,12 +132,12 @@
 }
 
 void Placement::noteFleetLoad(const std::vector<ServerOutstanding>& fleet, Instant at) {
-  std::map<ServerName, Outstanding> batch;
-  for (const ServerOutstanding& entry : fleet) batch[entry.server] = entry.outstanding;
+  std::map<ServerName, Outstanding> reported;
+  for (const ServerOutstanding& entry : fleet) reported[entry.server] = entry.outstanding;
   for (auto& [name, row] : servers_) {
-    const Outstanding& here = batch[name];
+    const Outstanding& here = reported[name];
     row.load.onFleetReport(here, at);
-    if (at - row.headerAt < kHeaderLoadTtl) continue;
+    if (at - row.loadReportedAt < kHeaderLoadTtl) continue;
     row.state.running = here.requests;
     row.state.queued = 0;
     row.state.polledAt = at;
@@ -180,7 +182,7 @@
   row->second.state.queued = queued;
   row->second.state.slots = std::max(1U, slots);
   row->second.state.polledAt = now;
-  row->second.headerAt = now;
+  row->second.loadReportedAt = now;
 }
 
 void Placement::noteWeights(const ServerName& server, const ServerIdentity& identity,
@@ -221,8 +223,8 @@
   if (entry == servers_.end() || entry->second.state.identity != identity) return;
   ServerRow& row = entry->second;
   if (next < row.eventPosition || first > row.eventPosition) {
-    // Events are missing: what was dropped in the gap is unknown, so the estimate starts anew.
-    // The very first pull of a server has nothing to miss.
+    // Events are missing, so it is unknown what was dropped: discard the estimate. The first read
+    // of a server cannot have a gap.
     if (row.eventPosition != 0) {
       dropTree(row);
       ++gaps_;
--- a/src/placement/retry_budget.cpp
+++ b/src/placement/retry_budget.cpp
@@ -7,10 +7,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A window that starts between a burst of traffic and the tries it paid for would see the tries
-// alone. Asking shorter windows too spaces the tries out with the traffic.
+// A window that starts between a burst of requests and the retries that the burst paid for contains
+// the retries alone. Checking shorter windows as well spreads the retries over the traffic.
 constexpr int kWindowDivisors[] = {1, 2, 5};
-// Ours: how many times more daemons there may be than one of them knows of.
+// There may be up to this many times more daemons than a single one knows of.
 constexpr double kUnseenDaemonFactor = 2;
 }  // namespace
 
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -1,14 +1,16 @@
 #pragma once
-// The budget for extra tries. The bound is per service and over all daemons together: in every
-// sliding window no more extra tries than `share` of the requests, plus a slack. Each daemon keeps
-// its part by what it sees alone.
+// Limits retries to a share of the requests. The limit holds per service and over all daemons
+// together: in every sliding window, at most `share` of the requests may be retried, plus a fixed
+// slack. Each daemon enforces its part from what it observes alone, without communication.
 //
-// Why the parts keep the whole: let W be a window of length T and t the last extra try of a daemon
-// in W. What it took in W it took in (t - T, t], so it is at most own share * own requests in
-// (t - T, t] + own slack. That span lies in W and the window before it, each request is one
-// daemon's, and so the sum is at most own share * (requests in W + requests in the window before) +
-// the sum of the slacks: with half of `share` as each one's own, at most share * the larger of the
-// two. Nothing is assumed of how the traffic is spread, or moves.
+// Why the local limits imply the global one: let W be a window of length T, and t the time of a
+// daemon's last retry in W. All retries of that daemon in W lie in (t - T, t], so their number is
+// at most local share * its own requests in (t - T, t] + local slack. That span lies within W and
+// the window before it, and each request belongs to one daemon. The sum over the daemons is
+// therefore at most local share * (requests in W + requests in the window before) + the sum of the
+// slacks. If each daemon uses half of `share` as its local share, this is at most share * the
+// larger of the two request counts, plus the slacks. Nothing is assumed about how traffic is spread
+// over the daemons, or how it moves between them.
 #include <deque>
 #include <map>
 
@@ -17,21 +19,21 @@
 
 namespace quayrill {
 
-// One daemon's part for one service.
+// The retry budget of one service on one daemon.
 class RetryBudget {
  public:
-  // At most share * requests + slack extra tries in the window, and as much in proportion in a half
-  // and a fifth of it.
+  // Allows at most share * requests + slack retries within the window. The same limit, scaled down,
+  // holds for a half and a fifth of the window.
   explicit RetryBudget(double share = 1.0 / 7, double slack = 0,
                        Span window = std::chrono::seconds(10))
       : share_(share), slack_(slack), window_(window) {}
-  // Once for each request, however often it is sent.
+  // Call once per request, however often the request is sent.
   void countRequest(Instant now);
   bool canTakeRetry(Instant now) const;
-  // Takes one extra try if every trailing window can bear it. Empty at start.
+  // Takes one retry if all trailing windows allow it. The budget is empty at start.
   bool takeRetry(Instant now);
   void setSlack(double slack) { slack_ = slack; }
-  // A whole window has passed over it.
+  // True if there was neither a request nor a retry within the last window.
   bool isIdle(Instant now) const {
     return requestCount(now, window_) + retryCount(now, window_) == 0;
   }
@@ -44,22 +46,22 @@
   double share_;
   double slack_;
   Span window_;
-  // Both rise and hold no more than the longest window.
+  // Times in ascending order, none older than the window.
   std::deque<Instant> requests_, retries_;
 };
 
-// One daemon's parts for all services.
+// The retry budgets of all services on one daemon.
 class RetryBudgets {
  public:
-  // `fleetShare`: of the bound over all daemons.
+  // `fleetShare`: the limit over all daemons, of which each daemon applies half (see above).
   RetryBudgets(double fleetShare, Span window) : share_(fleetShare / 2), window_(window) {}
-  // `slack`: this daemon's part, for each service.
+  // `slack`: this daemon's part of the slack; applies to each service separately.
   void setSlack(double slack);
   void countRequest(const ServiceName& service, Instant now);
   bool canTakeRetry(const ServiceName& service, Instant now) const;
   bool takeRetry(const ServiceName& service, Instant now);
-  // Rows over which a whole window has passed with no request go: those that stay are of services
-  // that the configuration named within it.
+  // Removes the budgets of services without requests or retries for a whole window. Bounds the
+  // table to the services that the configuration named within that window.
   void removeIdle(Instant now);
   std::size_t serviceCount() const { return budgets_.size(); }
 
@@ -71,15 +73,16 @@
   std::map<ServiceName, RetryBudget> budgets_;
 };
 
-// One daemon's part of the slack. How many daemons there are is told nowhere; each knows the live
-// ones that it has heard of.
+// One daemon's part of the fleet-wide slack. No component knows the exact number of daemons; each
+// daemon knows the live ones that it has heard of.
 class RetrySlack {
  public:
   explicit RetrySlack(Span window) : window_(window) {}
-  // `daemons`: live ones that take requests, as far as is known now.
+  // `daemons`: the number of live daemons that accept requests, as far as known now.
   void noteDaemons(std::size_t daemons, Instant now);
-  // 0 until the number has not grown for a window. Half of an even part then, by the largest number
-  // ever known: the sum keeps the bound while each daemon knows half of the others or more.
+  // Returns 0 until the known number of daemons has not grown for one window. After that, half of
+  // an even part by the largest number ever known. The sum over all daemons stays within
+  // `fleetSlack` as long as each daemon knows at least half of the others.
   double shareOf(double fleetSlack, Instant now) const;
 
  private:
--- a/src/placement/server_load.cpp
+++ b/src/placement/server_load.cpp
@@ -5,8 +5,8 @@
 namespace quayrill {
 
 namespace {
-constexpr Span kHistorySpan = std::chrono::seconds(3);  // ours: how far back polls and reports look
-// Ours: what the fleet told longer ago says nothing of now.
+constexpr Span kHistorySpan = std::chrono::seconds(3);  // covers the age of polls and fleet reports
+// An older fleet report says nothing about the present load.
 constexpr Span kFleetReportTtl = std::chrono::seconds(2);
 }  // namespace
 
--- a/src/placement/server_load.h
+++ b/src/placement/server_load.h
@@ -1,6 +1,6 @@
 #pragma once
-// What one model server has to do for the fleet, as far as this daemon can tell: its own requests
-// there, and what all daemons told of theirs a moment ago.
+// Estimates the work outstanding at one model server. Combines the requests that this daemon placed
+// there with the latest fleet-wide report, which is slightly out of date.
 #include <cstdint>
 #include <deque>
 #include <utility>
@@ -9,37 +9,40 @@
 
 namespace quayrill {
 
-// Requests at a server, and the prompt tokens that it has still to read for them.
+// Requests in progress at a server, and the prompt tokens that it still has to prefill for them.
 struct Outstanding {
   std::uint32_t requests = 0;
   std::uint64_t pendingPrefillTokens = 0;
   bool operator==(const Outstanding&) const = default;
 };
 
+// The outstanding work of one server, as seen by one daemon.
 class ServerLoad {
  public:
-  // A request was placed, whose prompt has so many tokens to be read.
+  // A request was placed that needs `pendingPrefillTokens` tokens of prefill.
   void onRequestPlaced(std::uint64_t pendingPrefillTokens, Instant now);
-  // Its prompt was read; once for each request.
+  // The prefill of a request has finished. Called at most once per request.
   void onPrefillDone(std::uint64_t pendingPrefillTokens, Instant now);
-  // It ended. `pendingPrefillTokens`: what onPrefillDone did not take off.
+  // A request has ended. `pendingPrefillTokens`: the part that onPrefillDone has not subtracted.
   void onRequestDone(std::uint64_t pendingPrefillTokens, Instant now);
-  // What all daemons together, this one too, had there at `at`.
+  // The outstanding work of all daemons together, including this one, as of `at`.
   void onFleetReport(const Outstanding& fleet, Instant at);
 
+  // Requests of this daemon only.
   const Outstanding& own() const { return own_; }
-  // The own part as it stood at `at`; as now where that is longer ago than is kept.
+  // The value of own() at `at`. For an instant before the recorded history, the oldest recorded
+  // value.
   Outstanding ownAt(Instant at) const;
-  // Tokens that the server has still to read: as the fleet told, while that is fresh, with what
-  // changed here since; the own part at least.
+  // Estimated prompt tokens that the server still has to prefill: the fleet report while it is
+  // recent, adjusted by what this daemon changed since then, and at least this daemon's own part.
   double pendingPrefillTokens(Instant now) const;
 
  private:
   void recordHistory(Instant now);
 
   Outstanding own_;
-  // own_ as it was until each instant, oldest first; no longer ago than kHistorySpan but for one
-  // entry.
+  // Values of own_, each with the instant until which it was current, oldest first. Covers
+  // kHistorySpan and at most one older entry.
   std::deque<std::pair<Instant, Outstanding>> history_;
   Outstanding fleet_;
   Instant fleetAt_{};
--- a/src/radix/radix_tree.cpp
+++ b/src/radix/radix_tree.cpp
@@ -146,7 +146,7 @@
   node.isInLru = false;
 }
 
-// Puts the node on the list at its own stamp, or takes it off, as the list's invariant asks.
+// Inserts the node into the LRU list at its own stamp, or removes it, to restore the invariant.
 void RadixTree::updateLru(std::uint32_t index) {
   removeFromLru(index);
   Node& node = nodes_[index];
@@ -238,7 +238,7 @@
   }
 }
 
-// Returns the parent, which is relisted at its own stamp when this was its last child.
+// Returns the parent, which enters the LRU list at its own stamp if this was its last child.
 std::uint32_t RadixTree::removeLeaf(std::uint32_t index,
                                     const std::function<void(BlockValue)>& onEvicted,
                                     std::size_t* freed) {
--- a/src/radix/radix_tree.h
+++ b/src/radix/radix_tree.h
@@ -1,6 +1,7 @@
 #pragma once
-// Radix tree over granule blocks with an index-linked LRU list of unlocked leaves, after
-// "Radix tree over token ids with index-linked LRU leaf list". No I/O, no clock.
+// A radix tree over fixed-size blocks of tokens, with reference-counted locks and LRU eviction of
+// unlocked leaves. The LRU list is linked by node index, after "Radix tree over token ids with
+// index-linked LRU leaf list". No I/O, no clock.
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -11,31 +12,38 @@
 namespace quayrill {
 
 using Token = std::uint64_t;
+// The caller's value for one block, such as the index of a cache page.
 using BlockValue = std::uint64_t;
 
-// A handle is good while its slot still holds the node it was made for: each removal raises the
-// slot's generation, so a stale handle is detected instead of reaching a reused slot.
+// Refers to a node. Valid as long as the slot holds the node that the handle was made for. Removing
+// a node increments the slot's generation, so a stale handle is detected and never refers to the
+// next node in the slot.
 struct NodeHandle {
   std::uint32_t index = 0;
   std::uint32_t generation = 0;
   auto operator<=>(const NodeHandle&) const = default;
 };
 
+// The longest stored prefix of a key.
 struct PrefixMatch {
   std::size_t tokens = 0;  // a multiple of the granule
   std::vector<NodeHandle> path;
 };
 
+// The node that ends an inserted key.
 struct PrefixInsert {
   NodeHandle node;
-  std::vector<BlockValue> unusedValues;  // the caller's values for what was stored already
+  std::vector<BlockValue> unusedValues;  // the caller's values for blocks that were stored already
 };
 
+// Maps keys, which are sequences of tokens, to one value per `granule` tokens. Keys with a common
+// prefix share its nodes.
 class RadixTree {
  public:
   explicit RadixTree(std::size_t granule);  // throws std::invalid_argument on 0
 
   std::size_t granule() const { return granule_; }
+  // The number of values, nodes without the root, and allocated slots.
   std::size_t size() const { return valueCount_; }
   std::size_t nodeCount() const { return liveCount_; }
   std::size_t slotCount() const { return nodes_.size(); }
@@ -45,39 +53,48 @@
   std::span<const Token> label(NodeHandle node) const;
   std::span<const BlockValue> values(NodeHandle node) const;
   NodeHandle parent(NodeHandle node) const;
-  std::vector<NodeHandle> children(NodeHandle node) const;  // by rising index
+  std::vector<NodeHandle> children(NodeHandle node) const;  // in ascending order of index
   std::uint32_t lockCount(NodeHandle node) const;
   std::vector<NodeHandle> lruOrder() const;  // oldest first
 
+  // Finds the longest stored prefix, marks its path as most recently used, and splits a node in
+  // which the prefix ends.
   PrefixMatch matchPrefix(std::span<const Token> key);
-  // The same walk without a stamp or a split: whole blocks of `key` that are stored.
+  // The length of the longest stored prefix in tokens, without any change to the tree.
   std::size_t peekPrefix(std::span<const Token> key) const;
+  // Stores the key with one value per block. Throws std::invalid_argument if the key is not a whole
+  // number of blocks.
   PrefixInsert insert(std::span<const Token> key, std::vector<BlockValue> values);
+  // Locks the path from the root to the node against eviction. Locks nest.
   void lock(NodeHandle node);
   void unlock(NodeHandle node);  // throws std::logic_error when not locked or stale
+  // Evicts least recently used leaves until at least `count` values are freed or nothing unlocked
+  // is left. Returns the number of freed values.
   std::size_t evict(std::size_t count, const std::function<void(BlockValue)>& onEvicted);
-  // Drops the unlocked leaves at and below the node that ends `key`; locked paths stay.
+  // Removes the unlocked nodes at and below the one in which `key` ends, leaves first. Locked paths
+  // stay. Returns the number of freed values.
   std::size_t prune(std::span<const Token> key);
 
  private:
   static constexpr std::uint32_t kNone = UINT32_MAX;
-  // label.size() == values.size() * granule, and both are empty only in the root.
-  // lockCount >= the sum of the children's lock counts.
-  // isInLru is true exactly for live, non-root, childless nodes with lockCount == 0; the list runs
-  // from head (smallest stamp) to tail.
+  // Invariants: label.size() == values.size() * granule, and both are empty only in the root.
+  // lockCount >= the sum of the children's lock counts. isInLru is true exactly for live, non-root,
+  // childless nodes with lockCount == 0. The LRU list runs from head (smallest stamp) to tail.
   struct Node {
     std::vector<Token> label;
     std::vector<BlockValue> values;
-    std::unordered_multimap<std::uint64_t, std::uint32_t> children;  // by hash of first granule
+    std::unordered_multimap<std::uint64_t, std::uint32_t>
+        children;  // by hash of the first block of their labels
     std::uint32_t parent = kNone, prev = kNone, next = kNone;
     std::uint32_t generation = 0, lockCount = 0;
     std::uint64_t stamp = 0;
     bool live = false, isInLru = false;
   };
+  // The result of a walk along a key.
   struct Step {
     std::uint32_t node = 0;
-    std::size_t tokens = 0;         // whole granules matched so far
-    std::uint32_t partial = kNone;  // child entered but not walked to its end
+    std::size_t tokens = 0;         // matched by whole nodes
+    std::uint32_t partial = kNone;  // the child in which the match ends, if any
     std::size_t partialTokens = 0;
   };
 
@@ -100,10 +117,10 @@
 
   std::size_t granule_;
   std::vector<Node> nodes_;          // slot 0 is the root and is never freed
-  std::vector<std::uint32_t> free_;  // slots that are not live
+  std::vector<std::uint32_t> free_;  // indices of unused slots
   std::uint32_t lruHead_ = kNone, lruTail_ = kNone;
-  std::uint64_t lastStamp_ = 0;                 // rises by one on every match and insert
-  std::size_t valueCount_ = 0, liveCount_ = 0;  // liveCount_ leaves the root out
+  std::uint64_t lastStamp_ = 0;                 // incremented by every match and insert
+  std::size_t valueCount_ = 0, liveCount_ = 0;  // liveCount_ excludes the root
 };
 
 }  // namespace quayrill
