--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -198,8 +198,8 @@
   if (!has(Mechanism::Avoidance)) return;
   const auto row = servers_.find(server);
   if (row == servers_.end()) return;
-  const std::uint32_t doubled = std::min(row->second.failures++, 3U);
-  row->second.avoidUntil = now + kFailureBackoff * (1 << doubled);
+  const std::uint32_t doublings = std::min(row->second.failures++, 3U);
+  row->second.avoidUntil = now + kFailureBackoff * (1 << doublings);
 }
 
 void Placement::noteRejection(const ServerName& server, Instant now) {
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -1,4 +1,4 @@
-// One try at one server: a connection, the last questions, the request's bytes.
+// One attempt at one server: gets a connection, makes the final checks and sends the request.
 #include "relay/attempt.h"
 
 #include "net/request_sender.h"
@@ -10,7 +10,8 @@
 
 namespace {
 constexpr Span kConnectTimeout = 400ms;
-// Ours: a process that took longer than this between two steps with nothing awaited stood still.
+// If this much time passes between two steps that do not wait for anything, the process was
+// stalled.
 constexpr Span kStallThreshold = 100ms;
 }  // namespace
 
@@ -18,17 +19,17 @@
   watch->deadline = deadline;
   const Instant now = BootClock::now();
   const Instant until = watch->hasStarted ? Instant::max() : watch->startDeadline();
-  Instant next = deadline;
-  if (!watch->hasStarted) next = std::min(next, now + kStartCheckInterval);
-  if (until > now) next = std::min(next, until);
-  timer.expires_after(std::max(next, now) - now);
+  Instant wakeAt = deadline;
+  if (!watch->hasStarted) wakeAt = std::min(wakeAt, now + kStartCheckInterval);
+  if (until > now) wakeAt = std::min(wakeAt, until);
+  timer.expires_after(std::max(wakeAt, now) - now);
   timer.async_wait([this, watch = watch](const ErrorCode& code) {
     if (!code && watch->socket) onTimer();
   });
 }
 
-// Ends the try where it is due. An answer that is there by then is never cut off by it: what was
-// read before is handled first, and events that follow a head are waited for.
+// Ends the attempt at its deadline, but never discards a response that has arrived by then: bytes
+// received before are processed first, and once a head was read, its events are waited for.
 void Relay::Attempt::onTimer() {
   const Instant now = BootClock::now();
   watch->isOutdated = !watch->hasStarted && now >= watch->startDeadline();
@@ -48,7 +49,7 @@
   watch->socket->close(ignored);
 }
 
-// Asked right before bytes of the request leave. "" lets them.
+// Called right before bytes of the request are sent. Returns "" if they may be sent.
 std::string Relay::reasonNotToSend(const Caller& caller, const RelayRequest& job,
                                    const ServerState& server, Instant now) const {
   if (now >= job.deadline) return "the deadline passed";
@@ -59,24 +60,24 @@
 
 awaitable<AttemptResult> Relay::attempt(const std::shared_ptr<Caller>& caller,
                                         const RelayRequest& job, const PlacementResult& placed,
-                                        ResponseProgress* progress, const AttemptOptions& asked) {
+                                        ResponseProgress* progress, const AttemptOptions& options) {
   const ServerState& server = placed.chosenServer;
   Attempt attempt{caller,
                   job,
                   placed,
                   progress,
-                  asked.keepAlive,
+                  options.keepAlive,
                   BootClock::now(),
                   nullptr,
                   std::nullopt,
                   std::make_shared<Attempt::Watch>(),
                   asio::steady_timer(io_)};
-  // Without an id nothing tells a late answer of another request from its own.
+  // Without a request id, a late response to an earlier request could not be told from this one's.
   if (!job.id.value.empty())
     attempt.connection = pool_.acquireIdle(server.name, attempt.startedAt, job.id);
   if (!attempt.connection) {
-    const Span due = std::min<Span>(kConnectTimeout, job.deadline - attempt.startedAt);
-    auto connected = co_await pool_.connect(server.name, due);
+    const Span timeout = std::min<Span>(kConnectTimeout, job.deadline - attempt.startedAt);
+    auto connected = co_await pool_.connect(server.name, timeout);
     if (!connected.ok()) {
       AttemptResult result{AttemptOutcome::NeverSent, std::string(connected.status().message())};
       result.isUnreachable = true;
@@ -84,13 +85,13 @@
     }
     attempt.connection = std::move(*connected);
   }
-  // Nothing is awaited from here until the first bytes have left.
+  // There must be no suspension point from here until the first bytes are sent.
   const Instant now = BootClock::now();
-  const std::string refused = reasonNotToSend(*caller, job, server, now);
+  const std::string blocker = reasonNotToSend(*caller, job, server, now);
   if (caller->isDisconnected)
     co_return AttemptResult{AttemptOutcome::CallerGone, "before it was sent"};
-  if (!refused.empty()) co_return AttemptResult{AttemptOutcome::NeverSent, refused};
-  if (asked.isRetry && !budgets_.takeRetry(server.service, now)) {
+  if (!blocker.empty()) co_return AttemptResult{AttemptOutcome::NeverSent, blocker};
+  if (options.isRetry && !budgets_.takeRetry(server.service, now)) {
     AttemptResult result{AttemptOutcome::NeverSent, "the budget of extra tries is spent"};
     result.isRetryBudgetSpent = true;
     co_return result;
@@ -101,22 +102,23 @@
   attempt.watch->lastActivity = lastActivityOf(server.name);
   attempt.watch->startedAt = now;
   attempt.watch->hardDeadline = job.deadline;
-  // Only a stream shows when it begins.
+  // Only a stream shows when its response starts.
   if (job.policy.isStream)
     attempt.watch->startDeadline = [this, &server] { return startDeadline(server); };
   caller->abortAttempt = [watch = attempt.watch] {
     ErrorCode ignored;
     if (watch->socket) watch->socket->close(ignored);
   };
-  attempt.arm(asked.firstDeadline);
+  attempt.arm(options.firstDeadline);
   RequestSender sender(socket, requestHead(job, placed, now, *progress), job.original.body(),
                        [&, now] {
-                         const Instant asking = BootClock::now();
+                         const Instant sendingAt = BootClock::now();
                          const bool isFirst = attempt.sentAt == Instant{};
-                         attempt.sentAt = asking;
-                         // The head names the time that was left at `now`.
-                         if (isFirst && asking - now >= kStallThreshold) return false;
-                         return reasonNotToSend(*caller, job, server, asking).empty();
+                         attempt.sentAt = sendingAt;
+                         // The head contains the time that was left at `now`, which would be wrong
+                         // after a stall.
+                         if (isFirst && sendingAt - now >= kStallThreshold) return false;
+                         return reasonNotToSend(*caller, job, server, sendingAt).empty();
                        });
   sender.begin();
   AttemptResult result;
@@ -146,17 +148,17 @@
   co_return result;
 }
 
-// Gives the connection back if nothing but whole requests and whole answers, each by its id, went
-// over it.
+// Returns the connection to the pool if it carried only complete requests and complete responses,
+// each identified by its id.
 void Relay::returnConnection(Attempt& attempt, const AttemptResult& result) {
-  const auto& answered = attempt.parser;
+  const auto& response = attempt.parser;
   const bool whole =
-      answered && answered->is_done() && answered->keep_alive() &&
+      response && response->is_done() && response->keep_alive() &&
       (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::NotRun);
   if (!whole || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
   std::optional<Span> keepFor;
-  const auto named = parseNumbers(view(answered->get()["Keep-Alive"]));
-  if (!named.empty()) keepFor = std::chrono::seconds(named.front());
+  const auto announced = parseNumbers(view(response->get()["Keep-Alive"]));
+  if (!announced.empty()) keepFor = std::chrono::seconds(announced.front());
   attempt.connection->lastRequest = attempt.job.id;
   pool_.returnIdle(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
                    BootClock::now());
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -1,34 +1,42 @@
 #pragma once
-// What one try at one server holds while it lasts. For the relay's own files.
+// The state of one attempt to run a request on one server. Private to src/relay.
 #include "relay/relay.h"
 
 namespace quayrill {
 
-// Ours: a server that sent something this lately is alive.
+// A server that sent something within this time is considered alive.
 inline constexpr Span kActivityWindow = std::chrono::milliseconds(500);
-// Ours: how often it is asked until when a request that waits at a server may begin there. Newer
-// weights may be named while it waits.
+// How often an attempt whose response has not started checks its start deadline again. The deadline
+// may move while the request is queued at the server, when newer weights are named.
 inline constexpr Span kStartCheckInterval = std::chrono::seconds(1);
 
+// One attempt: its connection, response parser and timer.
 struct Relay::Attempt {
-  // Outlives the timer's handler; `socket` is null once the try has ended.
+  // The state shared with the timer's handler, which may outlive the attempt. `socket` is null once
+  // the attempt has ended.
   struct Watch {
     Tcp::socket* socket = nullptr;
     Instant deadline = Instant::max();
-    // Until the first event: a server that answered others since `begun` is given more time.
+    // Before the first event: a server that has answered other requests since `startedAt` gets more
+    // time, up to hardDeadline.
     std::shared_ptr<Instant> lastActivity;
     Instant startedAt{}, hardDeadline{};
-    Instant
-        headReadAt{};  // when the head of its own success was read: the first event is close behind
-    // Until when the request may begin at the server.
+    // When the head of a successful response was read. The first event follows closely.
+    Instant headReadAt{};
+    // The time until which the response may start (see Relay::startDeadline).
     std::function<Instant()> startDeadline = [] { return Instant::max(); };
+    // isOutdated: the response can no longer start, because the weights were superseded too long
+    // ago.
     bool hasStarted = false, expired = false, isOutdated = false;
-    bool isDeferred = false;  // it was due, and what was read by then is looked at first
+    // The deadline has passed, and bytes received before it are processed first.
+    bool isDeferred = false;
+    // True if a response is on its way: its head was just read, or bytes wait in the socket.
     bool isReceiving(Instant now) const {
       ErrorCode ignored;
       return now < hardDeadline &&
              (now - headReadAt < kActivityWindow || socket->available(ignored) > 0);
     }
+    // True if the server has recently answered another request.
     bool deservesExtension(Instant now) const {
       return now<hardDeadline&& * lastActivity> startedAt && now - *lastActivity < kActivityWindow;
     }
@@ -43,10 +51,11 @@
   std::optional<http::response_parser<http::buffer_body>> parser;
   std::shared_ptr<Watch> watch = std::make_shared<Watch>();
   asio::steady_timer timer;
-  Instant sentAt{};        // right before the latest piece of the request left
-  int strayResponses = 0;  // whole answers that were not the request's
+  Instant sentAt{};        // right before the latest piece of the request was sent
+  int strayResponses = 0;  // complete responses that belonged to other requests
 
-  // Defined in attempt.cpp.
+  // Defined in attempt.cpp. Starts the timer for `deadline`, or for an earlier check if the
+  // response has not started.
   void arm(Instant deadline);
   void onTimer();
 };
--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -1,4 +1,4 @@
-// The relay's front: connections of callers, what they may send and how long it may take.
+// Connections from callers: what they may send, and how long that may take.
 #include <glog/logging.h>
 #include <sys/socket.h>
 
@@ -10,24 +10,25 @@
 
 namespace {
 constexpr Span kWriteTimeout = 10s;
-constexpr Span kDrainTimeout = 1s;                // ours: for a caller to see a refusal
-constexpr std::size_t kDrainLimit = 1 << 20;      // ours: of what it goes on sending meanwhile
-constexpr std::size_t kPipelinedReadSize = 4096;  // ours: read at once of a next request
+constexpr Span kDrainTimeout = 1s;                // for a caller to receive an error response
+constexpr std::size_t kDrainLimit = 1 << 20;      // discarded at most while a caller keeps sending
+constexpr std::size_t kPipelinedReadSize = 4096;  // bytes read at once of a pipelined request
 constexpr std::size_t kMaxPipelinedBytes =
-    64 << 10;  // ours: kept of one; a close behind more is not seen
+    // A disconnect behind more pipelined bytes than this goes unnoticed.
+    64 << 10;
 constexpr std::size_t kMaxCallerConnections = 3000;
-constexpr std::size_t kMaxIdlePerServer = 32;  // ours: connections kept for each server
-constexpr Span kDefaultIdleTimeout = 4s;       // ours: how long, where the server names no time
-// Ours: prompts wait for each other's reading, so a few requests over the mean are many.
+constexpr std::size_t kMaxIdlePerServer = 32;
+constexpr Span kDefaultIdleTimeout = 4s;  // if the server does not specify a time
+// Prompts at a server wait for each other's prefill, so even a few requests above the mean matter.
 constexpr double kSpreadRequests = 4, kSpreadFactor = 1.5;
 
 PlacementSettings placementSettings(const Settings& settings) {
-  PlacementSettings made{settings.blockTokens};
-  made.spreadRequests = kSpreadRequests;
-  made.spreadFactor = kSpreadFactor;
-  made.byExpectedPrefill = settings.mechanisms.has(Mechanism::ExpectedRead);
-  made.mechanisms = settings.mechanisms;
-  return made;
+  PlacementSettings placement{settings.blockTokens};
+  placement.spreadRequests = kSpreadRequests;
+  placement.spreadFactor = kSpreadFactor;
+  placement.byExpectedPrefill = settings.mechanisms.has(Mechanism::ExpectedRead);
+  placement.mechanisms = settings.mechanisms;
+  return placement;
 }
 }  // namespace
 
@@ -71,11 +72,14 @@
   if (thread_.joinable()) thread_.join();
 }
 
+// True if the configuration was confirmed recently, there are servers to use, and this daemon is
+// not shutting down.
 bool Relay::isReady(Instant now) const {
   return !leaving_ && view_->configuration && !view_->servers.empty() &&
          now - view_->confirmedAt < settings_.freshLimit;
 }
 
+// Handles health checks, metrics and queries about past decisions.
 awaitable<std::optional<HttpResponse>> Relay::handleAdminRequest(HttpRequest& request) {
   const std::string path = pathOf(request);
   if (path == "/readyz") {
@@ -104,10 +108,10 @@
     Tcp::socket socket(io_);
     co_await acceptor.async_accept(socket, into(code));
     if (code) {
-      co_await pauseFor(10ms);  // out of descriptors: let some go
+      co_await pauseFor(10ms);  // probably out of file descriptors: wait until some are closed
       continue;
     }
-    if (openCallers_ >= kMaxCallerConnections) continue;  // closes it, unread
+    if (openCallers_ >= kMaxCallerConnections) continue;  // closes the connection without reading
     socket.set_option(Tcp::no_delay(true), code);
     auto caller = std::make_shared<Caller>(std::move(socket));
     callerList_.remove_if([](const auto& weak) { return weak.expired(); });
@@ -116,8 +120,8 @@
   }
 }
 
-// The timer is moved only where it would fire too late; a deadline that moves away is met when the
-// timer fires.
+// Sets the timer only if it would fire too late otherwise. If the deadline moves to a later time,
+// the timer is set again when it fires.
 void Relay::setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline) {
   caller->deadline = deadline;
   if (caller->timerSetFor <= deadline) return;
@@ -137,9 +141,9 @@
   });
 }
 
-// Sees a caller leave while its answer is being made. A half-close looks like a close and is taken
-// for one. Bytes that come meanwhile are a next request: they are read, within a bound, since the
-// close behind them shows only then.
+// Detects that a caller disconnects while its response is pending. A half-close cannot be told from
+// a close and counts as one. Bytes that arrive meanwhile belong to a pipelined request; they are
+// read, up to a limit, because a close behind them would not be seen otherwise.
 void Relay::watchForDisconnect(const std::shared_ptr<Caller>& caller) {
   if (caller->isDisconnectWatched) return;
   caller->isDisconnectWatched = true;
@@ -150,12 +154,12 @@
         if (!watched) return;
         watched->isDisconnectWatched = false;
         if (code || !watched->isAwaitingResponse || !*alive) return;
-        const auto room = watched->buffer.prepare(kPipelinedReadSize);
+        const auto space = watched->buffer.prepare(kPipelinedReadSize);
         const auto got =
-            ::recv(watched->socket.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
+            ::recv(watched->socket.native_handle(), space.data(), space.size(), MSG_DONTWAIT);
         if (got > 0) watched->buffer.commit(static_cast<std::size_t>(got));
-        const bool isThere = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
-        if (isThere) {
+        const bool isConnected = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+        if (isConnected) {
           if (watched->buffer.size() < kMaxPipelinedBytes) watchForDisconnect(watched);
           return;
         }
@@ -169,18 +173,19 @@
   return caller->staysOpen;
 }
 
-// Closing over unread bytes resets the connection, and the answer may be lost with it: the caller
-// is told that no more comes, and what it still sends is thrown away for a while.
+// Closing a socket with unread bytes resets the connection, and the response may be lost with it.
+// Therefore closes the sending side first, then reads and discards for a while what the caller
+// still sends.
 awaitable<void> Relay::drain(const std::shared_ptr<Caller>& caller) {
-  char scrap[4096];
-  std::size_t left = kDrainLimit;
+  char discarded[4096];
+  std::size_t remaining = kDrainLimit;
   ErrorCode code;
   caller->isIdle = true;
   caller->socket.shutdown(Tcp::socket::shutdown_send, code);
   setDeadline(caller, BootClock::now() + kDrainTimeout);
-  while (!code && left > 0) {
-    const auto got = co_await caller->socket.async_read_some(asio::buffer(scrap), into(code));
-    left -= std::min(left, got);
+  while (!code && remaining > 0) {
+    const auto got = co_await caller->socket.async_read_some(asio::buffer(discarded), into(code));
+    remaining -= std::min(remaining, got);
   }
 }
 
@@ -195,7 +200,8 @@
   co_return !code;
 }
 
-// False: the connection is to be closed; what could be said was said.
+// Reads one request. Returns false if the connection is to be closed; any error response has been
+// sent by then.
 awaitable<bool> Relay::readRequest(const std::shared_ptr<Caller>& caller, HttpRequest* request) {
   const auto limitsNow = [this] {
     return view_->configuration ? view_->configuration->callerLimits : CallerLimits{};
@@ -204,7 +210,7 @@
   caller->isIdle = true;
   if (caller->buffer.size() == 0) {
     const Instant idleSince = BootClock::now();
-    do {  // a configuration that came meanwhile may let it rest longer
+    do {  // a configuration that arrives meanwhile may extend the limit
       caller->timedOut = false;
       setDeadline(caller, idleSince + limitsNow().idleDue);
       co_await caller->socket.async_wait(Tcp::socket::wait_read, into(code));
@@ -248,14 +254,16 @@
   co_return false;
 }
 
+// Serves the requests of one connection, one after the other.
 awaitable<void> Relay::serveCaller(std::shared_ptr<Caller> caller) {
-  struct Counted {
+  struct CallerCount {
     std::atomic<std::size_t>& count;
     std::shared_ptr<bool> alive;
-    Counted(std::atomic<std::size_t>& c, std::shared_ptr<bool> a) : count(c), alive(std::move(a)) {
+    CallerCount(std::atomic<std::size_t>& c, std::shared_ptr<bool> a)
+        : count(c), alive(std::move(a)) {
       ++count;
     }
-    ~Counted() {
+    ~CallerCount() {
       if (*alive) --count;
     }
   } counted(openCallers_, alive_);
@@ -266,17 +274,17 @@
     ++counters_.requests;
     job.startedAt = caller->requestStartedAt;
     const bool keepAlive = job.original.keep_alive();
-    std::optional<HttpResponse> refusal = intake(job.original, &job);
-    if (!refusal) {
+    std::optional<HttpResponse> rejection = intake(job.original, &job);
+    if (!rejection) {
       caller->isAwaitingResponse = true;
       caller->mayAbort = job.policy.repeatable || job.policy.isStream;
       watchForDisconnect(caller);
-      refusal = co_await run(caller, job, keepAlive);
+      rejection = co_await run(caller, job, keepAlive);
       caller->isAwaitingResponse = false;
     }
     if (caller->isDisconnected || !caller->socket.is_open()) break;
-    if (refusal) {
-      const bool written = co_await sendResponse(caller, std::move(*refusal), keepAlive);
+    if (rejection) {
+      const bool written = co_await sendResponse(caller, std::move(*rejection), keepAlive);
       if (!written) break;
     }
     caller->deadline = Instant::max();
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -8,10 +8,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kIdleMargin = 300ms;  // the other end counts from a little earlier
+constexpr Span kIdleMargin = 300ms;  // the other end started its idle timer slightly earlier
 constexpr int kUserTimeoutMs = 4000;
 
-// True while the other end has sent nothing and not closed.
+// True if the other end has neither sent data nor closed the connection.
 bool isQuiet(Tcp::socket& socket) {
   char byte = 0;
   const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -35,11 +35,11 @@
 }
 
 awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> ConnectionPool::connect(
-    const ServerName& server, Span due) {
+    const ServerName& server, Span timeout) {
   auto connection = std::make_unique<ServerConnection>(io_);
   Tcp::socket& socket = connection->socket;
   asio::steady_timer timer(io_);
-  timer.expires_after(due);
+  timer.expires_after(timeout);
   auto ended = std::make_shared<bool>(false);
   timer.async_wait([&socket, ended](const ErrorCode& code) {
     if (code || *ended) return;
@@ -52,7 +52,7 @@
   *ended = true;
   timer.cancel();
   if (code) co_return absl::UnavailableError("connect: " + code.message());
-  // It came up and the time passed in one turn of the loop.
+  // The connection was established and the timer expired in the same iteration of the event loop.
   if (!socket.is_open()) co_return absl::UnavailableError("connect: too late");
   socket.set_option(Tcp::no_delay(true), code);
   socket.non_blocking(true, code);
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -1,5 +1,5 @@
 #pragma once
-// Connections to servers, kept between requests. Owned by one traffic thread.
+// A pool of connections to servers that are reused between requests. Owned by one traffic thread.
 #include <absl/status/statusor.h>
 
 #include <list>
@@ -11,34 +11,38 @@
 
 namespace quayrill {
 
-// One request at a time; `buffer` holds bytes that came behind the last answer.
+// A connection to a server. It carries one request at a time. `buffer` holds bytes received after
+// the last response.
 struct ServerConnection {
   explicit ServerConnection(asio::io_context& io) : socket(io) {}
   Tcp::socket socket;
   beast::flat_buffer buffer;
-  std::size_t responsesRead = 0;  // answers read to their end on it
-  Instant usableUntil{};          // idle past this it may be closed at the other end
-  RequestId lastRequest;          // the one answered last; "" where it was none of a caller's
+  std::size_t responsesRead = 0;  // responses read completely on it
+  Instant usableUntil{};          // the other end may close it if it is idle after this
+  // The request that was answered last; "" if it was not a caller's request.
+  RequestId lastRequest;
 };
 
+// Idle connections by server.
 class ConnectionPool {
  public:
-  // `maxIdle`: connections kept idle for one server. `idleTimeout`: how long one is kept where the
-  // server names no time.
+  // `maxIdle`: how many idle connections to keep per server. `idleTimeout`: how long to keep one if
+  // the server does not specify a time.
   ConnectionPool(asio::io_context& io, std::size_t maxIdle, Span idleTimeout)
       : io_(io), mostIdle_(maxIdle), idleSpan_(idleTimeout) {}
 
-  // The idle connection used last, if the other end has neither closed it nor sent anything. One
-  // that answered `request` before is passed over: a late answer would bear the same id.
+  // Returns the most recently used idle connection that the other end has neither closed nor sent
+  // data on, or nullptr. Skips a connection whose last response was to `request`: a late duplicate
+  // of that response would have the same id.
   std::unique_ptr<ServerConnection> acquireIdle(const ServerName& server, Instant now,
                                                 const RequestId& request = {});
-  // A new one; the error says why it did not come up within `due`.
+  // Opens a new connection. The error says why it was not established within `timeout`.
   awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> connect(const ServerName& server,
-                                                                       Span due);
-  // `keepFor`: what the server said of idle connections; nothing where it said nothing.
+                                                                       Span timeout);
+  // Returns a connection to the pool. `keepFor`: the idle time that the server announced, if any.
   void returnIdle(const ServerName& server, std::unique_ptr<ServerConnection> connection,
                   std::optional<Span> keepFor, Instant now);
-  // Closes what has been idle too long.
+  // Closes connections that have been idle for too long.
   void closeExpired(Instant now);
   void dropIdle(const ServerName& server) { idle_.erase(server); }
   std::uint64_t opened() const { return opened_; }
@@ -48,7 +52,7 @@
   std::size_t mostIdle_;
   Span idleSpan_;
   std::uint64_t opened_ = 0;
-  // Oldest first; at most mostIdle_ each.
+  // Least recently used first; at most maxIdle_ per server.
   std::map<ServerName, std::list<std::unique_ptr<ServerConnection>>> idle_;
 };
 
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -5,7 +5,7 @@
 namespace quayrill {
 
 namespace {
-// The end of the first whole event, behind its empty line; npos where there is none.
+// The position after the first whole event and its empty line; npos if there is none.
 std::size_t eventEnd(std::string_view text) {
   for (std::size_t at = text.find('\n'); at != std::string_view::npos;
        at = text.find('\n', at + 1)) {
@@ -15,6 +15,7 @@
   return std::string_view::npos;
 }
 
+// The numeric id of an event; nullopt if it has none.
 std::optional<std::uint64_t> idOf(std::string_view event) {
   for (std::size_t start = 0; start < event.size();) {
     const std::size_t end = std::min(event.find('\n', start), event.size());
--- a/src/relay/header_text.h
+++ b/src/relay/header_text.h
@@ -1,5 +1,5 @@
 #pragma once
-// Small pieces of HTTP heads: names, numbers and lines.
+// Helpers for reading and writing HTTP headers.
 #include <string>
 #include <string_view>
 #include <vector>
@@ -10,15 +10,16 @@
 
 inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
-// Names of fields are alike in whatever case.
+// Compares header names, ignoring case.
 bool isSameHeaderName(std::string_view left, std::string_view right);
 
-// True for fields that concern one connection only.
+// True for hop-by-hop headers, which apply to a single connection and are not forwarded.
 bool isHopByHop(std::string_view name);
 
+// Appends a header line to `head`.
 void addHeader(std::string* head, std::string_view name, std::string_view value);
 
-// All whole numbers in `text`, whatever stands between them.
+// All unsigned integers in `text`, whatever separates them.
 std::vector<std::uint32_t> parseNumbers(std::string_view text);
 
 }  // namespace quayrill
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -1,4 +1,4 @@
-// The relay's intake: which route, whose key, what the request may take.
+// Checks a request before it is placed: route, key and time limit.
 #include <algorithm>
 #include <charconv>
 
@@ -10,12 +10,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A daemon that could not confirm its configuration for this long may lack a route or a key that is
-// there: it turns such requests away instead of denying them.
+// If the configuration has not been confirmed for this long, it may lack a route or a key that
+// exists by now. Such requests are then rejected as retryable instead of being denied.
 constexpr Span kMaxAgeToDeny = 1s;
-constexpr Span kFinalEventGrace =
-    150ms;  // ours: beyond the deadline, for what servers sent until then
-constexpr Span kDefaultBodyTimeout = 30s;  // ours: where no route is known yet
+constexpr Span kFinalEventGrace = 150ms;  // beyond the deadline, for what servers have sent by then
+constexpr Span kDefaultBodyTimeout = 30s;  // if the route is not known yet
 constexpr std::uint64_t kMaxTimeoutMs = 600000;
 
 std::string headerOf(const http::request_header<>& request, const std::string& name) {
@@ -33,15 +32,15 @@
 
 Instant streamDeadline(const RelayRequest& job) { return job.deadline + kFinalEventGrace; }
 
-// The route's time, or the caller's own where that is shorter.
+// The timeout of the route, or that of the caller if it is shorter.
 Span Relay::timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const {
-  const Span due = policy.due;
-  const auto named = numberOf(headerOf(head, headerNames_.dueMs));
-  if (!named) return due;
-  return std::min<Span>(due, std::chrono::milliseconds(std::min(*named, kMaxTimeoutMs)));
+  const Span timeout = policy.due;
+  const auto requested = numberOf(headerOf(head, headerNames_.dueMs));
+  if (!requested) return timeout;
+  return std::min<Span>(timeout, std::chrono::milliseconds(std::min(*requested, kMaxTimeoutMs)));
 }
 
-// A body that is not in by then is not worth waiting for.
+// The time by which the body must have arrived: after the request's deadline it is of no use.
 Instant Relay::bodyDeadline(const http::request_header<>& head, Instant startedAt) const {
   const auto configuration = view_->configuration;
   const std::string target(head.target());
@@ -53,11 +52,12 @@
          std::min(kDefaultBodyTimeout, timeoutFor(head, configuration->policies.at(route->policy)));
 }
 
+// Builds an error response.
 HttpResponse Relay::reject(ErrorKind kind, const std::string& why, const std::string& id) {
   HttpResponse response = errorResponse({kind, why});
   if (kind == ErrorKind::TurnedAway) {
     ++counters_.turnedAway;
-    // Spread, so that those refused together don't come back together.
+    // Randomised, so that callers rejected at the same time do not retry at the same time.
     const auto tenths = 2 + random_() % 4;
     response.set(http::field::retry_after, "0." + std::to_string(tenths));
   }
@@ -65,13 +65,14 @@
   return response;
 }
 
+// Fills in `job`, or returns the error response if the request is not admitted.
 std::optional<HttpResponse> Relay::intake(const HttpRequest& request, RelayRequest* job) {
   const std::string id = headerOf(request, headerNames_.requestId);
   job->id = RequestId{id};
   if (isRejecting_) return reject(ErrorKind::TurnedAway, "this daemon is leaving", id);
-  const auto& seen = *view_;
-  const Span unconfirmed = BootClock::now() - seen.confirmedAt;
-  if (!seen.configuration || unconfirmed >= settings_.freshLimit) {
+  const auto& currentView = *view_;
+  const Span unconfirmed = BootClock::now() - currentView.confirmedAt;
+  if (!currentView.configuration || unconfirmed >= settings_.freshLimit) {
     ++counters_.unconfirmed;
     return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now", id);
   }
@@ -81,7 +82,7 @@
       return reject(ErrorKind::TurnedAway, "the configuration is not confirmed: " + why, id);
     return reject(kind, why, id);
   };
-  const Configuration& configuration = *seen.configuration;
+  const Configuration& configuration = *currentView.configuration;
   const std::string path = pathOf(request);
   const Route* route = findRoute(configuration, headerOf(request, "Host"), path);
   if (!route) return deny(ErrorKind::UnknownWay, "no route for '" + path + "'");
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -1,5 +1,5 @@
-// The relay's leave: it accepts for as long as connections may still be handed to it, ends what it
-// accepted, and is gone before it would be killed.
+// Graceful shutdown of the relay. Accepts requests as long as the platform may still hand over
+// connections, completes those accepted, and finishes before it would be killed.
 #include "relay/leaving.h"
 
 #include <sys/socket.h>
@@ -13,15 +13,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The platform asks for readiness once a second and takes out who missed twice; the third second
-// covers its question under way and the handing over.
+// The platform checks readiness once a second and removes an instance after two failures. The third
+// second covers a check in progress and the handover of connections.
 constexpr Span kHandoverPeriod = 3s;
-constexpr Span kRejectPeriod = 500ms;  // ours: connections handed over last are refused, not reset
-constexpr Span kAbortMargin = 500ms;   // ours: before the kill, for the final answers to be written
-constexpr Span kExitMargin = 250ms;    // ours: before the kill, for the process to end
+constexpr Span kRejectPeriod = 500ms;  // late connections get a rejection instead of a reset
+constexpr Span kAbortMargin = 500ms;   // before the kill, to write the final responses
+constexpr Span kExitMargin = 250ms;    // before the kill, for the process to exit
 constexpr Span kCheckInterval = 20ms;
 
-// Bytes of a request wait there unread.
+// True if unread bytes of a request are available.
 bool hasBytes(Tcp::socket& socket) {
   char byte = 0;
   return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
@@ -54,8 +54,9 @@
   hasLeft_ = true;
 }
 
-// A request that crosses this close on its way is never read, and its caller learns so by the
-// reset. What came before the close is there to be seen, and is read and answered.
+// Closes connections without a request. A request that is in transit at that moment is never read,
+// and the connection reset tells its caller so. Bytes that arrived before the close are visible
+// here; their request is read and answered.
 void Relay::closeIdleCallers() {
   for (const auto& weak : callerList_) {
     const auto caller = weak.lock();
@@ -64,6 +65,7 @@
   }
 }
 
+// True if a request is in progress or has arrived.
 bool Relay::isBusy() const {
   return std::any_of(callerList_.begin(), callerList_.end(), [](const auto& weak) {
     const auto caller = weak.lock();
@@ -71,7 +73,8 @@
   });
 }
 
-// Each caller gets the answer that is true of its request; an answer that has begun is cut.
+// Aborts all attempts. Each caller gets the response that is true of its request; a response that
+// has started is truncated.
 void Relay::abortAttempts() {
   for (const auto& weak : callerList_) {
     const auto caller = weak.lock();
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -1,19 +1,21 @@
 #pragma once
-// When a relay that was told to end does what. Pure: the signal's instant and the grace in,
-// instants out; front.cpp acts by them.
+// The schedule of a graceful shutdown. A pure function of the time of the signal and the grace
+// period; leaving.cpp acts on it.
 #include "base/clock.h"
 
 namespace quayrill {
 
-// In this order, whatever the grace.
+// The stages of a graceful shutdown. Their order is the same for any grace period.
 struct LeaveSchedule {
-  Instant rejectFrom{};    // requests read later are refused unrun: they might not end in time
-  Instant earliestExit{};  // not sooner, so that whoever still comes gets a refusal and no reset
-  Instant abortAt{};       // what still runs gets its final answer now
-  Instant exitBy{};        // whoever has not taken that answer by now never gets it
+  Instant rejectFrom{};  // requests read from now on are rejected without being run, as they might
+                         // not finish in time
+  Instant earliestExit{};  // not earlier, so that late callers get a rejection instead of a
+                           // connection reset
+  Instant abortAt{};       // requests still running get a final response now
+  Instant exitBy{};        // callers that have not read that response by now will not get it
 };
 
-// `grace`: from the signal to the kill, of any length.
+// `grace`: the time between the signal and the forced kill, of any length.
 LeaveSchedule leaveSchedule(Instant signalAt, Span grace);
 
 }  // namespace quayrill
--- a/src/relay/part_event_batch.cpp
+++ b/src/relay/part_event_batch.cpp
@@ -5,19 +5,21 @@
 
 namespace quayrill {
 
-void truncateToNewest(PartEvents* told) {
-  auto& events = told->events;
+void truncateToNewest(PartEvents* partEvents) {
+  auto& events = partEvents->events;
   if (events.size() <= kMaxSharedEvents) return;
   const auto surplus = static_cast<std::ptrdiff_t>(events.size() - kMaxSharedEvents);
-  told->first = events[events.size() - kMaxSharedEvents - 1].position;
-  told->hasGap = false;
+  partEvents->first = events[events.size() - kMaxSharedEvents - 1].position;
+  partEvents->hasGap = false;
   events.erase(events.begin(), events.begin() + surplus);
 }
 
-PartEventBatch toBatch(const ServerName& source, const PartEvents& told) {
-  PartEventBatch batch{source, true, told.incarnation, told.first, told.next, told.hasGap, {}};
+PartEventBatch toBatch(const ServerName& source, const PartEvents& partEvents) {
+  PartEventBatch batch{
+      source, true, partEvents.incarnation, partEvents.first, partEvents.next, partEvents.hasGap,
+      {}};
   std::map<std::tuple<CacheSalt, ModelName>, PartEventGroup> groups;
-  for (const PartEvent& event : told.events) {
+  for (const PartEvent& event : partEvents.events) {
     PartEventGroup& group = groups[{event.salt, event.model}];
     group.salt = event.salt;
     group.model = event.model;
@@ -28,16 +30,16 @@
 }
 
 PartEvents fromBatch(const PartEventBatch& batch) {
-  PartEvents told{batch.life, batch.first, batch.next, batch.hasGap, {}};
+  PartEvents partEvents{batch.life, batch.first, batch.next, batch.hasGap, {}};
   for (const PartEventGroup& group : batch.groups) {
     for (const PartEventRow& row : group.rows)
-      told.events.push_back(
+      partEvents.events.push_back(
           {row.position, row.isAdded, group.salt, row.part, row.tokens, group.model});
   }
   std::stable_sort(
-      told.events.begin(), told.events.end(),
+      partEvents.events.begin(), partEvents.events.end(),
       [](const PartEvent& left, const PartEvent& right) { return left.position < right.position; });
-  return told;
+  return partEvents;
 }
 
 }  // namespace quayrill
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -1,5 +1,6 @@
-// Cache events: read from the sources that fall to this daemon, told to the fleet, and taken from
-// it. What this daemon's requests do at servers is told the same way.
+// Cache events: reads them from the sources assigned to this daemon, shares them with the fleet,
+// and applies those shared by other daemons. The outstanding requests of this daemon are shared in
+// the same way.
 #include "relay/part_event_batch.h"
 #include "relay/relay.h"
 
@@ -8,11 +9,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kServerPollInterval = 1s;  // ours: each source is asked once in this time
+constexpr Span kServerPollInterval = 1s;  // how often each server is polled
 constexpr Span kStorePollInterval =
-    500ms;  // ours: requests wait at servers for a store that is down
+    // Shorter, because requests wait at servers while the store is down.
+    500ms;
 constexpr Span kFetchTimeout = 500ms;
-constexpr Span kCheckInterval = 100ms;  // ours: for sources that are due
+constexpr Span kCheckInterval = 100ms;  // how often to look for sources to poll
 constexpr Span kReportInterval = 100ms;
 }  // namespace
 
@@ -31,14 +33,14 @@
 
 void Relay::applyBatch(const PartEventBatch& batch) {
   if (isStore(batch.source)) placement_.setStoreReachable(batch.isReachable);
-  // Without a life nothing was told but that the source is there.
+  // Without an incarnation the batch only says that the source is reachable.
   if (batch.isReachable && !batch.life.empty()) applyEvents(batch.source, fromBatch(batch));
 }
 
-void Relay::applyEvents(const ServerName& source, const PartEvents& told) {
+void Relay::applyEvents(const ServerName& source, const PartEvents& partEvents) {
   ++counters_.eventBatches;
   const std::uint64_t before = placement_.gaps();
-  placement_.applyPartEvents(source, told);
+  placement_.applyPartEvents(source, partEvents);
   counters_.eventGaps += placement_.gaps() - before;
 }
 
@@ -48,6 +50,7 @@
          configuration->stores.begin()->second.address.value == source.value;
 }
 
+// Regularly reports outstanding work and new cache events to the fleet.
 awaitable<void> Relay::reportLoop() {
   for (;;) {
     co_await pauseFor(kReportInterval);
@@ -61,24 +64,28 @@
   }
 }
 
+// Polls each assigned source at its interval.
 awaitable<void> Relay::eventLoop() {
-  std::map<ServerName, Instant> dueAt;
+  std::map<ServerName, Instant> nextPollAt;
   for (;;) {
-    const auto seen = view_;
+    const auto currentView = view_;
     const Instant now = BootClock::now();
-    std::erase_if(dueAt, [&](const auto& row) { return !seen->eventSources.contains(row.first); });
-    for (const ServerName& source : seen->eventSources) {
-      const Span round = isStore(source) ? kStorePollInterval : kServerPollInterval;
-      // Spread from the start, so that sources are asked one after the other.
-      const auto [due, isNew] = dueAt.try_emplace(source, now + round * (random_() % 100) / 100);
-      if (isNew || now < due->second) continue;
-      due->second = now + round;
+    std::erase_if(nextPollAt,
+                  [&](const auto& row) { return !currentView->eventSources.contains(row.first); });
+    for (const ServerName& source : currentView->eventSources) {
+      const Span interval = isStore(source) ? kStorePollInterval : kServerPollInterval;
+      // Spread over the interval, so that sources are not all polled at once.
+      const auto [pollAt, isNew] =
+          nextPollAt.try_emplace(source, now + interval * (random_() % 100) / 100);
+      if (isNew || now < pollAt->second) continue;
+      pollAt->second = now + interval;
       asio::co_spawn(io_, pullEvents(source), asio::detached);
     }
     co_await pauseFor(kCheckInterval);
   }
 }
 
+// Reads new events from one source, applies them and queues them for the next report.
 awaitable<void> Relay::pullEvents(ServerName source) {
   const std::uint64_t since = placement_.eventPosition(source);
   const auto body = co_await fetchEvents(source, since);
@@ -86,21 +93,21 @@
   batch.source = source;
   batch.isReachable = body.ok();
   if (body.ok() && !body->empty()) {
-    auto told = dialect_.partEvents->parse(*body);
-    if (!told.ok()) co_return;
-    told->first = since;
-    applyEvents(source, *told);
-    truncateToNewest(&*told);
-    batch = toBatch(source, *told);
+    auto partEvents = dialect_.partEvents->parse(*body);
+    if (!partEvents.ok()) co_return;
+    partEvents->first = since;
+    applyEvents(source, *partEvents);
+    truncateToNewest(&*partEvents);
+    batch = toBatch(source, *partEvents);
   }
   if (isStore(source)) placement_.setStoreReachable(batch.isReachable);
-  const bool isTold = isStore(source) || (batch.isReachable && !batch.groups.empty());
+  const bool isShareable = isStore(source) || (batch.isReachable && !batch.groups.empty());
   const bool isShared = settings_.mechanisms.has(Mechanism::SharedEvents);
-  if (isTold && isShared && reporter_) unreportedBatches_.push_back(std::move(batch));
+  if (isShareable && isShared && reporter_) unreportedBatches_.push_back(std::move(batch));
 }
 
-// The body of a successful answer, "" where the source has none now; an error where it can't be
-// reached.
+// Requests events from a source. Returns the body of a successful response, "" for any other
+// response, and an error if the source is unreachable.
 awaitable<absl::StatusOr<std::string>> Relay::fetchEvents(ServerName source, std::uint64_t since) {
   auto connection = pool_.acquireIdle(source, BootClock::now());
   if (!connection) {
@@ -108,12 +115,12 @@
     if (!connected.ok()) co_return connected.status();
     connection = std::move(*connected);
   }
-  auto open = std::make_shared<Tcp::socket*>(&connection->socket);
+  auto openSocket = std::make_shared<Tcp::socket*>(&connection->socket);
   asio::steady_timer timer(io_);
   timer.expires_after(kFetchTimeout);
-  timer.async_wait([open](const ErrorCode& code) {
+  timer.async_wait([openSocket](const ErrorCode& code) {
     ErrorCode ignored;
-    if (!code && *open) (*open)->close(ignored);
+    if (!code && *openSocket) (*openSocket)->close(ignored);
   });
   const std::string text = "GET " + dialect_.partEvents->target(since) +
                            " HTTP/1.1\r\nHost: " + source.value + "\r\n\r\n";
@@ -122,7 +129,7 @@
   http::response_parser<http::string_body> parser;
   parser.body_limit(4 << 20);
   if (!code) co_await http::async_read(connection->socket, connection->buffer, parser, into(code));
-  *open = nullptr;
+  *openSocket = nullptr;
   timer.cancel();
   if (code) co_return absl::UnavailableError("cache events: " + code.message());
   std::string body = parser.get().result_int() == 200 ? parser.get().body() : std::string{};
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,4 +1,4 @@
-// One request's way through the relay: places, tries, and what each end of a try means.
+// Runs one request over its attempts: places it, evaluates each attempt, and decides on retries.
 #include "relay/relay.h"
 
 #include <glog/logging.h>
@@ -13,16 +13,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Ours: from a request's sending to its first token, as a rule. One that waits longer is ended when
-// its server's weights may be begun on no more.
+// The usual upper limit for the time between sending a request and its first token. A request that
+// waits longer is aborted when its server's weights may no longer be used for new responses.
 constexpr Span kExpectedStartDelay = 2s;
-// Ours: from a server's first token until it is seen here, and from a close here until the server
-// knows of it.
+// Covers the time from a server's first token until it arrives here, and from a close here
+// until the server notices it.
 constexpr Span kStartDeadlineMargin = 200ms;
-constexpr Span kFirstEventSlack = 400ms;  // ours: beyond the route's target for a first event
+constexpr Span kFirstEventSlack = 400ms;  // added to the route's target for the first event
 }  // namespace
 
-// One try for operators: how it ended, and what was expected where it was placed.
 std::string describeAttempt(const PlacementResult& placed, const AttemptResult& result) {
   const Candidate& chosen = placed.chosen;
   const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.timeToFirstEvent);
@@ -43,10 +42,10 @@
   return kNames[static_cast<std::size_t>(outcome)];
 }
 
-void Relay::applySnapshot(Snapshot told, Instant requestedAt) {
-  asio::post(io_, [this, told = std::move(told), requestedAt] {
+void Relay::applySnapshot(Snapshot snapshot, Instant requestedAt) {
+  asio::post(io_, [this, snapshot = std::move(snapshot), requestedAt] {
     auto next = std::make_shared<ProxyView>(
-        nextView(*view_, told, requestedAt, dialect_.readConfiguration));
+        nextView(*view_, snapshot, requestedAt, dialect_.readConfiguration));
     if (next->configurationVersion != view_->configurationVersion) {
       ++counters_.configurationChanges;
       const auto& stores = next->configuration->stores;
@@ -55,7 +54,7 @@
       else
         placement_.setStore(stores.begin()->second.address, stores.begin()->second.cacheTokens);
     }
-    // The platform's list tells no load; what answers show stays.
+    // The platform's list does not report load; keeps the load that responses reported.
     for (ServerState& server : next->servers) server.polledAt = Instant{};
     view_ = std::move(next);
     serverRows_.clear();
@@ -63,7 +62,7 @@
     placement_.setServers(view_->servers);
     const Instant now = BootClock::now();
     pool_.closeExpired(now);
-    updateRetryBudgets(told.proxies, now);
+    updateRetryBudgets(snapshot.proxies, now);
     std::erase_if(lastActivity_,
                   [this](const auto& row) { return !serverRows_.contains(row.first); });
   });
@@ -81,49 +80,54 @@
   return lastActivity;
 }
 
-// Asked right before a request's first byte leaves: what let it in must still stand.
+// Called right before the first byte of a request is sent: everything that admitted the request
+// must still hold.
 bool Relay::isStillAllowed(const RelayRequest& job, const ServerState& server) const {
-  const auto& seen = *view_;
+  const auto& currentView = *view_;
   if (isAborting_) return false;
-  if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.freshLimit)
+  if (!currentView.configuration ||
+      BootClock::now() - currentView.confirmedAt >= settings_.freshLimit)
     return false;
   if (job.needsKey) {
-    const auto owner = seen.configuration->tenantOfDigest.find(job.keyDigest);
-    if (owner == seen.configuration->tenantOfDigest.end() || owner->second != job.tenant)
+    const auto owner = currentView.configuration->tenantOfDigest.find(job.keyDigest);
+    if (owner == currentView.configuration->tenantOfDigest.end() || owner->second != job.tenant)
       return false;
   }
   const auto row = serverRows_.find(server.name);
   if (row == serverRows_.end()) return false;
-  const ServerState& now = seen.servers[row->second];
+  const ServerState& now = currentView.servers[row->second];
   return !now.leaving && now.identity == server.identity &&
          startDeadline(server) > BootClock::now();
 }
 
-// By the weights that a request for that server asks for.
+// The time until which a response may start, given the weights that the request asks the
+// server for.
 Instant Relay::startDeadline(const ServerState& server) const {
-  const Instant until = view_->usableUntil(server, settings_.rolloutDue);
-  return until == Instant::max() || until == Instant::min() ? until : until - kStartDeadlineMargin;
+  const Instant usableUntil = view_->usableUntil(server, settings_.rolloutDue);
+  return usableUntil == Instant::max() || usableUntil == Instant::min()
+             ? usableUntil
+             : usableUntil - kStartDeadlineMargin;
 }
 
 std::optional<PlacementResult> Relay::place(const RelayRequest& job,
                                             const std::set<ServerName>& tried) {
-  PlacementRequest asked{job.model, job.tenant, job.isolationSalt, job.prefix, tried};
-  std::vector<SplitShare> left = job.split;
+  PlacementRequest request{job.model, job.tenant, job.isolationSalt, job.prefix, tried};
+  std::vector<SplitShare> shares = job.split;
   const Instant now = BootClock::now();
-  // What is sent now may wait at the server before it begins.
-  asked.isAllowed = [this, now](const ServerState& server) {
+  // A request sent now may have to wait at the server before its response starts.
+  request.isAllowed = [this, now](const ServerState& server) {
     return startDeadline(server) > now + kExpectedStartDelay;
   };
-  while (!left.empty()) {
+  while (!shares.empty()) {
     std::uint64_t sum = 0;
-    for (const SplitShare& share : left) sum += share.weight;
+    for (const SplitShare& share : shares) sum += share.weight;
     if (sum == 0) break;
-    std::uint64_t drawn = random_() % sum;
-    auto chosen = left.begin();
-    while (drawn >= chosen->weight) drawn -= (chosen++)->weight;
-    asked.service = chosen->service;
-    if (auto placed = placement_.place(asked, now)) return placed;
-    left.erase(chosen);
+    std::uint64_t pick = random_() % sum;
+    auto chosen = shares.begin();
+    while (pick >= chosen->weight) pick -= (chosen++)->weight;
+    request.service = chosen->service;
+    if (auto placed = placement_.place(request, now)) return placed;
+    shares.erase(chosen);
   }
   return std::nullopt;
 }
@@ -140,7 +144,7 @@
       pool_.dropIdle(server.name);
       break;
     case AttemptOutcome::NeverSent:
-      // Where a connection came up, what stopped the request was not the server.
+      // If a connection was established, the server is not the reason that nothing was sent.
       if (!result.isUnreachable) break;
       placement_.noteFailure(server.name, now);
       pool_.dropIdle(server.name);
@@ -152,21 +156,24 @@
   }
 }
 
+// Returns the response that is still to be sent to the caller; nullopt if nothing more is to be
+// sent.
 awaitable<std::optional<HttpResponse>> Relay::run(const std::shared_ptr<Caller>& caller,
                                                   const RelayRequest& job, bool keepAlive) {
   std::set<ServerName> tried, sentTo;
   ResponseProgress progress;
   if (job.resumeAfter > 0) progress.lastEventId = job.resumeAfter;
-  // arrivals: sends that may have reached a server. mayHaveRun only rises: while it is false,
-  // refusing the request is the truth.
-  std::size_t sentAttempts = 0, unsentAttempts = 0;
+  // sentAttempts counts attempts that may have reached a server, uncountedAttempts those that do
+  // not count against the route's limit of servers. mayHaveRun never returns to false: as long as
+  // it is false, the request can be rejected as not run.
+  std::size_t sentAttempts = 0, uncountedAttempts = 0;
   bool mayHaveRun = false, isCountedInBudget = false;
   std::string lastDetail = "no server is free", attemptLog;
   std::optional<HttpResponse> failure;
   AttemptOutcome lastOutcome = AttemptOutcome::NeverSent;
   const bool mayRetry = settings_.mechanisms.has(Mechanism::FurtherTries);
   const std::size_t maxServers = mayRetry ? std::max<std::size_t>(1, job.policy.tries) : 1;
-  while (BootClock::now() < job.deadline && unsentAttempts < 4 && !caller->isDisconnected &&
+  while (BootClock::now() < job.deadline && uncountedAttempts < 4 && !caller->isDisconnected &&
          !isAborting_) {
     const auto placed = place(job, tried);
     if (!placed) break;
@@ -175,7 +182,7 @@
     AtEnd release([this, alive = alive_, ticket = placed->ticket, &ran] {
       if (*alive) placement_.release(ticket, ran, BootClock::now());
     });
-    // One that said what it lacked may be asked again; each other one counts.
+    // The same server may be used again after it said what it expects; each other server counts.
     if (sentTo.size() >= maxServers && !sentTo.contains(server.name)) break;
     Instant firstDeadline = job.deadline;
     const Instant now = BootClock::now();
@@ -200,7 +207,7 @@
       break;
     if (result.isRetryBudgetSpent) break;
     if (result.outcome == AttemptOutcome::NeverSent) {
-      ++unsentAttempts;
+      ++uncountedAttempts;
       tried.insert(server.name);
       continue;
     }
@@ -208,16 +215,16 @@
     ++sentAttempts;
     sentTo.insert(server.name);
     if (result.outcome == AttemptOutcome::NotRun && result.retrySameServer) {
-      if (++unsentAttempts >= 3) break;
-      continue;  // the same server, by what it just said
+      if (++uncountedAttempts >= 3) break;
+      continue;  // the same server, with what it just reported
     }
     tried.insert(server.name);
     failure = std::move(result.failure);
     if (result.outcome == AttemptOutcome::NotRun) continue;
     mayHaveRun = true;
     if (!job.policy.repeatable) break;
-    const bool canGoOn = job.policy.isResumable && progress.canResume;
-    if (progress.headSent && !canGoOn) break;
+    const bool canContinue = job.policy.isResumable && progress.canResume;
+    if (progress.headSent && !canContinue) break;
   }
   if (lastOutcome == AttemptOutcome::Done) {
     ++counters_.done;
@@ -230,7 +237,7 @@
     recordDecision(job, attemptLog, "caller gone");
     co_return std::nullopt;
   }
-  if (progress.headSent) {  // nothing may follow but the close: a cut answer never looks complete
+  if (progress.headSent) {  // closes without an end mark: a truncated response never looks complete
     ++counters_.cut;
     ErrorCode code;
     caller->socket.close(code);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,7 +1,7 @@
 #pragma once
-// The relay: requests go unchanged to a server of their route's service, answers come back as they
-// are made. One traffic thread owns all of it: connections, the index, the budget of extra tries.
-// Whoever else has something for it posts a command.
+// The streaming proxy. Forwards each request unchanged to a server of its route's service, and
+// streams the response back as it is produced. One traffic thread owns all state: connections, the
+// cache index and the retry budgets. Other threads post work to it.
 #include <list>
 #include <memory>
 #include <random>
@@ -22,7 +22,7 @@
 
 namespace quayrill {
 
-// What is known of a request when it has passed the intake.
+// A request that has passed the intake checks.
 struct RelayRequest {
   RequestId id;
   RoutePolicy policy;
@@ -30,98 +30,114 @@
   bool needsKey = true;
   std::string keyDigest;
   TenantName tenant;
-  CacheSalt isolationSalt;  // "" where cache is shared
+  CacheSalt isolationSalt;  // "" where the cache is shared between tenants
   ModelName model;
   PromptPrefix prefix;
-  std::uint64_t resumeAfter = 0;    // the caller's own last event
+  std::uint64_t resumeAfter = 0;    // the last event id that the caller has, if it resumes a stream
   unsigned priority = 1;            // 0 is the most urgent
-  Instant startedAt{}, deadline{};  // from its first byte on
+  Instant startedAt{}, deadline{};  // startedAt is when its first byte was read
   HttpRequest original;
 };
 
-// The latest that an answer which has begun goes on, and that its bytes wait for a caller: servers
-// end at the deadline by themselves, and their last words need a moment.
+// The time until which a response that has started may continue, and until which its bytes wait for
+// a slow caller. Later than the deadline: servers stop at the deadline by themselves, and their
+// last bytes take a moment to arrive.
 Instant streamDeadline(const RelayRequest& job);
 
-// One caller's connection.
+// A connection from a caller.
 struct Caller {
   explicit Caller(Tcp::socket accepted)
       : socket(std::move(accepted)), timer(socket.get_executor()) {}
   Tcp::socket socket;
   asio::steady_timer timer;
   beast::flat_buffer buffer;
-  // At `deadline` the timer cancels what waits on the socket. It is armed for no later than that.
+  // At `deadline`, the timer cancels pending operations on the socket. The timer is set for
+  // `timerSetFor`, which is never later than `deadline`.
   Instant deadline = Instant::max(), timerSetFor = Instant::max();
   bool timedOut = false;
-  bool isIdle = true;          // nothing of a next request was read
-  Instant requestStartedAt{};  // when the first byte of the request now read or answered was there
-  bool isDisconnectWatched = false;  // a wait for the caller's leaving is under way
-  bool staysOpen = true;             // after the answer under way
-  bool isAwaitingResponse = false;   // a whole request was read, and its answer is not out yet
-  bool isDisconnected = false;       // it closed, or half-closed, while an answer was owed
-  bool mayAbort = false;             // the request owed is of no more use once the caller has left
-  std::function<void()> abortAttempt;  // while a server has the request: ends the connection to it
+  bool isIdle = true;                // no byte of a next request has been read
+  Instant requestStartedAt{};        // when the first byte of the current request was read
+  bool isDisconnectWatched = false;  // a wait for the caller's disconnect is pending
+  bool staysOpen = true;             // stays open after the current response
+  bool isAwaitingResponse = false;   // a whole request was read and its response is not complete
+  bool isDisconnected = false;       // it closed or half-closed while a response was pending
+  bool mayAbort = false;             // the current request may be aborted if the caller disconnects
+  std::function<void()>
+      abortAttempt;  // while a server has the request: closes the connection to that server
 };
 
-// What reached the caller so far, over all tries.
+// What has been sent to the caller so far, over all attempts.
 struct ResponseProgress {
   bool headSent = false;
   std::optional<std::uint64_t> lastEventId;
-  bool canResume = true;  // a further run can be told where to go on
+  bool canResume = true;  // another server can continue the stream
   std::uint64_t events = 0;
 };
 
+// How an attempt ended, as far as this daemon knows.
 enum class AttemptOutcome {
-  NeverSent,  // no byte left for the server
-  NotRun,     // the server's own word
-  Unknown,    // it may have run; nothing reached the caller
-  Silent,     // the same, after the time for a first event
-  Done,       // the caller has a whole answer
-  Cut,        // events reached the caller, then the answer broke
+  NeverSent,  // no byte was sent to the server
+  NotRun,     // the server reported that it did not run the request
+  Unknown,    // the request may have run; nothing was sent to the caller
+  Silent,     // the same, because there was no first event in time
+  Done,       // the caller has a complete response
+  Cut,        // events were sent to the caller, then the response broke off
   CallerGone,
 };
+// The outcome's name in decision records.
 const char* attemptOutcomeName(AttemptOutcome outcome);
 struct AttemptResult;
+// One attempt as text for the decision record: how it ended, and what was estimated for its server.
 std::string describeAttempt(const PlacementResult& placed, const AttemptResult& result);
 
+// The result of one attempt.
 struct AttemptResult {
   AttemptOutcome outcome{};
   std::string detail;
-  Span timeToFirstEvent{};                // to the first event
-  std::optional<HttpResponse> failure{};  // the server's own failure, whole, for where it stands
-  bool retrySameServer = false;           // the server said what it lacked: ask it again
-  bool isUnreachable = false;             // no connection came up
-  bool isRetryBudgetSpent = false;        // the budget bore no extra try when it was to leave
+  // From the start of the attempt to the first event.
+  Span timeToFirstEvent{};
+  std::optional<HttpResponse>
+      // The server's complete error response, in case it has to be forwarded to the caller.
+      failure{};
+  bool retrySameServer =
+      // The request may be sent to the same server again, because the server said what it expects.
+      false;
+  bool isUnreachable = false;       // no connection could be established
+  bool isRetryBudgetSpent = false;  // the attempt was a retry that the budget did not allow
 };
 
-// How one try is to be made.
+// Parameters of an attempt.
 struct AttemptOptions {
-  Instant firstDeadline{};  // by when the answer must have begun
-  bool keepAlive = false;   // the caller's connection stays open behind the answer
-  bool isRetry = false;     // the request reached a server before: the budget has to bear this
+  Instant firstDeadline{};  // the response must have started by then
+  bool keepAlive = false;   // the caller's connection stays open after the response
+  bool isRetry = false;     // a retry, which the retry budget must allow
 };
 
+// The streaming proxy of one daemon.
 class Relay {
  public:
   Relay(Settings settings, Dialect dialect);
   ~Relay();
   absl::Status start();
-  // Called by the agent's thread, each time that something may have changed.
-  void applySnapshot(Snapshot told, Instant requestedAt);
-  // What the fleet's data planes observe. Called by the agent's thread.
+  // Applies a new snapshot from the agent. Called on the agent's thread whenever something may have
+  // changed.
+  void applySnapshot(Snapshot snapshot, Instant requestedAt);
+  // Applies what the data planes of the fleet have observed. Called on the agent's thread.
   void applyDigest(PlaneDigest digest, Instant receivedAt);
-  // Who tells the fleet what this data plane observes. Set it before start; called on the traffic
-  // thread.
+  // The function that shares this data plane's observations with the fleet. Set it before start().
+  // It is called on the traffic thread.
   using Reporter = std::function<void(PlaneReport)>;
   void setReporter(Reporter reporter) { reporter_ = std::move(reporter); }
-  // Not ready from now on. Accepts, ends what it accepted, and has left before the grace is over.
+  // Starts a graceful shutdown: reports not ready at once, still accepts requests for a while,
+  // completes the accepted ones, and finishes before the grace period is over.
   void beginLeaving();
   bool hasLeft() const { return hasLeft_; }
+  // Stops at once.
   void stop();
   std::size_t openConnections() const { return openCallers_; }
 
  private:
-  // front.cpp: connections of callers
+  // caller_connections.cpp: connections from callers
   awaitable<void> accept(Tcp::acceptor& acceptor);
   awaitable<void> serveCaller(std::shared_ptr<Caller> caller);
   awaitable<bool> readRequest(const std::shared_ptr<Caller>& caller, HttpRequest* request);
@@ -129,7 +145,8 @@
                                bool keepAlive);
   void setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline);
   void watchForDisconnect(const std::shared_ptr<Caller>& caller);
-  // Whether the connection outlasts this answer. Asked last when the answer's head is made.
+  // Decides whether the connection stays open after this response. Call it when the response's head
+  // is created.
   bool keepsOpen(const std::shared_ptr<Caller>& caller, bool keepAlive) const;
   awaitable<void> drain(const std::shared_ptr<Caller>& caller);
   bool isReady(Instant now) const;
@@ -141,13 +158,13 @@
   bool isBusy() const;
   void abortAttempts();
 
-  // intake.cpp
+  // intake.cpp: authentication, routing and limits
   Span timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const;
   Instant bodyDeadline(const http::request_header<>& head, Instant startedAt) const;
   std::optional<HttpResponse> intake(const HttpRequest& request, RelayRequest* job);
   HttpResponse reject(ErrorKind kind, const std::string& why, const std::string& id);
 
-  // relay.cpp: one request over its tries
+  // relay.cpp: one request over all its attempts
   awaitable<std::optional<HttpResponse>> run(const std::shared_ptr<Caller>& caller,
                                              const RelayRequest& job, bool keepAlive);
   void updateRetryBudgets(std::size_t daemons, Instant now);
@@ -157,21 +174,21 @@
   void applyOutcome(const ServerState& server, const AttemptResult& result);
   void recordDecision(const RelayRequest& job, const std::string& tries, const char* outcome);
 
-  // part_events.cpp: what servers and the store keep
+  // part_events.cpp: cache events of servers and of the store
   awaitable<void> eventLoop();
   awaitable<void> reportLoop();
   awaitable<void> pullEvents(ServerName source);
   awaitable<absl::StatusOr<std::string>> fetchEvents(ServerName source, std::uint64_t since);
   void applyBatch(const PartEventBatch& batch);
-  void applyEvents(const ServerName& source, const PartEvents& told);
+  void applyEvents(const ServerName& source, const PartEvents& partEvents);
   bool isStore(const ServerName& source) const;
   std::shared_ptr<Instant> lastActivityOf(const ServerName& server);
 
-  // attempt.cpp: one try at one server
+  // attempt.cpp: one attempt at one server
   struct Attempt;
   awaitable<AttemptResult> attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
                                    const PlacementResult& placed, ResponseProgress* progress,
-                                   const AttemptOptions& asked);
+                                   const AttemptOptions& options);
   std::string reasonNotToSend(const Caller& caller, const RelayRequest& job,
                               const ServerState& server, Instant now) const;
   void returnConnection(Attempt& attempt, const AttemptResult& result);
@@ -180,7 +197,7 @@
   std::string requestHead(const RelayRequest& job, const PlacementResult& placed, Instant now,
                           const ResponseProgress& progress) const;
 
-  // answer.cpp: what comes back
+  // response.cpp: responses of servers
   awaitable<absl::StatusOr<std::string>> readBody(Attempt& attempt);
   AttemptResult handleNotRun(const Attempt& attempt, const http::response_header<>& head);
   awaitable<AttemptResult> readResponse(Attempt& attempt);
@@ -198,19 +215,21 @@
   RetryBudgets budgets_;
   RetrySlack retrySlack_;
   ConnectionPool pool_;
-  std::map<ServerName, std::size_t> serverRows_;  // row of each server in view_
+  std::map<ServerName, std::size_t> serverRows_;  // index of each server in view_
   std::list<std::weak_ptr<Caller>> callerList_;
-  // When each listed server last sent anything: one that answers others is slow, not silent.
+  // When each listed server last sent anything. Distinguishes a slow server, which still answers
+  // other requests, from a silent one.
   std::map<ServerName, std::shared_ptr<Instant>> lastActivity_;
   Reporter reporter_;
-  std::vector<PartEventBatch> unreportedBatches_;  // since the last report
+  std::vector<PartEventBatch> unreportedBatches_;  // read since the last report
   Counters counters_;
   DecisionLog decisions_{5000};
   std::mt19937_64 random_{std::random_device{}()};
   std::atomic<std::size_t> openCallers_{0};
   std::atomic<bool> leaving_{false}, hasLeft_{false};
-  bool isRejecting_ = false, isAborting_ = false;  // by LeaveSchedule
-  // False once this is being destroyed: what coroutines let go of is gone then.
+  bool isRejecting_ = false, isAborting_ = false;  // stages of LeaveSchedule
+  // Set to false by the destructor. Coroutines that are destroyed later check it before they access
+  // members.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::thread thread_;
 };
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -1,11 +1,12 @@
-// The head of a request as a server gets it.
+// Builds the head of a request as it is sent to a server.
 #include "relay/header_text.h"
 #include "relay/relay.h"
 
 namespace quayrill {
 
 namespace {
-// What is soon read goes first among requests of like priority: it hardly holds the others up.
+// The less there is to prefill, the more urgent a request is among those of equal priority, because
+// it delays the others very little.
 unsigned urgencyOf(const RelayRequest& job, const PlacementResult& placed) {
   unsigned steps = 0;
   for (std::size_t unread = placed.promptTokens - placed.matchedTokens; unread > 1000; unread /= 2)
@@ -22,27 +23,29 @@
   head.reserve(1024);
   head.append(view(original.method_string())).append(" ").append(view(original.target()));
   head.append(" HTTP/1.1\r\n");
-  const std::string named = std::string(view(original[http::field::connection]));
+  const std::string connectionHeader = std::string(view(original[http::field::connection]));
   for (const auto& field : original) {
     const std::string_view name = view(field.name_string());
-    if (isHopByHop(name) || (!named.empty() && named.find(name) != std::string::npos)) continue;
-    bool isOurs = false;
+    if (isHopByHop(name) ||
+        (!connectionHeader.empty() && connectionHeader.find(name) != std::string::npos))
+      continue;
+    bool isReplaced = false;
     for (const std::string* own :
          {&headerNames_.key, &headerNames_.tenant, &headerNames_.identityWanted,
           &headerNames_.weightsWanted, &headerNames_.salt, &headerNames_.fetchSource,
           &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.dueMs,
           &headerNames_.lastEventId})
-      isOurs = isOurs || isSameHeaderName(name, *own);
-    if (!isOurs) addHeader(&head, name, view(field.value()));
+      isReplaced = isReplaced || isSameHeaderName(name, *own);
+    if (!isReplaced) addHeader(&head, name, view(field.value()));
   }
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, headerNames_.dueMs, std::to_string(std::max<std::int64_t>(1, left.count())));
+  const auto timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
+  addHeader(&head, headerNames_.dueMs, std::to_string(std::max<std::int64_t>(1, timeLeft.count())));
   addHeader(&head, headerNames_.identityWanted, server.identity.value);
   if (!server.weights.value.empty())
     addHeader(&head, headerNames_.weightsWanted, server.weights.value);
   if (job.needsKey) addHeader(&head, headerNames_.tenant, job.tenant.value);
-  // No two versions and no two walls share a salt, so no match and no fetch leads across: servers
-  // and stores check neither.
+  // Salts differ between weights versions and between isolated tenants, so no match or fetch
+  // crosses either boundary. Servers and stores check neither themselves.
   addHeader(&head, headerNames_.salt, scopedCacheSalt(server.weights, job.isolationSalt).value);
   if (settings_.mechanisms.has(Mechanism::Urgency))
     addHeader(&head, headerNames_.urgency, std::to_string(urgencyOf(job, placed)));
--- a/src/relay/response.cpp
+++ b/src/relay/response.cpp
@@ -1,4 +1,5 @@
-// A server's answer to one try: whose it is, what it says, and its events on their way back.
+// Reads the response of a server to one attempt: whose it is, what it says, and its events, which
+// are forwarded to the caller.
 #include <charconv>
 
 #include "relay/attempt.h"
@@ -12,9 +13,10 @@
 namespace {
 constexpr std::size_t kMaxResponseBytes = 16 << 20;
 constexpr std::size_t kMaxEventBytes = 1 << 20;
-constexpr int kMaxStrayResponses =
-    16;  // ours: more that aren't the request's show a server out of step
+// More responses to other requests than this mean that the server is out of sync.
+constexpr int kMaxStrayResponses = 16;
 
+// Encodes a chunk of the chunked transfer coding.
 std::string encodeChunk(std::string_view bytes) {
   char size[24];
   const auto [end, error] = std::to_chars(size, size + sizeof size, bytes.size(), 16);
@@ -24,6 +26,7 @@
 }
 }  // namespace
 
+// Updates load and weights of the server from a response.
 void Relay::applyResponseHeaders(const ServerState& server, const http::response_header<>& head) {
   const Instant now = BootClock::now();
   const auto load = parseNumbers(view(head[headerNames_.load]));
@@ -34,7 +37,7 @@
                            WeightsVersion{std::to_string(weights.back())});
 }
 
-// The rest of an answer that is no stream of events; an error where it breaks off.
+// Reads the rest of a response that is not an event stream. Fails if the response breaks off.
 awaitable<absl::StatusOr<std::string>> Relay::readBody(Attempt& attempt) {
   auto& parser = *attempt.parser;
   std::string body;
@@ -58,7 +61,8 @@
   const ServerState& server = attempt.placed.chosenServer;
   const unsigned status = head.result_int();
   AttemptResult result{AttemptOutcome::NotRun, "the server answered " + std::to_string(status)};
-  // Other weights than asked for, and it said which it has now: ask again for those.
+  // Status 421 with other weights than requested: the server reported those it has now, so the
+  // request may be sent to it again for these.
   const bool isSameServer = head.find(headerNames_.identity) == head.end() ||
                             view(head[headerNames_.identity]) == server.identity.value;
   result.retrySameServer =
@@ -68,13 +72,14 @@
   return result;
 }
 
-// Answers to earlier requests may stand before this one's; their ids tell. What nobody can be told
-// to own is passed over as theirs.
+// Reads responses until it finds the one to this request. Late responses to earlier requests may
+// come first and are identified by their ids. A response whose request cannot be determined is
+// skipped.
 awaitable<AttemptResult> Relay::readResponse(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   beast::flat_buffer& buffer = attempt.connection->buffer;
   ErrorCode code;
-  for (int passed = 0; passed < kMaxStrayResponses; ++passed) {
+  for (int skipped = 0; skipped < kMaxStrayResponses; ++skipped) {
     attempt.parser.emplace();
     auto& parser = *attempt.parser;
     parser.body_limit(std::numeric_limits<std::uint64_t>::max());
@@ -88,23 +93,23 @@
     const ResponseOwner owner = responseOwner(head, headerNames_, attempt.job.id, isFirst);
     if (owner == ResponseOwner::Malformed)
       co_return AttemptResult{AttemptOutcome::Unknown, "answers run into one another"};
-    const bool isOurs = owner == ResponseOwner::Request;
-    if (isOurs) applyResponseHeaders(attempt.placed.chosenServer, head);
+    const bool isForRequest = owner == ResponseOwner::Request;
+    if (isForRequest) applyResponseHeaders(attempt.placed.chosenServer, head);
     const bool isSuccess = status / 100 == 2;
     const bool isSealed = headerNames_.seal.empty() || head.find(headerNames_.seal) != head.end();
-    if (isOurs && isSuccess && !isSealed)
+    if (isForRequest && isSuccess && !isSealed)
       co_return AttemptResult{AttemptOutcome::Unknown, "a success without a seal"};
-    if (isOurs && isSuccess && attempt.job.policy.isStream) {
+    if (isForRequest && isSuccess && attempt.job.policy.isStream) {
       attempt.watch->headReadAt = BootClock::now();
       co_return co_await forwardEvents(attempt);
     }
-    // Anything else is read whole before it is judged.
+    // Any other response is read completely before it is evaluated.
     auto body = co_await readBody(attempt);
     if (!body.ok())
       co_return AttemptResult{AttemptOutcome::Unknown, std::string(body.status().message())};
     const bool isNotRun = owner != ResponseOwner::Other && reportsNotRun(head, headerNames_);
     if (isNotRun) co_return handleNotRun(attempt, head);
-    if (!isOurs) {
+    if (!isForRequest) {
       ++attempt.strayResponses;
       if (!parser.keep_alive()) break;
       continue;
@@ -122,13 +127,15 @@
       co_return AttemptResult{written ? AttemptOutcome::Done : AttemptOutcome::CallerGone, "whole"};
     }
     AttemptResult result{AttemptOutcome::Unknown, "the server answered " + std::to_string(status)};
-    // Without the server's mark nobody knows that it did not run.
+    // Such a status promises that the request did not run; without the server's not-run header,
+    // that is not known.
     if (!promisesNotRun(status)) result.failure = std::move(response);
     co_return result;
   }
   co_return AttemptResult{AttemptOutcome::Unknown, "answers of others only"};
 }
 
+// Forwards the events of a successful response to the caller, each as soon as it is complete.
 awaitable<AttemptResult> Relay::forwardEvents(Attempt& attempt) {
   Tcp::socket& socket = attempt.connection->socket;
   auto& parser = *attempt.parser;
@@ -143,7 +150,7 @@
     parser.get().body().size = sizeof block;
     co_await http::async_read_some(socket, attempt.connection->buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
-    // Once the connection was given up no first event goes out: the rest of the answer is lost.
+    // If the attempt has expired, no first event is forwarded: the rest of the response is lost.
     if (attempt.watch->expired && !attempt.watch->hasStarted) code = asio::error::operation_aborted;
     if (code) break;
     *attempt.watch->lastActivity = BootClock::now();
@@ -151,7 +158,8 @@
     const EventBatch batch = splitter.take({block, got});
     if (splitter.rest().size() > kMaxEventBytes) break;
     const bool isEnd = parser.is_done();
-    // A server that ended within an event broke off, unless it framed that end itself.
+    // If the connection ends within an event, the response is truncated, unless its framing says
+    // that it is complete.
     if (isEnd && hasNoLength && !splitter.rest().empty()) {
       code = http::error::partial_message;
       break;
@@ -177,7 +185,7 @@
     progress.headSent = true;
     if (!attempt.watch->hasStarted)
       placement_.notePrefillDone(attempt.placed.ticket, BootClock::now());
-    // From here on only the route's own deadline ends the answer.
+    // From here on, only the deadline of the route ends the response.
     attempt.watch->hasStarted = true;
     attempt.watch->deadline = streamDeadline(attempt.job);
     setDeadline(attempt.caller, streamDeadline(attempt.job));
--- a/src/relay/response_owner.cpp
+++ b/src/relay/response_owner.cpp
@@ -20,8 +20,8 @@
   const auto ids = head.count(names.requestId);
   if (ids > 1 || isSpliced(head)) return ResponseOwner::Malformed;
   if (ids == 1) {
-    const bool isOurs = !id.value.empty() && view(head[names.requestId]) == id.value;
-    return isOurs ? ResponseOwner::Request : ResponseOwner::Other;
+    const bool isForRequest = !id.value.empty() && view(head[names.requestId]) == id.value;
+    return isForRequest ? ResponseOwner::Request : ResponseOwner::Other;
   }
   if (!isFirst) return ResponseOwner::Other;
   return id.value.empty() ? ResponseOwner::Request : ResponseOwner::Unidentified;
--- a/src/relay/response_owner.h
+++ b/src/relay/response_owner.h
@@ -1,5 +1,6 @@
 #pragma once
-// Whose answer it is that a server's connection brings. Pure: heads in, a judgement out.
+// Decides which request a response on a server connection belongs to. Pure functions of the
+// response head.
 #include "dialect/dialect.h"
 #include "net/http.h"
 
@@ -7,26 +8,30 @@
 
 using ResponseHead = http::response_header<>;
 
+// The relation of a response to the request that was sent last on its connection.
 enum class ResponseOwner {
-  Request,       // it bears the request's id, or answers one without an id on a fresh connection
-  Unidentified,  // without an id, but the first answer of a connection that carried nothing else
-  Other,         // another request's, or nobody can say whose
-  Malformed,     // two heads run into one: the request's own answer may be in it, and can't be had
+  Request,       // has the request's id; or neither has an id and the connection is fresh
+  Unidentified,  // has no id, but is the first response on a connection that carried no other
+                 // request
+  Other,         // belongs to another request, or to an unknown one
+  // Two heads are merged into one. The request's own response may be part of it, but cannot be
+  // recovered.
+  Malformed,
 };
 
-// `isFirst`: no other request went over the connection and no other answer came on it. An answer
-// without an id may be a late one of an earlier request everywhere else.
+// `isFirst`: the connection carried no other request and no other response. On any other
+// connection, a response without an id may be a late one to an earlier request.
 ResponseOwner responseOwner(const ResponseHead& head, const HeaderNames& names, const RequestId& id,
                             bool isFirst);
 
-// True where the end of a broken answer and the beginning of another stand in one head.
+// True if the head contains the end of a broken response and the beginning of another.
 bool isSpliced(const ResponseHead& head);
 
-// True for a status that promises callers that the request did not run and never will.
+// True for a status that promises the caller that the request did not run and never will.
 bool promisesNotRun(unsigned status);
 
-// True where the server itself says that it did not run the request (421, or its mark on a
-// failure).
+// True if the server reports that it did not run the request: by status 421, or by the not-run
+// header on an error response.
 bool reportsNotRun(const ResponseHead& head, const HeaderNames& names);
 
 }  // namespace quayrill
