--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -13,9 +13,8 @@
 constexpr Span kDrainTimeout = 1s;                // for a caller to receive an error response
 constexpr std::size_t kDrainLimit = 1 << 20;      // discarded at most while a caller keeps sending
 constexpr std::size_t kPipelinedReadSize = 4096;  // bytes read at once of a pipelined request
-constexpr std::size_t kMaxPipelinedBytes =
-    // A disconnect behind more pipelined bytes than this goes unnoticed.
-    64 << 10;
+// A disconnect behind more pipelined bytes than this goes unnoticed.
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 constexpr std::size_t kMaxCallerConnections = 3000;
 constexpr std::size_t kMaxIdlePerServer = 32;
 constexpr Span kDefaultIdleTimeout = 4s;  // if the server does not specify a time
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -10,9 +10,8 @@
 
 namespace {
 constexpr Span kServerPollInterval = 1s;  // how often each server is polled
-constexpr Span kStorePollInterval =
-    // Shorter, because requests wait at servers while the store is down.
-    500ms;
+// Shorter, because requests wait at servers while the store is down.
+constexpr Span kStorePollInterval = 500ms;
 constexpr Span kFetchTimeout = 500ms;
 constexpr Span kCheckInterval = 100ms;  // how often to look for sources to poll
 constexpr Span kReportInterval = 100ms;
