--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -60,15 +60,15 @@
   Script script;
   std::vector<std::string> requests;
   std::atomic<int> connections{0}, closed{0};
-  std::atomic<int> arrived{0};         // requests read, also those whose script still runs
-  std::weak_ptr<Tcp::socket> hanging;  // the connection that hung last
-  std::atomic<int> broken{0};          // of those closed: where a reply broke
+  std::atomic<int> arrived{0};            // requests read, also those whose script still runs
+  std::weak_ptr<Tcp::socket> hungSocket;  // the connection that hung last
+  std::atomic<int> faultyClosed{0};       // of those closed: where a reply broke
   // By the order of arrival: the number of the connection that each request came on.
-  std::vector<int> carriedBy;
-  // Answers once the head is in, and reads the body on when `readsOn` is set. What came then goes
-  // into `lateBytes`, until the connection ends.
-  std::atomic<bool> answersEarly{false}, readsOn{false};
-  std::string lateBytes;
+  std::vector<int> connectionNumbers;
+  // Answers once the head is in, and reads the body on when `mayReadBody` is set. What came then
+  // goes into `trailingBytes`, until the connection ends.
+  std::atomic<bool> respondsBeforeBody{false}, mayReadBody{false};
+  std::string trailingBytes;
   // Called in the middle of a reply that has a cut.
   std::function<void()> pause = [] {};
 
@@ -126,7 +126,7 @@
       held.erase(0, size);
       const std::string length = headerIn(request, "Content-Length");
       const std::size_t body = length.empty() ? 0 : std::stoul(length);
-      const bool early = answersEarly;
+      const bool early = respondsBeforeBody;
       if (!early) {
         code = co_await readBody(socket, &held, body);
         if (code) break;
@@ -138,9 +138,9 @@
       {
         std::lock_guard lock(mutex);
         requests.push_back(request);
-        carriedBy.push_back(number);
+        connectionNumbers.push_back(number);
         reply = script(static_cast<int>(requests.size()), request);
-        if (reply.hangs) hanging = kept;
+        if (reply.hangs) hungSocket = kept;
       }
       fault = reply.fault != Fault::None;
       if (!co_await send(socket, reply) || reply.closes) break;
@@ -150,28 +150,29 @@
         break;
       }
       if (early) {
-        while (!readsOn) co_await pauseFor(1ms);
+        while (!mayReadBody) co_await pauseFor(1ms);
         co_await asio::async_read(socket, asio::dynamic_buffer(held), into(code));
         std::lock_guard lock(mutex);
-        lateBytes += held;
+        trailingBytes += held;
         break;
       }
     }
     ErrorCode ignored;
     socket.close(ignored);
     ++closed;
-    if (fault) ++broken;
+    if (fault) ++faultyClosed;
   }
   // Expires once it has been closed at the other end.
-  std::weak_ptr<Tcp::socket> hung() {
+  std::weak_ptr<Tcp::socket> hungConnection() {
     std::lock_guard lock(mutex);
-    return hanging;
+    return hungSocket;
   }
   // On the connection that hung last.
   void sendMore(std::string bytes) {
     asio::post(io, [this, bytes = std::move(bytes)] {
       ErrorCode code;
-      if (const auto socket = hung().lock()) asio::write(*socket, asio::buffer(bytes), code);
+      if (const auto socket = hungConnection().lock())
+        asio::write(*socket, asio::buffer(bytes), code);
     });
   }
   std::vector<std::string> seen() {
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 void tellAnew(RelayStage& stage) {
-  ++stage.told.configurationVersion;
-  stage.tell();
+  ++stage.snapshot.configurationVersion;
+  stage.publishSnapshot();
 }
 
 std::string withBody(const std::string& id, const std::string& body) {
@@ -37,8 +37,8 @@
   const std::string counted = withBody("r1", "Content-Length: 10\r\n\r\n0123456789");
   const std::string chunks =
       withBody("r2", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n7\r\n3456789\r\n0\r\n\r\n");
-  CHECK(statusOf(RelayStage::ask(stage.callers, counted)) == 200);
-  CHECK(statusOf(RelayStage::ask(stage.callers, chunks)) == 200);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, counted)) == 200);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, chunks)) == 200);
   for (const std::string& request : stage.servers[0]->seen()) {
     CHECK(headerIn(request, "Content-Length") == "10");
     CHECK(headerIn(request, "Transfer-Encoding").empty());
@@ -46,7 +46,7 @@
   }
   const std::string over =
       withBody("r3", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n8\r\n34567890\r\n0\r\n\r\n");
-  CHECK(statusOf(RelayStage::ask(stage.callers, over)) == 413);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, over)) == 413);
   CHECK(stage.arrivals() == 2);
 }
 
@@ -57,7 +57,7 @@
   const std::string body(900000, 'x');
   for (int i = 0; i < 5; ++i) {
     const std::string answer =
-        RelayStage::ask(stage.callers, withBody("r", "Content-Length: 900000\r\n\r\n" + body));
+        RelayStage::exchange(stage.callers, withBody("r", "Content-Length: 900000\r\n\r\n" + body));
     CHECK(statusOf(answer) == 413);
   }
   CHECK(stage.arrivals() == 0);
@@ -89,7 +89,7 @@
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   CHECK(statusOf(stage.post("/last/", "last", "X-Key: key\r\nX-Due: 2500\r\n")) == 504);
-  stage.tell();  // the configuration is to be confirmed lately
+  stage.publishSnapshot();  // the configuration is to be confirmed lately
   CHECK(askAgain("r2"));
   stage.configuration.callerLimits.idleDue = 300ms;
   tellAnew(stage);
@@ -120,7 +120,7 @@
       {504, stage.post("/once/", "r4")},
       {401, stage.post("/once/", "r5", "X-Key: none\r\n")},
       {404, stage.post("/nowhere/", "r6")},
-      {400, RelayStage::ask(stage.callers, "nonsense\r\n\r\n")}};
+      {400, RelayStage::exchange(stage.callers, "nonsense\r\n\r\n")}};
   for (const auto& [status, answer] : failures) {
     CHECK(statusOf(answer) == status);
     CHECK(headerIn(answer, "X-Seal").empty());
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -30,8 +30,8 @@
 
 void setDue(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
   stage.configuration.policies.at(PolicyName{route}).due = due;
-  ++stage.told.configurationVersion;
-  stage.tell();
+  ++stage.snapshot.configurationVersion;
+  stage.publishSnapshot();
 }
 
 Reply hang(int, const std::string&) { return Reply{"", false, true}; }
@@ -44,8 +44,8 @@
 }
 
 std::string metric(RelayStage& stage, const std::string& name) {
-  const std::string all =
-      RelayStage::ask(stage.ready, "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+  const std::string all = RelayStage::exchange(
+      stage.ready, "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   const auto at = all.find("\nquayrill_" + name + " ");
   if (at == std::string::npos) return "";
   const auto start = at + name.size() + 11;
@@ -156,16 +156,16 @@
     const Tcp::endpoint to = endpointOf(unreachable);  // begun, not waited for
     ::connect(fillers.back()->native_handle(), to.data(), static_cast<socklen_t>(to.size()));
   }
-  SnapshotServer row = stage.told.servers[0];
+  SnapshotServer row = stage.snapshot.servers[0];
   row.name = ServerName{unreachable.value};
-  stage.told.servers.push_back(row);
-  stage.told.servers[0].healthy = false;
-  stage.tell();
+  stage.snapshot.servers.push_back(row);
+  stage.snapshot.servers[0].healthy = false;
+  stage.publishSnapshot();
   {
     RawCaller caller(stage, RelayStage::request("/again/", "r1"));
     eventually([&] { return metric(stage, "requests") == "1"; });
-    stage.told.servers[0].healthy = true;
-    stage.tell();
+    stage.snapshot.servers[0].healthy = true;
+    stage.publishSnapshot();
   }
   eventually([&] { return stage.relay->openConnections() == 0; });
   CHECK(stage.arrivals() == 0);
@@ -225,12 +225,12 @@
   {
     RawCaller plain(stage, RelayStage::request("/plain/", "r1"));
     eventually([&] { return stage.arrivals() == 1; });
-    plainRun = stage.servers[0]->hung();
+    plainRun = stage.servers[0]->hungConnection();
   }
   {
     RawCaller stream(stage, RelayStage::request("/once/", "r2"));
     eventually([&] { return stage.arrivals() == 2; });
-    streamRun = stage.servers[0]->hung();
+    streamRun = stage.servers[0]->hungConnection();
   }
   eventually([&] { return streamRun.expired(); });
   CHECK_FALSE(plainRun.expired());  // though its caller left first
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -60,7 +60,7 @@
   CHECK(headerIn(second, "Connection") == "close");
   CHECK(kept.rest().empty());
   const std::string fresh =
-      stage.ask(stage.callers, RelayStage::request("/once/", "r3", "X-Key: key\r\n", false));
+      stage.exchange(stage.callers, RelayStage::request("/once/", "r3", "X-Key: key\r\n", false));
   CHECK(statusOf(fresh) == 200);
   CHECK(headerIn(fresh, "Connection") == "close");
   CHECK(endsWhole(fresh));
@@ -131,7 +131,7 @@
   stage.relay->beginLeaving();
   CHECK(idle.rest().empty());  // closed: from here on it refuses
   // Confirmed anew, so that nothing but the leave refuses.
-  stage.relay->applySnapshot(stage.told, BootClock::now());
+  stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   const std::string late = stage.post("/once/", "r2");
   CHECK(statusOf(late) == 503);
   CHECK_FALSE(headerIn(late, "Retry-After").empty());
--- a/tests/relay_answer_tests.cpp
+++ b/tests/relay_answer_tests.cpp
@@ -44,15 +44,15 @@
   stage.all([](int, const std::string&) {
     return Reply{"HTTP/1.1 400 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno"};
   });
-  CHECK(statusOf(RelayStage::ask(stage.callers, bare)) == 503);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, bare)) == 503);
   stage.all([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   CHECK(endsWhole(stage.post("/once/", "r2")));
-  const auto carriedBy = stage.servers[0]->carriedBy;
-  REQUIRE(carriedBy.size() == 3);
-  CHECK(carriedBy[1] != carriedBy[0]);
-  CHECK(carriedBy[2] != carriedBy[1]);
+  const auto connectionNumbers = stage.servers[0]->connectionNumbers;
+  REQUIRE(connectionNumbers.size() == 3);
+  CHECK(connectionNumbers[1] != connectionNumbers[0]);
+  CHECK(connectionNumbers[2] != connectionNumbers[1]);
 }
 
 TEST_CASE("relay: a request that is sent again never meets its own earlier answer") {
@@ -63,7 +63,7 @@
     const std::string own = streamHead(request) + chunked({event(1)});
     if (arrival == 1) return Reply{plain(request, 421, wanted)};
     // The first answer once more, late, on the connection that it belongs to.
-    const bool isKept = server.carriedBy.back() == server.carriedBy.front();
+    const bool isKept = server.connectionNumbers.back() == server.connectionNumbers.front();
     return Reply{(isKept ? plain(request, 421, wanted) : "") + own};
   });
   CHECK(statusOf(stage.post("/twice/", "r1")) == 200);
@@ -143,7 +143,7 @@
 TEST_CASE("relay: an answer that comes before the body is in goes back at once") {
   RelayStage stage(1);
   ByteServer& server = *stage.servers[0];
-  server.answersEarly = true;
+  server.respondsBeforeBody = true;
   stage.all([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)})};
   });
@@ -152,14 +152,14 @@
       "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: r1\r\nX-Model: m\r\nX-Key: key\r\n"
       "X-Due: 3000\r\nConnection: close\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n";
-  CHECK(endsWhole(RelayStage::ask(stage.callers, head + body)));
-  server.answersEarly = false;
+  CHECK(endsWhole(RelayStage::exchange(stage.callers, head + body)));
+  server.respondsBeforeBody = false;
   CHECK(endsWhole(stage.post("/once/", "r2")));
-  server.readsOn = true;
+  server.mayReadBody = true;
   eventually([&] { return server.closed >= 1; });
   // Where the rest of the body was due came nothing else.
-  CHECK(server.lateBytes.find_first_not_of('b') == std::string::npos);
-  CHECK(server.carriedBy == std::vector<int>{1, 2});
+  CHECK(server.trailingBytes.find_first_not_of('b') == std::string::npos);
+  CHECK(server.connectionNumbers == std::vector<int>{1, 2});
 }
 
 TEST_CASE("relay: no request goes to more servers than its route's tries") {
@@ -169,8 +169,8 @@
   stage.all([&](int, const std::string& request) {
     if (++served > 1) return Reply{streamHead(request) + chunked({event(1)})};
     const std::string identity = headerIn(request, "X-Want-Identity");
-    stage.told.servers[identity == "i0" ? 0 : 1].leaving = true;
-    stage.relay->applySnapshot(stage.told, BootClock::now());
+    stage.snapshot.servers[identity == "i0" ? 0 : 1].leaving = true;
+    stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     return Reply{plain(request, 421, "X-Identity: " + identity + "\r\nX-Weights: 2\r\n")};
   });
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -89,8 +89,8 @@
       policy.isStream = way.isStream;
       policy.isResumable = way.isRepeatable && way.isStream;
     }
-    told.configurationVersion = 2;
-    tell();
+    snapshot.configurationVersion = 2;
+    publishSnapshot();
     for (auto& server : servers) {
       server->pause = [this] { passThroughRelay(); };
       server->answer([this, played = server.get()](int, const std::string& request) {
@@ -103,7 +103,7 @@
   }
   // One call through the relay's only thread: what was delivered before has been read by then.
   void passThroughRelay() {
-    ask(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   }
   Reply reply(const ByteServer& server, const std::string& request) {
     std::lock_guard lock(caseMutex);
@@ -111,7 +111,7 @@
     if (id[0] == 'w') return Reply{answerOf(Kind::Plain, id)};
     const std::string after = headerIn(request, "Last-Event-Id");
     ++arrivalsOfCase;
-    const auto& by = server.carriedBy;
+    const auto& by = server.connectionNumbers;
     const bool wasUsed = std::find(by.begin(), by.end(), by.back()) + 1 != by.end();
     if (arrivalsOfCase == 1 && wasUsed) ++onKept;
     if (arrivalsOfCase > 1) {
@@ -126,15 +126,15 @@
     reply.fault = asked.fault;
     return reply;
   }
-  int broken() const {
+  int faultyClosed() const {
     int sum = 0;
-    for (const auto& server : servers) sum += server->broken;
+    for (const auto& server : servers) sum += server->faultyClosed;
     return sum;
   }
   ParsedResponse play(const Case& next) {
     // A route of its own would go elsewhere: the warm-up takes the case's.
     const std::string number = std::to_string(++numbers);
-    relay->applySnapshot(told, BootClock::now());  // what the relay knows stays fresh
+    relay->applySnapshot(snapshot, BootClock::now());  // what the relay knows stays fresh
     if (next.isKept) post("/up/", "w" + number);
     {
       std::lock_guard lock(caseMutex);
@@ -142,10 +142,10 @@
       arrivalsOfCase = runs = 0;
     }
     const std::string id = "r" + number;
-    const int brokenBefore = broken();
+    const int brokenBefore = faultyClosed();
     ParsedResponse answer = parseResponse(post(next.way.prefix, id), "X-Id", "X-Seal");
     // The next case must not meet this one's end on a connection that was given back before it.
-    if (next.fault != Fault::None) eventually([&] { return broken() > brokenBefore; });
+    if (next.fault != Fault::None) eventually([&] { return faultyClosed() > brokenBefore; });
     std::lock_guard lock(caseMutex);
     judge(next, id, answer);
     return answer;
@@ -301,15 +301,15 @@
     const Case& asked = all.at(std::stoul(id.substr(1)) - 100).asked;
     return Reply{answerOf(asked.kind, id).substr(0, asked.cut), false, true};
   });
-  for (SnapshotServer& row : stage.told.servers) row.slots = 4000;
-  stage.relay->applySnapshot(stage.told, BootClock::now());
+  for (SnapshotServer& row : stage.snapshot.servers) row.slots = 4000;
+  stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   // On a busy machine the deadline of some may pass before they are sent: these are refused, and
   // asked again until each case was met by its server. Fewer at once each time.
   std::vector<Held> open = all;
   std::vector<Held> met;
   for (int round = 0; round < 40 && !open.empty(); ++round) {
     askAll(stage.callers, &open);
-    stage.relay->applySnapshot(stage.told, BootClock::now());
+    stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     std::lock_guard lock(mutex);
     const auto isMet = [&](const Held& held) {
       return arrivals[held.id] > 0 ||
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -38,13 +38,13 @@
   std::thread thread;
   Address callers = localAddress(1, 7202), ready = localAddress(1, 7203);
   Configuration configuration;
-  Snapshot told;
+  Snapshot snapshot;
   // Called on the relay's own thread as it reads a configuration.
-  std::function<void()> whileReading = [] {};
+  std::function<void()> onReadConfiguration = [] {};
 
-  // `isTold` false: the relay has heard nothing of its agent. `extraShare`: of the budget for extra
-  // tries; the default lets every test's further tries pass.
-  explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool isTold = true,
+  // `hasSnapshot` false: the relay has heard nothing of its agent. `extraShare`: of the budget for
+  // extra tries; the default lets every test's further tries pass.
+  explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool hasSnapshot = true,
                       double extraShare = 20) {
     configuration.weights[ModelName{"m"}] = WeightsVersion{"1"};
     configuration.tenants[TenantName{"north"}] = {};
@@ -55,9 +55,9 @@
     addRoute("/twice/", false, 2);
     addRoute("/again/", true, 2);
     configuration.services[ServiceName{"svc"}] = {};
-    told.configurationVersion = 1;
-    told.configurationBody = "any";
-    told.confirmedAgoMicros = told.listedAgoMicros = 0;
+    snapshot.configurationVersion = 1;
+    snapshot.configurationBody = "any";
+    snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < count; ++i) {
       servers.push_back(std::make_unique<ByteServer>(io, localAddress(20 + i, 7400)));
       servers.back()->answer([](int, const std::string& request) {
@@ -72,7 +72,7 @@
       row.healthy = true;
       row.slots = 4;
       row.cacheTokens = 100000;
-      told.servers.push_back(row);
+      snapshot.servers.push_back(row);
     }
     thread = std::thread([this] { io.run(); });
     Settings settings;
@@ -84,12 +84,12 @@
     Dialect dialect = ownDialect();
     dialect.relayNames = relayTestNames();
     dialect.readConfiguration = [this](const std::string&) -> absl::StatusOr<Configuration> {
-      whileReading();
+      onReadConfiguration();
       return configuration;
     };
     relay = std::make_unique<Relay>(settings, dialect);
     REQUIRE(relay->start().ok());
-    if (isTold) tell();
+    if (hasSnapshot) publishSnapshot();
   }
   ~RelayStage() {
     relay.reset();
@@ -108,19 +108,19 @@
     sortRoutes(&configuration);
   }
   // Hands the present state on and waits until it is in force.
-  void tell() {
-    relay->applySnapshot(told, BootClock::now());
+  void publishSnapshot() {
+    relay->applySnapshot(snapshot, BootClock::now());
     waitReady(200);
   }
   void waitReady(unsigned status) {
     eventually([&] {
       const std::string answer =
-          ask(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+          exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
       return answer.find(" " + std::to_string(status) + " ") != std::string::npos;
     });
   }
   // Everything that comes back until the other end closes.
-  static std::string ask(const Address& to, const std::string& text) {
+  static std::string exchange(const Address& to, const std::string& text) {
     asio::io_context own;
     Tcp::socket socket(own);
     ErrorCode code;
@@ -138,7 +138,7 @@
   }
   std::string post(const std::string& path, const std::string& id,
                    const std::string& more = "X-Key: key\r\n") {
-    return ask(callers, request(path, id, more));
+    return exchange(callers, request(path, id, more));
   }
   int arrivals() {
     std::size_t sum = 0;
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -138,8 +138,8 @@
   RelayStage stage(1);
   stage.post("/once/", "r1");
   stage.post("/once/", "r2", "X-Key: hill-key\r\n");
-  stage.told.servers[0].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[0].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   stage.post("/once/", "r3");
   stage.post("/once/", "r4", "X-Key: hill-key\r\n");
   std::set<std::string> salts;
@@ -152,15 +152,15 @@
   RelayStage stage(1);
   CHECK(statusOf(stage.post("/once/", "r1", "X-Key: none\r\n")) == 401);
   CHECK(statusOf(stage.post("/nowhere/", "r2")) == 404);
-  stage.told.confirmedAgoMicros = 1500000;
-  stage.tell();
+  stage.snapshot.confirmedAgoMicros = 1500000;
+  stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r3")) == 200);
   const std::string unsure = stage.post("/once/", "r4", "X-Key: none\r\n");
   CHECK(statusOf(unsure) == 503);
   CHECK_FALSE(headerIn(unsure, "Retry-After").empty());
   CHECK(statusOf(stage.post("/nowhere/", "r5")) == 503);
-  stage.told.confirmedAgoMicros = 2100000;
-  stage.relay->applySnapshot(stage.told, BootClock::now());
+  stage.snapshot.confirmedAgoMicros = 2100000;
+  stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   stage.waitReady(503);
   CHECK(statusOf(stage.post("/once/", "r6")) == 503);
   CHECK(stage.arrivals() == 1);
@@ -168,8 +168,8 @@
 
 TEST_CASE("relay: a leaving server and one with another identity get nothing") {
   RelayStage stage(1);
-  stage.told.servers[0].leaving = true;
-  stage.tell();
+  stage.snapshot.servers[0].leaving = true;
+  stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
   CHECK(stage.arrivals() == 0);
 }
@@ -179,13 +179,14 @@
   stage.configuration.callerLimits.headerBytes = 512;
   stage.configuration.callerLimits.bodyBytes = 100;
   stage.configuration.callerLimits.headerDue = 30ms;
-  stage.told.configurationVersion = 2;
-  stage.tell();
+  stage.snapshot.configurationVersion = 2;
+  stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r1", "X-Long: " + std::string(2000, 'a') + "\r\n")) == 431);
-  CHECK(statusOf(RelayStage::ask(stage.callers,
-                                 "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: "
-                                 "r2\r\nContent-Length: 5000\r\n\r\n")) == 413);
-  CHECK(statusOf(RelayStage::ask(stage.callers, "POST /once/ HTTP/1.1\r\nHost: h.exa")) == 408);
+  CHECK(statusOf(RelayStage::exchange(stage.callers,
+                                      "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: "
+                                      "r2\r\nContent-Length: 5000\r\n\r\n")) == 413);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, "POST /once/ HTTP/1.1\r\nHost: h.exa")) ==
+        408);
   CHECK(stage.arrivals() == 0);
 }
 
@@ -234,8 +235,8 @@
   RoutePolicy& policy = stage.configuration.policies[PolicyName{"/again/"}];
   policy.isResumable = false;
   policy.target = 0ms;
-  ++stage.told.configurationVersion;
-  stage.tell();
+  ++stage.snapshot.configurationVersion;
+  stage.publishSnapshot();
   std::atomic<bool> isStill{false}, hasFirst{false};
   stage.servers[0]->answer([&](int, const std::string& request) {
     while (!isStill) std::this_thread::yield();
@@ -249,7 +250,7 @@
   };
   // The relay stands still until the first event is there and its time has passed, so that it finds
   // both at once.
-  stage.whileReading = [&] {
+  stage.onReadConfiguration = [&] {
     const Instant past = BootClock::now() + 1s;
     isStill = true;
     while (BootClock::now() < past) std::this_thread::yield();
@@ -259,8 +260,8 @@
   socket.connect(endpointOf(stage.callers));
   asio::write(socket, asio::buffer(RelayStage::request("/again/", "r1")));
   eventually([&] { return stage.servers[0]->arrived == 1; });
-  ++stage.told.configurationVersion;
-  stage.relay->applySnapshot(stage.told, BootClock::now());
+  ++stage.snapshot.configurationVersion;
+  stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   std::string answer;
   ErrorCode code;
   asio::read_until(socket, asio::dynamic_buffer(answer), "data: d1", code);
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -13,18 +13,18 @@
 void nameWeights(RelayStage* stage, const std::string& newest,
                  const std::vector<std::pair<std::string, std::chrono::microseconds>>& superseded) {
   stage->configuration.weights[kModel] = WeightsVersion{newest};
-  ++stage->told.configurationVersion;
-  stage->told.superseded.clear();
+  ++stage->snapshot.configurationVersion;
+  stage->snapshot.superseded.clear();
   for (const auto& [version, ago] : superseded)
-    stage->told.superseded.push_back({kModel, WeightsVersion{version}, ago.count()});
+    stage->snapshot.superseded.push_back({kModel, WeightsVersion{version}, ago.count()});
 }
 }  // namespace
 
 TEST_CASE("relay: past a version's own bound nothing begins on it, whatever was named since") {
   RelayStage stage(2);
   nameWeights(&stage, "4", {{"1", kBound + 1s}, {"2", 8s}, {"3", 1s}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   for (int i = 0; i < 12; ++i)
     CHECK(statusOf(stage.post("/once/", "r" + std::to_string(i))) == 200);
   CHECK(stage.servers[0]->seen().empty());
@@ -34,14 +34,14 @@
 TEST_CASE("relay: a model that a request does not name is bound by its weights too") {
   RelayStage stage(2);
   nameWeights(&stage, "2", {{"1", kBound + 1s}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   for (int i = 0; i < 8; ++i) {
     const std::string id = "r" + std::to_string(i);
-    CHECK(statusOf(RelayStage::ask(stage.callers,
-                                   "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: " + id +
-                                       "\r\nX-Key: key\r\nConnection: close\r\nContent-Length: "
-                                       "2\r\n\r\n{}")) == 200);
+    CHECK(statusOf(RelayStage::exchange(
+              stage.callers, "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: " + id +
+                                 "\r\nX-Key: key\r\nConnection: close\r\nContent-Length: "
+                                 "2\r\n\r\n{}")) == 200);
   }
   CHECK(stage.servers[0]->seen().empty());
 }
@@ -49,13 +49,13 @@
 TEST_CASE("relay: where the time of a naming is not known, the newest weights alone serve") {
   RelayStage stage(2);
   nameWeights(&stage, "2", {});
-  stage.tell();
+  stage.publishSnapshot();
   const std::string refused = stage.post("/once/", "r1");
   CHECK(statusOf(refused) == 503);
   CHECK_FALSE(headerIn(refused, "Retry-After").empty());
   CHECK(stage.arrivals() == 0);
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r2")) == 200);
   CHECK(stage.servers[1]->seen().size() == 1);
 }
@@ -64,9 +64,9 @@
   RelayStage stage(2);
   // Nothing but the bound of the weights ends a try.
   stage.configuration.policies[PolicyName{"/again/"}].target = 600s;
-  ++stage.told.configurationVersion;
-  stage.told.servers[1].leaving = true;
-  stage.tell();
+  ++stage.snapshot.configurationVersion;
+  stage.snapshot.servers[1].leaving = true;
+  stage.publishSnapshot();
   stage.servers[0]->answer([](int, const std::string&) { return Reply{"", false, true}; });
   stage.servers[1]->answer([](int, const std::string& request) {
     return Reply{streamHead(request, "s2") + chunked({event(1)})};
@@ -80,9 +80,9 @@
   eventually([&] { return stage.servers[0]->arrived == 1; });
   // Newer weights were named meanwhile, and the bound of the old ones is near.
   nameWeights(&stage, "2", {{"1", kBound - 500ms}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.told.servers[1].leaving = false;
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.snapshot.servers[1].leaving = false;
+  stage.publishSnapshot();
   caller.join();
   CHECK(stage.servers[0]->seen().size() == 1);
   if (isRepeatable) {
@@ -101,7 +101,7 @@
   constexpr auto kLeft = 3500ms;  // more than a request that is sent now must have
   nameWeights(&stage, "2", {{"1", kBound - kLeft}});
   const Instant past = BootClock::now() + kLeft + 100ms;
-  stage.tell();
+  stage.publishSnapshot();
   stage.servers[0]->pause = [past] {
     while (BootClock::now() < past) std::this_thread::yield();
   };
@@ -119,14 +119,14 @@
 
 TEST_CASE("relay: a stream is taken up again on weights that may still be begun on") {
   RelayStage stage(3);
-  stage.told.servers[1].leaving = stage.told.servers[2].leaving = true;
-  stage.tell();
+  stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = true;
+  stage.publishSnapshot();
   // While the first server answers, newer weights are known to have been named long ago.
   stage.servers[0]->answer([&](int, const std::string& request) {
     nameWeights(&stage, "2", {{"1", kBound + 1s}});
-    stage.told.servers[1].leaving = stage.told.servers[2].leaving = false;
-    stage.told.servers[2].weights = WeightsVersion{"2"};
-    stage.relay->applySnapshot(stage.told, BootClock::now());
+    stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = false;
+    stage.snapshot.servers[2].weights = WeightsVersion{"2"};
+    stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2), event(3)})};
     reply.cut = first.size();
