--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -175,11 +175,11 @@
         asio::write(*socket, asio::buffer(bytes), code);
     });
   }
-  std::vector<std::string> seen() {
+  std::vector<std::string> received() {
     std::lock_guard lock(mutex);
     return requests;
   }
-  void answer(Script next) {
+  void setScript(Script next) {
     std::lock_guard lock(mutex);
     script = std::move(next);
   }
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -39,7 +39,7 @@
       withBody("r2", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n7\r\n3456789\r\n0\r\n\r\n");
   CHECK(statusOf(RelayStage::exchange(stage.callers, counted)) == 200);
   CHECK(statusOf(RelayStage::exchange(stage.callers, chunks)) == 200);
-  for (const std::string& request : stage.servers[0]->seen()) {
+  for (const std::string& request : stage.servers[0]->received()) {
     CHECK(headerIn(request, "Content-Length") == "10");
     CHECK(headerIn(request, "Transfer-Encoding").empty());
     CHECK(request.substr(request.size() - 14) == "\r\n\r\n0123456789");
@@ -84,7 +84,7 @@
   stage.configuration.callerLimits.idleDue = 120s;  // while it rests
   tellAnew(stage);
   // Until the former limit is long over.
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return Reply{"", false, true};
     return Reply{streamHead(request) + chunked({event(1)})};
   });
@@ -104,7 +104,7 @@
   RelayStage stage(1);
   stage.configuration.policies.at(PolicyName{"/once/"}).due = 200ms;
   tellAnew(stage);
-  stage.all([](int arrival, const std::string& request) {
+  stage.setScript([](int arrival, const std::string& request) {
     const std::string seal = "X-Seal: s" + std::to_string(arrival) + "\r\n";
     if (arrival == 1) return Reply{plain(request, 500, seal)};
     if (arrival == 2) return Reply{plain(request, 503, "X-Not-Run: 1\r\n" + seal)};
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -55,7 +55,7 @@
 
 TEST_CASE("deadline: a server's silence ends at the route's deadline with a final answer") {
   RelayStage stage(1);
-  stage.all(hang);
+  stage.setScript(hang);
   setDue(stage, "/once/", 300ms);
   const Instant sent = BootClock::now();
   const std::string answer = stage.post("/once/", "r1");
@@ -68,7 +68,7 @@
   RelayStage stage(1);
   stage.addRoute("/last/", false, 1);
   setDue(stage, "/once/", 300ms);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return hang(0, request);
     return Reply{streamHead(request) + chunked({event(1)}, false), false, true};
   });
@@ -94,7 +94,7 @@
   setDue(stage, "/once/", 600ms);
   const std::string large = "data: " + std::string(100000, 'x') + "\n\n";
   const std::string stream = chunked(std::vector<std::string>(200, large));
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return hang(0, request);
     return Reply{streamHead(request) + stream, false, true};
   });
@@ -112,7 +112,7 @@
   RelayStage stage(1);
   stage.addRoute("/last/", false, 1);
   setDue(stage, "/once/", 300ms);
-  stage.all(hang);
+  stage.setScript(hang);
   RawCaller caller(stage,
                    "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: r1\r\nX-Key: "
                    "key\r\nContent-Length: 10\r\n\r\n{");
@@ -126,12 +126,12 @@
   RelayStage stage(2);
   stage.configuration.policies.at(PolicyName{"/again/"}).target = 50ms;
   setDue(stage, "/again/", 20s);
-  stage.all(hang);
+  stage.setScript(hang);
   const std::string answer = stage.post("/again/", "r1", "X-Key: key\r\nX-Due: 2000\r\n");
   CHECK(statusOf(answer) == 504);
   std::vector<int> handed;
   for (auto& server : stage.servers) {
-    for (const std::string& request : server->seen())
+    for (const std::string& request : server->received())
       handed.push_back(std::stoi(headerIn(request, "X-Due")));
   }
   REQUIRE(handed.size() == 2);
@@ -173,7 +173,7 @@
 
 TEST_CASE("gone: bytes of a next request hide no close behind them") {
   RelayStage stage(1);
-  stage.all(hang);
+  stage.setScript(hang);
   setDue(stage, "/once/", 120s);
   {
     RawCaller caller(stage, RelayStage::request("/once/", "r1", "X-Key: key\r\n", false));
@@ -185,7 +185,7 @@
 
 TEST_CASE("gone: bytes of a next request are no leaving, and it is answered in its turn") {
   RelayStage stage(1);
-  stage.all([](int arrival, const std::string& request) {
+  stage.setScript([](int arrival, const std::string& request) {
     std::string head = streamHead(request);
     if (arrival > 1) return Reply{head + chunked({event(1)})};
     head.insert(head.find("\r\n") + 2, "Connection: close\r\n");
@@ -205,7 +205,7 @@
 
 TEST_CASE("gone: a half-close is taken for a close") {
   RelayStage stage(1);
-  stage.all(hang);
+  stage.setScript(hang);
   setDue(stage, "/again/", 120s);
   RawCaller caller(stage, RelayStage::request("/again/", "r1"));
   eventually([&] { return stage.arrivals() == 1; });
@@ -220,7 +220,7 @@
   stage.addRoute("/plain/", false, 1);
   stage.configuration.policies.at(PolicyName{"/plain/"}).isStream = false;
   setDue(stage, "/plain/", 120s);
-  stage.all(hang);
+  stage.setScript(hang);
   std::weak_ptr<Tcp::socket> plainRun, streamRun;
   {
     RawCaller plain(stage, RelayStage::request("/plain/", "r1"));
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -69,7 +69,7 @@
 TEST_CASE("leaving: an answer whose head is made after the signal says that the connection ends") {
   RelayStage stage(1, 60s);
   std::atomic<bool> mayAnswer{false};
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     while (!mayAnswer) std::this_thread::yield();
     return Reply{streamHead(request) + chunked({event(1)})};
   });
@@ -87,7 +87,7 @@
 
 TEST_CASE("leaving: a stream under way ends whole, and its connection is closed behind it") {
   RelayStage stage(1, 4s);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)}, false), false, true};
   });
   KeptCaller kept(stage);
@@ -105,7 +105,7 @@
 
 TEST_CASE("leaving: what can't end within the grace gets a final answer before it is over") {
   RelayStage stage(2, 1600ms);
-  stage.all([](int, const std::string&) { return Reply{"", false, true}; });
+  stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
   KeptCaller once(stage), again(stage);
   once.send("/once/", "r1");
   again.send("/again/", "r2");
@@ -124,7 +124,7 @@
 
 TEST_CASE("leaving: a request that comes too late to end is refused at once and runs nowhere") {
   RelayStage stage(1, 4s);
-  stage.all([](int, const std::string&) { return Reply{"", false, true}; });
+  stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
   KeptCaller running(stage), idle(stage);
   running.send("/once/", "r1");  // keeps the relay from ending early
   eventually([&] { return stage.arrivals() == 1; });
--- a/tests/relay_answer_tests.cpp
+++ b/tests/relay_answer_tests.cpp
@@ -9,7 +9,7 @@
   // The word 'not run' stands where the second answer is due, and belongs to an earlier request.
   const std::string surplus = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
   for (const bool answers : {true, false}) {
-    stage.all([&](int, const std::string& request) {
+    stage.setScript([&](int, const std::string& request) {
       const std::string own = streamHead(request) + chunked({event(1)});
       if (headerIn(request, "X-Id")[0] == 'w') return Reply{own};
       return answers ? Reply{surplus + own} : Reply{surplus, true};
@@ -26,10 +26,10 @@
 TEST_CASE("relay: an answer without an id is judged where it can be nobody else's") {
   RelayStage stage(1);
   const std::string bare = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
-  stage.all([&](int, const std::string&) { return Reply{bare, true}; });
+  stage.setScript([&](int, const std::string&) { return Reply{bare, true}; });
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
   // The second answer on the connection is somebody's, and nobody can say whose.
-  stage.all([&](int, const std::string&) {
+  stage.setScript([&](int, const std::string&) {
     return Reply{plain("\r\nX-Id: other\r\n", 200) + bare, true};
   });
   CHECK(statusOf(stage.post("/once/", "r2")) == 502);
@@ -41,11 +41,11 @@
   const std::string bare =
       "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Model: m\r\nX-Key: key\r\n"
       "Connection: close\r\nContent-Length: 2\r\n\r\n{}";
-  stage.all([](int, const std::string&) {
+  stage.setScript([](int, const std::string&) {
     return Reply{"HTTP/1.1 400 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno"};
   });
   CHECK(statusOf(RelayStage::exchange(stage.callers, bare)) == 503);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   CHECK(endsWhole(stage.post("/once/", "r2")));
@@ -59,7 +59,7 @@
   RelayStage stage(1);
   const std::string wanted = "X-Identity: i0\r\nX-Weights: 2\r\n";
   ByteServer& server = *stage.servers[0];
-  stage.all([&](int arrival, const std::string& request) {
+  stage.setScript([&](int arrival, const std::string& request) {
     const std::string own = streamHead(request) + chunked({event(1)});
     if (arrival == 1) return Reply{plain(request, 421, wanted)};
     // The first answer once more, late, on the connection that it belongs to.
@@ -73,14 +73,14 @@
 TEST_CASE("relay: a status that promises 'not run' goes out only with the server's mark") {
   RelayStage stage(1);
   for (const int status : {408, 429, 503}) {
-    stage.all([&](int, const std::string& request) {
+    stage.setScript([&](int, const std::string& request) {
       return Reply{plain(request, status, "X-Seal: s1\r\n")};
     });
     const std::string answer = stage.post("/once/", "r" + std::to_string(status));
     CHECK(statusOf(answer) == 502);
     CHECK(headerIn(answer, "X-Seal").empty());
   }
-  stage.all(
+  stage.setScript(
       [](int, const std::string& request) { return Reply{plain(request, 500, "X-Seal: s1\r\n")}; });
   const std::string answer = stage.post("/once/", "r1");
   CHECK(statusOf(answer) == 500);
@@ -89,13 +89,13 @@
 
 TEST_CASE("relay: a success without a seal, or with two ids, is nobody's") {
   RelayStage stage(1);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{
         "HTTP/1.1 200 OK\r\nX-Id: " + headerIn(request, "X-Id") + "\r\nContent-Length: 2\r\n\r\nno",
         true};
   });
   CHECK(statusOf(stage.post("/once/", "r1")) == 502);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{"HTTP/1.1 503 X\r\nX-Id: old\r\nX-Not-Run: 1\r\nX-Id: " +
                      headerIn(request, "X-Id") + "\r\nContent-Length: 2\r\n\r\nno",
                  true};
@@ -106,7 +106,7 @@
 TEST_CASE("relay: events without ids are not taken up elsewhere") {
   RelayStage stage(2);
   std::atomic<int> served{0};
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     if (++served == 1)
       return Reply{streamHead(request) + chunked({event(1), "data: bare\n\n"}, false), true};
     return Reply{streamHead(request) + chunked({event(2), event(3)})};
@@ -119,7 +119,7 @@
 
 TEST_CASE("relay: a first event may have the id 0") {
   RelayStage stage(1);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(0) + event(1)})};
   });
   CHECK(stage.post("/once/", "r1").find(event(0) + event(1)) != std::string::npos);
@@ -128,7 +128,7 @@
 TEST_CASE("relay: a stream with no length that ends within an event was cut") {
   RelayStage stage(1);
   for (const bool isWhole : {true, false}) {
-    stage.all([&](int, const std::string& request) {
+    stage.setScript([&](int, const std::string& request) {
       return Reply{"HTTP/1.1 200 OK\r\nX-Id: " + headerIn(request, "X-Id") +
                        "\r\nX-Seal: s1\r\nConnection: close\r\n\r\n" + event(1) +
                        (isWhole ? event(2) : "id: 2\ndata: d"),
@@ -144,7 +144,7 @@
   RelayStage stage(1);
   ByteServer& server = *stage.servers[0];
   server.respondsBeforeBody = true;
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   const std::string body(12 << 20, 'b');
@@ -166,7 +166,7 @@
   RelayStage stage(2);
   std::atomic<int> served{0};
   // Told of newer weights, the first server leaves before it can be asked again.
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     if (++served > 1) return Reply{streamHead(request) + chunked({event(1)})};
     const std::string identity = headerIn(request, "X-Want-Identity");
     stage.snapshot.servers[identity == "i0" ? 0 : 1].leaving = true;
@@ -179,7 +179,7 @@
 
 TEST_CASE("relay: further tries are paid by requests alone") {
   RelayStage stage(2, 60s, true, 1);  // of the whole bound one daemon may use a half
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{plain(request, 503, "X-Not-Run: 1\r\n")};
   });
   constexpr int kRequests = 24;
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -93,13 +93,13 @@
     publishSnapshot();
     for (auto& server : servers) {
       server->pause = [this] { passThroughRelay(); };
-      server->answer([this, played = server.get()](int, const std::string& request) {
-        return reply(*played, request);
+      server->setScript([this, byteServer = server.get()](int, const std::string& request) {
+        return reply(*byteServer, request);
       });
     }
   }
   ~BoundaryStage() {
-    for (auto& server : servers) server->answer([](int, const std::string&) { return Reply{}; });
+    for (auto& server : servers) server->setScript([](int, const std::string&) { return Reply{}; });
   }
   // One call through the relay's only thread: what was delivered before has been read by then.
   void passThroughRelay() {
@@ -294,7 +294,7 @@
   }
   std::mutex mutex;
   std::map<std::string, int> arrivals;
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     const std::string id = headerIn(request, "X-Id");
     std::lock_guard lock(mutex);
     ++arrivals[id];
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -60,7 +60,7 @@
     snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < count; ++i) {
       servers.push_back(std::make_unique<ByteServer>(io, localAddress(20 + i, 7400)));
-      servers.back()->answer([](int, const std::string& request) {
+      servers.back()->setScript([](int, const std::string& request) {
         return Reply{streamHead(request) + chunked({event(1), event(2), event(3)})};
       });
       SnapshotServer row;
@@ -142,11 +142,11 @@
   }
   int arrivals() {
     std::size_t sum = 0;
-    for (auto& server : servers) sum += server->seen().size();
+    for (auto& server : servers) sum += server->received().size();
     return static_cast<int>(sum);
   }
-  void all(const ByteServer::Script& script) {
-    for (auto& server : servers) server->answer(script);
+  void setScript(const ByteServer::Script& script) {
+    for (auto& server : servers) server->setScript(script);
   }
 };
 
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -12,7 +12,7 @@
   CHECK(headerIn(answer, "X-Seal") == "s1");
   for (int id : {1, 2, 3}) CHECK(answer.find(event(id)) != std::string::npos);
   CHECK(endsWhole(answer));
-  const std::string sent = stage.servers[0]->seen().at(0);
+  const std::string sent = stage.servers[0]->received().at(0);
   CHECK(sent.rfind("POST /once/a?b=c HTTP/1.1\r\n", 0) == 0);
   CHECK(headerIn(sent, "X-Id") == "r1");
   CHECK(headerIn(sent, "X-Tenant") == "north");
@@ -26,7 +26,7 @@
 
 TEST_CASE("relay: a cut answer never looks complete and is not sent again") {
   RelayStage stage(2);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1), "id: 2\nda"}, false), true};
   });
   const std::string answer = stage.post("/twice/", "r1");
@@ -39,7 +39,7 @@
 TEST_CASE("relay: a resumable stream goes on at another server behind its last whole event") {
   RelayStage stage(2);
   std::atomic<int> served{0};
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     if (++served == 1)
       return Reply{streamHead(request, "first") + chunked({event(1), event(2), "id: 3\nd"}, false),
                    true};
@@ -54,15 +54,16 @@
        at = answer.find("id: ", at + 1))
     events += answer[at + 4];
   CHECK(events == "1234");
-  CHECK(stage.servers[0]->seen().size() == 1);
-  CHECK(stage.servers[1]->seen().size() == 1);
-  const std::string first = stage.servers[0]->seen().at(0), other = stage.servers[1]->seen().at(0);
+  CHECK(stage.servers[0]->received().size() == 1);
+  CHECK(stage.servers[1]->received().size() == 1);
+  const std::string first = stage.servers[0]->received().at(0),
+                    other = stage.servers[1]->received().at(0);
   CHECK(headerIn(first, "Last-Event-Id") + headerIn(other, "Last-Event-Id") == "2");
 }
 
 TEST_CASE("relay: a surplus answer on a kept connection belongs to nobody") {
   RelayStage stage(1);
-  stage.all([](int arrival, const std::string& request) {
+  stage.setScript([](int arrival, const std::string& request) {
     const std::string own = streamHead(request) + chunked({event(1)});
     if (arrival == 1) return Reply{own};
     return Reply{plain("\r\nX-Id: r1\r\n", 200) + own};
@@ -77,7 +78,7 @@
 
 TEST_CASE("relay: a kept connection that closes without a byte is judged by what may be repeated") {
   RelayStage stage(2);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id")[0] == 'w')
       return Reply{streamHead(request) + chunked({event(1)})};
     return Reply{"", true};
@@ -96,7 +97,7 @@
 TEST_CASE("relay: what a server did not run goes to another, or is refused with a time") {
   RelayStage stage(2);
   std::atomic<int> served{0};
-  stage.all([&](int, const std::string& request) {
+  stage.setScript([&](int, const std::string& request) {
     if (++served != 3) return Reply{plain(request, 503, "X-Not-Run: 1\r\n")};
     return Reply{streamHead(request) + chunked({event(1)})};
   });
@@ -112,22 +113,22 @@
 
 TEST_CASE("relay: a server with newer weights is asked again for those") {
   RelayStage stage(1);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Want-Weights") == "1")
       return Reply{plain(request, 421, "X-Identity: i0\r\nX-Weights: 2\r\n")};
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   const std::string answer = stage.post("/once/", "r1");
   CHECK(statusOf(answer) == 200);
-  const auto seen = stage.servers[0]->seen();
-  REQUIRE(seen.size() == 2);
-  CHECK(headerIn(seen[1], "X-Want-Weights") == "2");
-  CHECK(headerIn(seen[0], "X-Salt") != headerIn(seen[1], "X-Salt"));
+  const auto received = stage.servers[0]->received();
+  REQUIRE(received.size() == 2);
+  CHECK(headerIn(received[1], "X-Want-Weights") == "2");
+  CHECK(headerIn(received[0], "X-Salt") != headerIn(received[1], "X-Salt"));
 }
 
 TEST_CASE("relay: another server at the address runs nothing") {
   RelayStage stage(1);
-  stage.all([](int, const std::string& request) {
+  stage.setScript([](int, const std::string& request) {
     return Reply{plain(request, 421, "X-Identity: other\r\n")};
   });
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
@@ -143,7 +144,7 @@
   stage.post("/once/", "r3");
   stage.post("/once/", "r4", "X-Key: hill-key\r\n");
   std::set<std::string> salts;
-  for (const std::string& request : stage.servers[0]->seen())
+  for (const std::string& request : stage.servers[0]->received())
     salts.insert(headerIn(request, "X-Salt"));
   CHECK(salts.size() == 4);
 }
@@ -192,7 +193,7 @@
 
 TEST_CASE("relay: a caller that leaves ends its run") {
   RelayStage stage(1);
-  stage.all([](int, const std::string&) { return Reply{"", false, true}; });
+  stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
   {
     asio::io_context own;
     Tcp::socket socket(own);
@@ -238,7 +239,7 @@
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
   std::atomic<bool> isStill{false}, hasFirst{false};
-  stage.servers[0]->answer([&](int, const std::string& request) {
+  stage.servers[0]->setScript([&](int, const std::string& request) {
     while (!isStill) std::this_thread::yield();
     Reply reply{streamHead(request) + chunked({event(1)}, false)};
     reply.cut = reply.bytes.size();
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -27,8 +27,8 @@
   stage.publishSnapshot();
   for (int i = 0; i < 12; ++i)
     CHECK(statusOf(stage.post("/once/", "r" + std::to_string(i))) == 200);
-  CHECK(stage.servers[0]->seen().empty());
-  CHECK(stage.servers[1]->seen().size() == 12);
+  CHECK(stage.servers[0]->received().empty());
+  CHECK(stage.servers[1]->received().size() == 12);
 }
 
 TEST_CASE("relay: a model that a request does not name is bound by its weights too") {
@@ -43,7 +43,7 @@
                                  "\r\nX-Key: key\r\nConnection: close\r\nContent-Length: "
                                  "2\r\n\r\n{}")) == 200);
   }
-  CHECK(stage.servers[0]->seen().empty());
+  CHECK(stage.servers[0]->received().empty());
 }
 
 TEST_CASE("relay: where the time of a naming is not known, the newest weights alone serve") {
@@ -57,7 +57,7 @@
   stage.snapshot.servers[1].weights = WeightsVersion{"2"};
   stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r2")) == 200);
-  CHECK(stage.servers[1]->seen().size() == 1);
+  CHECK(stage.servers[1]->received().size() == 1);
 }
 
 TEST_CASE("relay: a request that waits at a server does not begin there past the bound") {
@@ -67,8 +67,8 @@
   ++stage.snapshot.configurationVersion;
   stage.snapshot.servers[1].leaving = true;
   stage.publishSnapshot();
-  stage.servers[0]->answer([](int, const std::string&) { return Reply{"", false, true}; });
-  stage.servers[1]->answer([](int, const std::string& request) {
+  stage.servers[0]->setScript([](int, const std::string&) { return Reply{"", false, true}; });
+  stage.servers[1]->setScript([](int, const std::string& request) {
     return Reply{streamHead(request, "s2") + chunked({event(1)})};
   });
   const bool isRepeatable = GENERATE(false, true);
@@ -84,7 +84,7 @@
   stage.snapshot.servers[1].leaving = false;
   stage.publishSnapshot();
   caller.join();
-  CHECK(stage.servers[0]->seen().size() == 1);
+  CHECK(stage.servers[0]->received().size() == 1);
   if (isRepeatable) {
     CHECK(statusOf(answer) == 200);
     CHECK(headerIn(answer, "X-Seal") == "s2");
@@ -92,7 +92,7 @@
   } else {  // it may have run
     CHECK(statusOf(answer) == 502);
     CHECK(answer.find("superseded") != std::string::npos);
-    CHECK(stage.servers[1]->seen().empty());
+    CHECK(stage.servers[1]->received().empty());
   }
 }
 
@@ -105,7 +105,7 @@
   stage.servers[0]->pause = [past] {
     while (BootClock::now() < past) std::this_thread::yield();
   };
-  stage.servers[0]->answer([](int, const std::string& request) {
+  stage.servers[0]->setScript([](int, const std::string& request) {
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2)})};
     reply.cut = first.size();
@@ -122,7 +122,7 @@
   stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = true;
   stage.publishSnapshot();
   // While the first server answers, newer weights are known to have been named long ago.
-  stage.servers[0]->answer([&](int, const std::string& request) {
+  stage.servers[0]->setScript([&](int, const std::string& request) {
     nameWeights(&stage, "2", {{"1", kBound + 1s}});
     stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = false;
     stage.snapshot.servers[2].weights = WeightsVersion{"2"};
@@ -134,15 +134,15 @@
     return reply;
   });
   for (int i : {1, 2}) {
-    stage.servers[i]->answer([](int, const std::string& request) {
+    stage.servers[i]->setScript([](int, const std::string& request) {
       return Reply{streamHead(request) + chunked({event(2), event(3)})};
     });
   }
   const std::string answer = stage.post("/again/", "r1");
   CHECK(statusOf(answer) == 200);
   CHECK(endsWhole(answer));
-  CHECK(stage.servers[1]->seen().empty());
-  REQUIRE(stage.servers[2]->seen().size() == 1);
-  CHECK(headerIn(stage.servers[2]->seen()[0], "Last-Event-Id") == "1");
-  CHECK(headerIn(stage.servers[2]->seen()[0], "X-Want-Weights") == "2");
+  CHECK(stage.servers[1]->received().empty());
+  REQUIRE(stage.servers[2]->received().size() == 1);
+  CHECK(headerIn(stage.servers[2]->received()[0], "Last-Event-Id") == "1");
+  CHECK(headerIn(stage.servers[2]->received()[0], "X-Want-Weights") == "2");
 }
