--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -15,11 +15,11 @@
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-struct Way {
+struct RouteKind {
   const char* prefix;
   bool isStream, isRepeatable;
 };
-constexpr Way kUnsafeStream{"/us/", true, false}, kResumable{"/rs/", true, true},
+constexpr RouteKind kUnsafeStream{"/us/", true, false}, kResumable{"/rs/", true, true},
     kUnsafe{"/up/", false, false}, kSafe{"/sp/", false, true};
 
 std::string eventsFrom(int first) {
@@ -28,14 +28,14 @@
   return events;
 }
 
-bool ranFor(Kind kind) { return kind != Kind::NotRun && kind != Kind::Misdirected; }
+bool runsFor(Kind kind) { return kind != Kind::NotRun && kind != Kind::Misdirected; }
 
 std::string headFor(const std::string& id, const std::string& status, const std::string& more) {
   return "HTTP/1.1 " + status + "\r\nX-Id: " + id + "\r\nX-Seal: s-" + id + "\r\n" + more + "\r\n";
 }
 
 // What a server sends that does all it should, for a run behind `after` events.
-std::string answerOf(Kind kind, const std::string& id, int after = 0) {
+std::string serverResponse(Kind kind, const std::string& id, int after = 0) {
   const std::string length = "Content-Length: 2\r\n";
   switch (kind) {
     case Kind::Chunked: {
@@ -60,39 +60,40 @@
 
 struct Case {
   Kind kind;
-  Way way;
+  RouteKind route;
   std::size_t cut = 0;
   Fault fault{};
-  bool isKept = false;
+  bool isReused = false;
   std::string surplus{};  // before the answer, and belongs to nobody
 };
 
-std::string nameOf(const Case& asked) {
-  return std::string(kindName(asked.kind)) + " on " + asked.way.prefix + ", " +
-         faultName(asked.fault) + " at " + std::to_string(asked.cut) +
-         (asked.isKept ? ", kept connection" : ", fresh connection") +
-         (asked.surplus.empty() ? "" : ", behind '" + asked.surplus + "'");
+std::string caseName(const Case& testCase) {
+  return std::string(kindName(testCase.kind)) + " on " + testCase.route.prefix + ", " +
+         faultName(testCase.fault) + " at " + std::to_string(testCase.cut) +
+         (testCase.isReused ? ", kept connection" : ", fresh connection") +
+         (testCase.surplus.empty() ? "" : ", behind '" + testCase.surplus + "'");
 }
 
 struct BoundaryStage : RelayStage {
   std::mutex caseMutex;
-  Case asked;
-  int arrivalsOfCase = 0, runs = 0;
-  std::uint64_t numbers = 0;
-  std::atomic<int> onKept{0};  // cases whose first arrival came on a connection used before
+  Case testCase;
+  int arrivalsInCase = 0, runs = 0;
+  std::uint64_t caseCount = 0;
+  std::atomic<int> reusedConnections{
+      0};  // cases whose first arrival came on a connection used before
 
   BoundaryStage() : RelayStage(2) {
-    for (const Way& way : {kUnsafeStream, kResumable, kUnsafe, kSafe}) {
-      addRoute(way.prefix, way.isRepeatable, 2);
-      RoutePolicy& policy = configuration.policies[PolicyName{way.prefix}];
+    for (const RouteKind& route : {kUnsafeStream, kResumable, kUnsafe, kSafe}) {
+      addRoute(route.prefix, route.isRepeatable, 2);
+      RoutePolicy& policy = configuration.policies[PolicyName{route.prefix}];
       policy.due = 3000ms;
-      policy.isStream = way.isStream;
-      policy.isResumable = way.isRepeatable && way.isStream;
+      policy.isStream = route.isStream;
+      policy.isResumable = route.isRepeatable && route.isStream;
     }
     snapshot.configurationVersion = 2;
     publishSnapshot();
     for (auto& server : servers) {
-      server->pause = [this] { passThroughRelay(); };
+      server->pause = [this] { waitForRelay(); };
       server->setScript([this, byteServer = server.get()](int, const std::string& request) {
         return reply(*byteServer, request);
       });
@@ -102,28 +103,30 @@
     for (auto& server : servers) server->setScript([](int, const std::string&) { return Reply{}; });
   }
   // One call through the relay's only thread: what was delivered before has been read by then.
-  void passThroughRelay() {
+  void waitForRelay() {
     exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   }
   Reply reply(const ByteServer& server, const std::string& request) {
     std::lock_guard lock(caseMutex);
     const std::string id = headerIn(request, "X-Id");
-    if (id[0] == 'w') return Reply{answerOf(Kind::Plain, id)};
+    if (id[0] == 'w') return Reply{serverResponse(Kind::Plain, id)};
     const std::string after = headerIn(request, "Last-Event-Id");
-    ++arrivalsOfCase;
-    const auto& by = server.connectionNumbers;
-    const bool wasUsed = std::find(by.begin(), by.end(), by.back()) + 1 != by.end();
-    if (arrivalsOfCase == 1 && wasUsed) ++onKept;
-    if (arrivalsOfCase > 1) {
+    ++arrivalsInCase;
+    const auto& connections = server.connectionNumbers;
+    const bool wasUsed =
+        std::find(connections.begin(), connections.end(), connections.back()) + 1 !=
+        connections.end();
+    if (arrivalsInCase == 1 && wasUsed) ++reusedConnections;
+    if (arrivalsInCase > 1) {
       ++runs;
-      const Kind kind = asked.way.isStream ? Kind::Chunked : Kind::Plain;
-      return Reply{answerOf(kind, id, after.empty() ? 0 : std::stoi(after))};
+      const Kind kind = testCase.route.isStream ? Kind::Chunked : Kind::Plain;
+      return Reply{serverResponse(kind, id, after.empty() ? 0 : std::stoi(after))};
     }
-    runs += ranFor(asked.kind) ? 1 : 0;
-    Reply reply{asked.surplus + answerOf(asked.kind, id)};
-    reply.closes = asked.kind == Kind::NoLength;
-    if (asked.surplus.empty()) reply.cut = asked.cut;
-    reply.fault = asked.fault;
+    runs += runsFor(testCase.kind) ? 1 : 0;
+    Reply reply{testCase.surplus + serverResponse(testCase.kind, id)};
+    reply.closes = testCase.kind == Kind::NoLength;
+    if (testCase.surplus.empty()) reply.cut = testCase.cut;
+    reply.fault = testCase.fault;
     return reply;
   }
   int faultyClosed() const {
@@ -131,102 +134,104 @@
     for (const auto& server : servers) sum += server->faultyClosed;
     return sum;
   }
-  ParsedResponse play(const Case& next) {
+  ParsedResponse runCase(const Case& nextCase) {
     // A route of its own would go elsewhere: the warm-up takes the case's.
-    const std::string number = std::to_string(++numbers);
+    const std::string number = std::to_string(++caseCount);
     relay->applySnapshot(snapshot, BootClock::now());  // what the relay knows stays fresh
-    if (next.isKept) post("/up/", "w" + number);
+    if (nextCase.isReused) post("/up/", "w" + number);
     {
       std::lock_guard lock(caseMutex);
-      asked = next;
-      arrivalsOfCase = runs = 0;
+      testCase = nextCase;
+      arrivalsInCase = runs = 0;
     }
     const std::string id = "r" + number;
     const int brokenBefore = faultyClosed();
-    ParsedResponse answer = parseResponse(post(next.way.prefix, id), "X-Id", "X-Seal");
+    ParsedResponse answer = parseResponse(post(nextCase.route.prefix, id), "X-Id", "X-Seal");
     // The next case must not meet this one's end on a connection that was given back before it.
-    if (next.fault != Fault::None) eventually([&] { return faultyClosed() > brokenBefore; });
+    if (nextCase.fault != Fault::None) eventually([&] { return faultyClosed() > brokenBefore; });
     std::lock_guard lock(caseMutex);
-    judge(next, id, answer);
+    checkResponse(nextCase, id, answer);
     return answer;
   }
   // What holds at every boundary. Catch's macros are slow: only a case that fails gets to one.
-  void judge(const Case& played, const std::string& id, const ParsedResponse& answer) {
+  void checkResponse(const Case& checkedCase, const std::string& id, const ParsedResponse& answer) {
     const auto fails = [&](const std::string& why) {
-      FAIL_CHECK(nameOf(played) << ": " << why << " (status " << answer.status << ", whole "
-                                << answer.isWhole << ", arrivals " << arrivalsOfCase << ", runs "
-                                << runs << ", body '" << answer.body << "')");
+      FAIL_CHECK(caseName(checkedCase) << ": " << why << " (status " << answer.status << ", whole "
+                                       << answer.isWhole << ", arrivals " << arrivalsInCase
+                                       << ", runs " << runs << ", body '" << answer.body << "')");
     };
     if (answer.status == 0) return fails("no head came back");
     if (answer.surplus > 0) fails("bytes behind the answer");
     if (answer.id != id) fails("an answer of another request: " + answer.id);
     if (!answer.seal.empty() && answer.seal != "s-" + id) fails("another request's seal");
-    if (!played.way.isRepeatable && runs > 1) fails("an unsafe request ran twice");
+    if (!checkedCase.route.isRepeatable && runs > 1) fails("an unsafe request ran twice");
     if (isNotRunStatus(answer.status) && runs > 0) fails("'not run' was said of what ran");
-    const std::string all = played.way.isStream ? eventsFrom(1) : "ok";
-    const bool endsEarly = played.kind == Kind::NoLength && played.fault == Fault::Close;
+    const std::string all = checkedCase.route.isStream ? eventsFrom(1) : "ok";
+    const bool endsEarly = checkedCase.kind == Kind::NoLength && checkedCase.fault == Fault::Close;
     if (answer.status == 200) {
       if (answer.seal.empty()) fails("a success without a seal");
       // Bytes within a body of a known length are the server's, whatever they are.
-      const bool isForged = played.fault == Fault::Garbage && played.kind == Kind::Plain &&
-                            answer.body.size() == all.size();
+      const bool isForged = checkedCase.fault == Fault::Garbage &&
+                            checkedCase.kind == Kind::Plain && answer.body.size() == all.size();
       if (!isForged && all.rfind(answer.body, 0) != 0) fails("the body is not the server's");
       if (answer.isWhole && answer.body.size() != all.size() && !endsEarly)
         fails("a cut looks complete");
-      if (played.way.isStream && !wholeEvents(answer.body)) fails("part of an event");
+      if (checkedCase.route.isStream && !wholeEvents(answer.body)) fails("part of an event");
     }
-    const bool isUsable = played.way.isRepeatable || played.fault == Fault::None;
-    const bool isFailure = !played.way.isRepeatable && played.kind == Kind::Failure;
-    if (isUsable && played.surplus.empty() && !isFailure &&
+    const bool isUsable = checkedCase.route.isRepeatable || checkedCase.fault == Fault::None;
+    const bool isFailure = !checkedCase.route.isRepeatable && checkedCase.kind == Kind::Failure;
+    if (isUsable && checkedCase.surplus.empty() && !isFailure &&
         (answer.status != 200 || !answer.isWhole))
       fails("it was not served");
-    if (isFailure && played.fault == Fault::None && answer.status != 500)
+    if (isFailure && checkedCase.fault == Fault::None && answer.status != 500)
       fails("the server's own failure was lost");
   }
   static bool wholeEvents(const std::string& body) {
     return body.empty() || body == event(1) || body == event(1) + event(2) || body == eventsFrom(1);
   }
-  void playAll(Kind kind, const Way& way, Fault fault, bool isKept) {
-    const std::size_t size = answerOf(kind, "r" + std::to_string(numbers)).size();
-    for (std::size_t cut = 0; cut <= size; ++cut) play({kind, way, cut, fault, isKept, ""});
+  void runAllCuts(Kind kind, const RouteKind& route, Fault fault, bool isReused) {
+    const std::size_t size = serverResponse(kind, "r" + std::to_string(caseCount)).size();
+    for (std::size_t cut = 0; cut <= size; ++cut) runCase({kind, route, cut, fault, isReused, ""});
   }
 };
 
-void playEach(Fault fault, bool isKept) {
+void runEach(Fault fault, bool isReused) {
   BoundaryStage stage;
   for (const Kind kind : {Kind::Chunked, Kind::NoLength}) {
-    for (const Way& way : {kUnsafeStream, kResumable}) stage.playAll(kind, way, fault, isKept);
+    for (const RouteKind& route : {kUnsafeStream, kResumable})
+      stage.runAllCuts(kind, route, fault, isReused);
   }
-  for (const Way& way : {kUnsafe, kSafe}) stage.playAll(Kind::Plain, way, fault, isKept);
+  for (const RouteKind& route : {kUnsafe, kSafe})
+    stage.runAllCuts(Kind::Plain, route, fault, isReused);
   for (const Kind kind : {Kind::NotRun, Kind::Misdirected, Kind::Failure}) {
-    for (const Way& way : {kUnsafeStream, kResumable, kSafe})
-      stage.playAll(kind, way, fault, isKept);
+    for (const RouteKind& route : {kUnsafeStream, kResumable, kSafe})
+      stage.runAllCuts(kind, route, fault, isReused);
   }
-  CHECK(stage.numbers > 1300);
+  CHECK(stage.caseCount > 1300);
   // Where none is kept each has its own; else those that found one are nearly all.
-  const int cases = static_cast<int>(stage.numbers);
-  CHECK((isKept ? stage.onKept * 10 >= cases * 9 : true));
+  const int cases = static_cast<int>(stage.caseCount);
+  CHECK((isReused ? stage.reusedConnections * 10 >= cases * 9 : true));
 }
 }  // namespace
 
 TEST_CASE("relay boundary: an answer split at any byte is passed on whole") {
-  playEach(Fault::None, false);
-  playEach(Fault::None, true);
+  runEach(Fault::None, false);
+  runEach(Fault::None, true);
 }
 
 TEST_CASE("relay boundary: a connection closed at any byte") {
-  playEach(Fault::Close, false);
-  playEach(Fault::Close, true);
+  runEach(Fault::Close, false);
+  runEach(Fault::Close, true);
 }
 
 TEST_CASE("relay boundary: a stall and a reset at any byte") {
-  playEach(Fault::Reset, false);
-  playEach(Fault::Reset, true);
+  runEach(Fault::Reset, false);
+  runEach(Fault::Reset, true);
 }
 
 TEST_CASE("relay boundary: bytes that are no answer from any byte on") {
-  playEach(Fault::Garbage, false);
-  playEach(Fault::Garbage, true);
+  runEach(Fault::Garbage, false);
+  runEach(Fault::Garbage, true);
 }
 
 TEST_CASE("relay boundary: any part of another answer before the right one") {
@@ -243,10 +248,10 @@
   int served = 0;
   for (const std::string& stray : {old, unnamed, success}) {
     for (std::size_t cut = 1; cut <= stray.size(); ++cut) {
-      for (const Way& way : {kUnsafeStream, kUnsafe}) {
-        const Kind kind = way.isStream ? Kind::Chunked : Kind::Plain;
+      for (const RouteKind& route : {kUnsafeStream, kUnsafe}) {
+        const Kind kind = route.isStream ? Kind::Chunked : Kind::Plain;
         const ParsedResponse answer =
-            stage.play({kind, way, 0, Fault::None, true, stray.substr(0, cut)});
+            stage.runCase({kind, route, 0, Fault::None, true, stray.substr(0, cut)});
         served += answer.status == 200 && answer.isWhole ? 1 : 0;
       }
     }
@@ -255,25 +260,25 @@
 }
 
 namespace {
-struct Held {
-  Case asked;
+struct PendingCase {
+  Case testCase;
   std::string id, bytes;
 };
 
 // All at once: each of them lasts until its deadline.
-void askAll(const Address& callers, std::vector<Held>* all) {
+void sendAll(const Address& callers, std::vector<PendingCase>* all) {
   asio::io_context io;
-  for (Held& held : *all) {
+  for (PendingCase& pending : *all) {
     asio::co_spawn(
         io,
-        [&held, &callers, &io]() -> awaitable<void> {
+        [&pending, &callers, &io]() -> awaitable<void> {
           Tcp::socket socket(io);
           ErrorCode code;
           co_await socket.async_connect(endpointOf(callers), into(code));
-          const std::string text =
-              RelayStage::request(held.asked.way.prefix, held.id, "X-Key: key\r\nX-Due: 500\r\n");
+          const std::string text = RelayStage::request(pending.testCase.route.prefix, pending.id,
+                                                       "X-Key: key\r\nX-Due: 500\r\n");
           co_await asio::async_write(socket, asio::buffer(text), into(code));
-          co_await asio::async_read(socket, asio::dynamic_buffer(held.bytes), into(code));
+          co_await asio::async_read(socket, asio::dynamic_buffer(pending.bytes), into(code));
         },
         asio::detached);
   }
@@ -283,13 +288,13 @@
 
 TEST_CASE("relay boundary: silence from any byte on, until the deadline") {
   BoundaryStage stage;
-  std::vector<Held> all;
-  for (const Case& asked : {Case{Kind::Chunked, kUnsafeStream}, Case{Kind::Chunked, kResumable},
-                            Case{Kind::Plain, kUnsafe}, Case{Kind::NotRun, kUnsafeStream}}) {
-    const std::size_t size = answerOf(asked.kind, "h999").size();
+  std::vector<PendingCase> all;
+  for (const Case& testCase : {Case{Kind::Chunked, kUnsafeStream}, Case{Kind::Chunked, kResumable},
+                               Case{Kind::Plain, kUnsafe}, Case{Kind::NotRun, kUnsafeStream}}) {
+    const std::size_t size = serverResponse(testCase.kind, "h999").size();
     for (std::size_t cut = 0; cut < size; ++cut) {
-      all.push_back({asked, "h" + std::to_string(100 + all.size()), ""});
-      all.back().asked.cut = cut;
+      all.push_back({testCase, "h" + std::to_string(100 + all.size()), ""});
+      all.back().testCase.cut = cut;
     }
   }
   std::mutex mutex;
@@ -298,35 +303,36 @@
     const std::string id = headerIn(request, "X-Id");
     std::lock_guard lock(mutex);
     ++arrivals[id];
-    const Case& asked = all.at(std::stoul(id.substr(1)) - 100).asked;
-    return Reply{answerOf(asked.kind, id).substr(0, asked.cut), false, true};
+    const Case& testCase = all.at(std::stoul(id.substr(1)) - 100).testCase;
+    return Reply{serverResponse(testCase.kind, id).substr(0, testCase.cut), false, true};
   });
   for (SnapshotServer& row : stage.snapshot.servers) row.slots = 4000;
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   // On a busy machine the deadline of some may pass before they are sent: these are refused, and
   // asked again until each case was met by its server. Fewer at once each time.
-  std::vector<Held> open = all;
-  std::vector<Held> met;
+  std::vector<PendingCase> open = all;
+  std::vector<PendingCase> reached;
   for (int round = 0; round < 40 && !open.empty(); ++round) {
-    askAll(stage.callers, &open);
+    sendAll(stage.callers, &open);
     stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     std::lock_guard lock(mutex);
-    const auto isMet = [&](const Held& held) {
-      return arrivals[held.id] > 0 ||
-             !isNotRunStatus(parseResponse(held.bytes, "X-Id", "X-Seal").status);
+    const auto isReached = [&](const PendingCase& pending) {
+      return arrivals[pending.id] > 0 ||
+             !isNotRunStatus(parseResponse(pending.bytes, "X-Id", "X-Seal").status);
     };
-    std::copy_if(open.begin(), open.end(), std::back_inserter(met), isMet);
-    std::erase_if(open, isMet);
-    for (Held& held : open) held.bytes.clear();
+    std::copy_if(open.begin(), open.end(), std::back_inserter(reached), isReached);
+    std::erase_if(open, isReached);
+    for (PendingCase& pending : open) pending.bytes.clear();
   }
-  CHECK(met.size() == all.size());
-  for (const Held& held : met) {
-    const ParsedResponse answer = parseResponse(held.bytes, "X-Id", "X-Seal");
-    INFO(nameOf(held.asked) << ", silent: status " << answer.status << ", body " << answer.body);
-    const bool holds = answer.id == held.id && !isNotRunStatus(answer.status) &&
+  CHECK(reached.size() == all.size());
+  for (const PendingCase& pending : reached) {
+    const ParsedResponse answer = parseResponse(pending.bytes, "X-Id", "X-Seal");
+    INFO(caseName(pending.testCase)
+         << ", silent: status " << answer.status << ", body " << answer.body);
+    const bool holds = answer.id == pending.id && !isNotRunStatus(answer.status) &&
                        (answer.status != 200 || !answer.isWhole) &&
                        (answer.status != 200 || BoundaryStage::wholeEvents(answer.body)) &&
-                       arrivals[held.id] == 1;
+                       arrivals[pending.id] == 1;
     if (!holds) CHECK(holds);
   }
   CHECK(all.size() > 400);
