--- a/tests/boundary.h
+++ b/tests/boundary.h
@@ -1,16 +1,16 @@
 #pragma once
-// What the tests at every byte boundary share: answers as callers read them, and how the case that
-// failed is named.
+// Helpers for the tests that interrupt a response at every byte: parsing responses as a caller
+// does, and naming the failed case.
 #include "byte_server.h"
 
 namespace quayrill::tests {
 
-// An answer as a caller may take it, by HTTP's own framing.
+// A response as a caller would read it, according to HTTP framing.
 struct ParsedResponse {
   bool isWhole = false;
   unsigned status = 0;
-  std::string body;         // as far as it came
-  std::size_t surplus = 0;  // bytes behind its end
+  std::string body;         // as much of it as was received
+  std::size_t surplus = 0;  // bytes after its end
   std::string id, seal;
 };
 
@@ -39,6 +39,7 @@
   return answer;
 }
 
+// True for the statuses that promise the caller that the request did not run.
 inline bool isNotRunStatus(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -1,5 +1,5 @@
 #pragma once
-// A server on loopback that answers byte for byte as scripted, for the tests of both data paths.
+// A server on loopback that responds byte for byte as scripted. Used by the tests of both proxies.
 #include <catch2/catch.hpp>
 #include <sstream>
 #include <thread>
@@ -10,22 +10,23 @@
 
 using namespace std::chrono_literals;
 
-// What follows a reply's cut.
+// How a reply continues after its cut: normally, with a close, with a reset, or with garbage.
 enum class Fault { None, Close, Reset, Garbage };
 
-// What a server sends for a request; afterwards it closes or waits for the next.
+// What a server sends in response to a request. Afterwards it closes or waits for the next request.
 struct Reply {
   std::string bytes;
   bool closes = false;
-  bool hangs = false;  // says nothing more until the other end closes
-  // Where the bytes stop until `ByteServer::pause` has returned.
+  bool hangs = false;  // sends nothing more until the other end closes
+  // The server pauses at this byte until `ByteServer::pause` has returned.
   std::size_t cut = std::string::npos;
   Fault fault = Fault::None;
 };
 
-// Bytes that no answer of HTTP holds anywhere.
+// Bytes that cannot occur in a valid HTTP response.
 inline const std::string kGarbage = "\x01\x02{]garbage[}\x7f\r\n\x03";
 
+// The value of a header; "" if it is missing.
 inline std::string headerIn(const std::string& head, const std::string& name) {
   const auto at = head.find("\r\n" + name + ": ");
   if (at == std::string::npos) return "";
@@ -33,24 +34,29 @@
   return head.substr(start, head.find("\r\n", start) - start);
 }
 
+// Encodes the parts as chunks.
 inline std::string chunked(const std::vector<std::string>& parts, bool ends = true) {
   std::ostringstream out;
   for (const std::string& part : parts) out << std::hex << part.size() << "\r\n" << part << "\r\n";
   if (ends) out << "0\r\n\r\n";
   return out.str();
 }
+// A server-sent event with that id.
 inline std::string event(int id) {
   return "id: " + std::to_string(id) + "\ndata: d" + std::to_string(id) + "\n\n";
 }
+// The head of a successful event stream in response to `request`.
 inline std::string streamHead(const std::string& request, const std::string& seal = "s1") {
   return "HTTP/1.1 200 OK\r\nX-Id: " + headerIn(request, "X-Id") + "\r\nX-Seal: " + seal +
          "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
+// A response without a stream, with a body of two bytes.
 inline std::string plain(const std::string& request, int status, const std::string& more = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nX-Id: " + headerIn(request, "X-Id") +
          "\r\n" + more + "Content-Length: 2\r\n\r\nno";
 }
 
+// The scripted server. `script` is called for each request, under `mutex`.
 struct ByteServer {
   using Script = std::function<Reply(int arrival, const std::string& request)>;
   asio::io_context& io;
@@ -60,16 +66,16 @@
   Script script;
   std::vector<std::string> requests;
   std::atomic<int> connections{0}, closed{0};
-  std::atomic<int> arrived{0};            // requests read, also those whose script still runs
-  std::weak_ptr<Tcp::socket> hungSocket;  // the connection that hung last
-  std::atomic<int> faultyClosed{0};       // of those closed: where a reply broke
-  // By the order of arrival: the number of the connection that each request came on.
+  std::atomic<int> arrived{0};  // requests read, including those whose script is still running
+  std::weak_ptr<Tcp::socket> hungSocket;  // the last connection whose reply hangs
+  std::atomic<int> faultyClosed{0};       // closed connections on which a reply had a fault
+  // In order of arrival: the number of the connection that carried each request.
   std::vector<int> connectionNumbers;
-  // Answers once the head is in, and reads the body on when `mayReadBody` is set. What came then
-  // goes into `trailingBytes`, until the connection ends.
+  // If respondsBeforeBody is set, responds after the head, and reads the body once mayReadBody is
+  // set. What arrives then is collected in trailingBytes until the connection ends.
   std::atomic<bool> respondsBeforeBody{false}, mayReadBody{false};
   std::string trailingBytes;
-  // Called in the middle of a reply that has a cut.
+  // Called at the cut of a reply.
   std::function<void()> pause = [] {};
 
   ByteServer(asio::io_context& context, Address at)
@@ -94,14 +100,16 @@
                                 asio::transfer_exactly(size - held->size()), into(code));
     co_return code;
   }
-  // The bytes up to the cut, and how the rest fares. False: the connection is over.
+  // Sends the bytes up to the cut, then applies the fault. Returns false if the connection is
+  // finished.
   awaitable<bool> send(Tcp::socket& socket, const Reply& reply) {
     ErrorCode code;
     const std::size_t cut = std::min(reply.cut, reply.bytes.size());
     co_await asio::async_write(socket, asio::buffer(reply.bytes.data(), cut), into(code));
     if (code) co_return false;
     if (reply.cut == std::string::npos) co_return true;
-    // The end of a connection stays behind its bytes; a reset or a next piece need not.
+    // A close arrives after the bytes sent before it anyway. A reset or further bytes may be merged
+    // with them, so wait.
     if (reply.fault == Fault::None || reply.fault == Fault::Reset) pause();
     const std::string rest = reply.fault == Fault::Garbage ? kGarbage : reply.bytes.substr(cut);
     if (reply.fault == Fault::Reset) {
@@ -116,7 +124,7 @@
     const auto kept = std::make_shared<Tcp::socket>(std::move(accepted));
     Tcp::socket& socket = *kept;
     std::string held;
-    bool fault = false;
+    bool hadFault = false;
     for (;;) {
       ErrorCode code;
       const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(held),
@@ -142,7 +150,7 @@
         reply = script(static_cast<int>(requests.size()), request);
         if (reply.hangs) hungSocket = kept;
       }
-      fault = reply.fault != Fault::None;
+      hadFault = reply.fault != Fault::None;
       if (!co_await send(socket, reply) || reply.closes) break;
       if (reply.hangs) {
         char byte;
@@ -160,14 +168,14 @@
     ErrorCode ignored;
     socket.close(ignored);
     ++closed;
-    if (fault) ++faultyClosed;
+    if (hadFault) ++faultyClosed;
   }
-  // Expires once it has been closed at the other end.
+  // Expires once the other end has closed it.
   std::weak_ptr<Tcp::socket> hungConnection() {
     std::lock_guard lock(mutex);
     return hungSocket;
   }
-  // On the connection that hung last.
+  // Sends bytes on the last connection whose reply hangs.
   void sendMore(std::string bytes) {
     asio::post(io, [this, bytes = std::move(bytes)] {
       ErrorCode code;
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -1,4 +1,5 @@
-// What callers may send and how long they may rest, and what the relay's own failures look like.
+// Tests of the limits on what callers may send and how long they may be idle, and of the error
+// responses that the relay itself creates.
 #include "relay_stage.h"
 
 using namespace quayrill;
@@ -81,15 +82,15 @@
     return isHere;
   };
   CHECK(askAgain("r1"));
-  stage.configuration.callerLimits.idleDue = 120s;  // while it rests
+  stage.configuration.callerLimits.idleDue = 120s;  // while the connection is idle
   tellAnew(stage);
-  // Until the former limit is long over.
+  // Waits until the former limit has passed.
   stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return Reply{"", false, true};
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   CHECK(statusOf(stage.post("/last/", "last", "X-Key: key\r\nX-Due: 2500\r\n")) == 504);
-  stage.publishSnapshot();  // the configuration is to be confirmed lately
+  stage.publishSnapshot();  // confirms the configuration again
   CHECK(askAgain("r2"));
   stage.configuration.callerLimits.idleDue = 300ms;
   tellAnew(stage);
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -1,4 +1,4 @@
-// Not a check: the slopes that docs/CAPACITY.md works with. Run it by name,
+// Benchmarks, not tests: measure the cost figures used in docs/CAPACITY.md. Run them by name with
 // `quayrill_tests "[capacity]"`, from a Release build.
 #include <malloc.h>
 
@@ -46,7 +46,8 @@
   return servers;
 }
 
-// A shared part of 100 blocks, one of some hundreds of variants, and an own part.
+// Requests with a shared part of 100 blocks, one of 300 variants per shared part, and a part of
+// their own.
 struct Traffic {
   std::mt19937_64 random{1};
   std::size_t models = 1, ownTokens = 64, shared = 30;
@@ -120,7 +121,7 @@
       const auto servers = serversOf(count, models, 2000);
       Placement placement(PlacementSettings{});
       placement.setServers(servers);
-      // More shared parts than servers, so that every server has some.
+      // More shared parts than servers, so that each server has some.
       Traffic traffic{std::mt19937_64{1}, models, 64, 4 * count};
       fill(&placement, servers, &traffic, count * 300);
       const double micros = microsOf(4000, [&] {
--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -1,4 +1,5 @@
-// Which server a request goes to where servers are compared by the tokens read before its first.
+// Tests of the choice of a server when servers are compared by the tokens to prefill before the
+// first token.
 #include <catch2/catch.hpp>
 
 #include "placement/placement.h"
@@ -39,14 +40,14 @@
     PlacementRequest asked{kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix(prefix), {}};
     return placement.place(asked, kNow);
   }
-  // Where the prefix goes; what is placed there leaves no load, and stays in the index.
+  // Places and releases a request: leaves no load, but stays in the index.
   PlacementResult served(const std::string& prefix) {
     auto placed = place(prefix);
     REQUIRE(placed);
     placement.release(placed->ticket, true, kNow);
     return *placed;
   }
-  // All daemons have so many tokens to be read at that server.
+  // Reports that all daemons together have that much work outstanding at the server.
   void tell(const ServerName& server, std::uint64_t pendingPrefillTokens,
             std::uint32_t requests = 1) {
     placement.noteFleetLoad({{server, {requests, pendingPrefillTokens}}}, kNow);
@@ -70,7 +71,7 @@
   const PlacementResult next = fleet.served("rules:13312,b:4096");
   CHECK(next.chosenServer.name != home);
   CHECK(next.fetchFrom.value == home.value);
-  // What a fetch brings is not read.
+  // Tokens that are fetched need no prefill.
   const auto again = fleet.place("rules:13312,c:4096");
   REQUIRE(again);
   std::uint64_t unread = 0;
@@ -82,7 +83,7 @@
 TEST_CASE("choice: an unknown prefix goes to its home, and elsewhere with the home as source") {
   Fleet known(5), other(5);
   const ServerName home = known.served("rules:13312,a:64").chosenServer.name;
-  // Another daemon, which knows nothing of the first one's requests.
+  // Another daemon, which does not know the requests of the first.
   CHECK(other.served("rules:13312,b:64").chosenServer.name == home);
   Fleet third(5);
   third.tell(home, 900000);
@@ -108,7 +109,7 @@
     CHECK(now.chosenServer.name == home);
     ++placed[home];
   }
-  for (const auto& [name, count] : placed) CHECK(count <= 40);  // of 120 at six servers
+  for (const auto& [name, count] : placed) CHECK(count <= 40);  // 120 prefixes at six servers
 }
 
 TEST_CASE("choice: requests without a prompt go by load, and not all to one server") {
@@ -132,7 +133,7 @@
   const PlacementResult placed = fleet.served("rules:1600,notice:800,own:64");
   CHECK(placed.chosenServer.name == ServerName{"s3"});
   CHECK(placed.matchedTokens == 2400);
-  // Under another wall nothing of it is found.
+  // Nothing matches under another isolation salt.
   PlacementRequest walled{
       kModel, TenantName{"t"}, CacheSalt{"t"}, *parsePrefix("rules:1600,notice:800,own:64"), {}};
   CHECK(fleet.placement.place(walled, kNow)->matchedTokens == 0);
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -1,23 +1,25 @@
-// Every request has its final answer at its deadline, and none goes on for a caller that has left.
-// What must come first is told by order, not by durations: a later deadline of the same relay is
-// waited for, and what was due before it must be there.
+// Tests that every request gets its final response by its deadline, and that none continues for a
+// caller that has disconnected. The tests rely on order, not on durations: they wait for a later
+// deadline of the same relay, by which everything due earlier must have happened.
 #include "relay_stage.h"
 
 using namespace quayrill;
 using namespace quayrill::tests;
 
 namespace {
+// A caller with a plain socket.
 struct RawCaller {
   asio::io_context io;
   Tcp::socket socket{io};
   explicit RawCaller(const RelayStage& stage, const std::string& text = "") {
     socket.open(Tcp::v4());
-    socket.set_option(asio::socket_base::receive_buffer_size(4096));  // soon full if not read
+    socket.set_option(
+        asio::socket_base::receive_buffer_size(4096));  // fills up quickly if not read
     socket.connect(endpointOf(stage.callers));
     if (!text.empty()) send(text);
   }
   void send(const std::string& text) { asio::write(socket, asio::buffer(text)); }
-  // What is there now; `ended` tells whether the other end has closed.
+  // Returns the bytes available now. `ended` is set to whether the other end has closed.
   std::string whatIsThere(bool* ended) {
     std::string bytes;
     ErrorCode code;
@@ -36,7 +38,7 @@
 
 Reply hang(int, const std::string&) { return Reply{"", false, true}; }
 
-// Waits until a request with a deadline of that length, sent now, was answered at it.
+// Sends a request with a timeout of `due` and waits for the response at its deadline.
 void waitForDeadline(RelayStage& stage, std::chrono::milliseconds due) {
   const std::string answer =
       stage.post("/last/", "last", "X-Key: key\r\nX-Due: " + std::to_string(due.count()) + "\r\n");
@@ -100,12 +102,12 @@
   });
   RawCaller one(stage, RelayStage::request("/once/", "r1"));
   RawCaller two(stage, RelayStage::request("/once/", "r2"));
-  for (RawCaller* caller : {&one, &two}) {  // it has begun, and nothing more is read of it
+  for (RawCaller* caller : {&one, &two}) {  // the response has started; no more of it is read
     std::string bytes;
     asio::read_until(caller->socket, asio::dynamic_buffer(bytes), "data:");
   }
   waitForDeadline(stage, 1400ms);
-  CHECK(stage.relay->openConnections() <= 1);  // at most the one that has just been answered
+  CHECK(stage.relay->openConnections() <= 1);  // at most the connection of the last response
 }
 
 TEST_CASE("deadline: a body that does not come is given up at the route's deadline") {
@@ -137,13 +139,13 @@
   REQUIRE(handed.size() == 2);
   std::sort(handed.begin(), handed.end());
   CHECK(handed[1] <= 2000);
-  CHECK(handed[0] <= handed[1] - 450);  // the silence that the first server was allowed
+  CHECK(handed[0] <= handed[1] - 450);  // the time that the first server was given
   CHECK(handed[0] > 0);
 }
 
 TEST_CASE("gone: a caller that leaves while a server is connected to reaches no server") {
   RelayStage stage(1);
-  // A server whose queue of new connections is full answers no opening packet.
+  // A server whose queue of new connections is full does not answer connection attempts.
   asio::io_context own;
   Tcp::acceptor full(own);
   const Address unreachable = localAddress(40, 7400);
@@ -153,7 +155,7 @@
     fillers.push_back(std::make_unique<Tcp::socket>(own));
     fillers.back()->open(Tcp::v4());
     fillers.back()->non_blocking(true);
-    const Tcp::endpoint to = endpointOf(unreachable);  // begun, not waited for
+    const Tcp::endpoint to = endpointOf(unreachable);  // started, but not waited for
     ::connect(fillers.back()->native_handle(), to.data(), static_cast<socklen_t>(to.size()));
   }
   SnapshotServer row = stage.snapshot.servers[0];
@@ -233,5 +235,5 @@
     streamRun = stage.servers[0]->hungConnection();
   }
   eventually([&] { return streamRun.expired(); });
-  CHECK_FALSE(plainRun.expired());  // though its caller left first
+  CHECK_FALSE(plainRun.expired());  // although its caller disconnected first
 }
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -1,11 +1,12 @@
-// The relay's leave: what it accepts until when, and that every request accepted gets its answer.
+// Tests of the graceful shutdown: until when requests are accepted, and that every accepted request
+// gets its response.
 #include "relay_stage.h"
 
 using namespace quayrill;
 using namespace quayrill::tests;
 
 namespace {
-// A kept connection of a caller.
+// A caller with a persistent connection.
 struct KeptCaller {
   asio::io_context io;
   Tcp::socket socket{io};
@@ -14,14 +15,14 @@
   void send(const std::string& path, const std::string& id) {
     asio::write(socket, asio::buffer(RelayStage::request(path, id, "X-Key: key\r\n", false)));
   }
-  // The next answer in chunks, head and all.
+  // Reads the next chunked response, including its head.
   std::string take() {
     const auto size = asio::read_until(socket, asio::dynamic_buffer(bytes), "\r\n0\r\n\r\n");
     std::string answer = bytes.substr(0, size);
     bytes.erase(0, size);
     return answer;
   }
-  // All that comes until the other end closes.
+  // Reads until the other end closes.
   std::string rest() {
     ErrorCode code;
     asio::read(socket, asio::dynamic_buffer(bytes), code);
@@ -75,7 +76,7 @@
   });
   KeptCaller kept(stage);
   kept.send("/once/", "r1");
-  // The server's thread waits inside the script with the request.
+  // The server's thread is waiting in the script.
   eventually([&] { return stage.servers[0]->arrived > 0; });
   stage.relay->beginLeaving();
   stage.waitReady(503);
@@ -99,7 +100,8 @@
   const std::string answer = kept.take();
   CHECK(answer.find(event(2)) != std::string::npos);
   CHECK(endsWhole(answer));
-  CHECK(kept.rest().empty());  // idle from then on: closed once nothing more is accepted
+  CHECK(
+      kept.rest().empty());  // idle from now on, so it is closed once no more requests are accepted
   eventually([&] { return stage.relay->hasLeft(); });
 }
 
@@ -119,18 +121,18 @@
   CHECK_FALSE(headerIn(again.rest(), "Retry-After").empty());
   eventually([&] { return stage.relay->hasLeft(); });
   CHECK(BootClock::now() - signal >= 1500ms);
-  CHECK(stage.arrivals() == 2);  // neither was sent on to a second server
+  CHECK(stage.arrivals() == 2);  // neither was retried at a second server
 }
 
 TEST_CASE("leaving: a request that comes too late to end is refused at once and runs nowhere") {
   RelayStage stage(1, 4s);
   stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
   KeptCaller running(stage), idle(stage);
-  running.send("/once/", "r1");  // keeps the relay from ending early
+  running.send("/once/", "r1");  // keeps the relay from finishing early
   eventually([&] { return stage.arrivals() == 1; });
   stage.relay->beginLeaving();
-  CHECK(idle.rest().empty());  // closed: from here on it refuses
-  // Confirmed anew, so that nothing but the leave refuses.
+  CHECK(idle.rest().empty());  // the relay rejects requests from now on
+  // Confirms the configuration again, so that only the shutdown can cause the rejection.
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   const std::string late = stage.post("/once/", "r2");
   CHECK(statusOf(late) == 503);
--- a/tests/part_events_tests.cpp
+++ b/tests/part_events_tests.cpp
@@ -1,4 +1,4 @@
-// Cache events of single parts, as one daemon reads them and others are told.
+// Tests of cache events for single parts, read by one daemon and shared with others.
 #include <catch2/catch.hpp>
 
 #include "placement/placement.h"
@@ -29,7 +29,8 @@
   return {position, false, scopedCacheSalt(WeightsVersion{"1"}, {}), part, 0, kModel};
 }
 
-// A daemon whose requests named the part "rules", and what it believes the one server keeps of it.
+// A daemon whose requests have named the part "rules", and its estimate of the cache of a single
+// server.
 struct Index {
   Placement placement{PlacementSettings{16}};
   Index() {
@@ -74,7 +75,7 @@
   CHECK(index.matched() == 0);
   index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
   CHECK(index.matched() == 0);
-  // One that overlaps adds what is new alone.
+  // Of an overlapping batch, only the new events are applied.
   index.take({"1", 0, 3, false, {stored(1, "rules", 320), stored(3, "rules", 320)}});
   CHECK(index.matched() == 320);
   CHECK(index.placement.eventPosition(kServer) == 3);
@@ -97,7 +98,7 @@
   CHECK(index.matched() == 0);
   index.take({"1", 9, 10, false, {stored(10, "rules", 320)}});
   CHECK(index.matched() == 320);
-  // A reader that began anew was told of the gap; this daemon is past it.
+  // A reader that started over reports the gap, but this daemon is already past it.
   index.take({"1", 0, 11, true, {stored(9, "notice", 16), stored(11, "notice", 32)}});
   CHECK(index.matched() == 320);
   CHECK(index.placement.gaps() == 1);
@@ -115,7 +116,7 @@
   Index index;
   index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
   index.take({"1", 1, 1000000000, false, {stored(1000000000, "notice", 16)}});
-  // The next reading asks from there, and the server answers with what it has.
+  // The next read asks from that position, and the server responds with what it has.
   index.take({"1", 1000000000, 2, false, {}});
   CHECK(index.placement.eventPosition(kServer) == 2);
   index.take({"1", 2, 3, false, {stored(3, "rules", 320)}});
--- a/tests/placement_cost.cpp
+++ b/tests/placement_cost.cpp
@@ -1,4 +1,4 @@
-// Not a check: run it by name, `quayrill_tests "[cost]"`.
+// A benchmark, not a test. Run it by name: `quayrill_tests "[cost]"`.
 #include <catch2/catch.hpp>
 #include <iostream>
 #include <random>
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -60,7 +60,7 @@
   REQUIRE(left.size() == 4);
   CHECK(left[0] == right[0]);
   CHECK(left[1] == right[1]);
-  CHECK(left[2] != right[2]);  // 8 tokens of the rules and 8 of another part
+  CHECK(left[2] != right[2]);  // 8 tokens of "rules" and 8 of another part
   CHECK(left[3] != right[3]);
   CHECK(blocks("rules:15").empty());
 }
@@ -111,11 +111,11 @@
   const auto streaming = placement.place(asking("long:128"));
   const auto other = placement.place(asking("other:128"));
   CHECK(placement.ticketCount() == 2);
-  CHECK(placement.indexedBlocks(ServerName{"a"}) > 8);  // both pinned, over budget
+  CHECK(placement.indexedBlocks(ServerName{"a"}) > 8);  // both are locked and exceed the budget
   placement.release(other->ticket, true);
   placement.release(other->ticket, true);
   placement.release(other->ticket, false);
-  // Still streaming: pinned whatever was released twice beside it.
+  // The first request is still running, so its path stays locked whatever was released twice.
   CHECK(placement.place(asking("long:128"))->matchedTokens == 128);
   placement.release(streaming->ticket, true);
   CHECK(placement.ticketCount() == 1);
@@ -131,7 +131,7 @@
   ServerState restarted = server("a");
   restarted.identity = ServerIdentity{"a#2"};
   placement.setServers({restarted});
-  placement.release(before->ticket, true);  // of the tree's former life
+  placement.release(before->ticket, true);  // of the former tree
   CHECK(placement.place(asking("notice:64"))->matchedTokens == 0);
 }
 
@@ -149,7 +149,7 @@
   CHECK(afterDrop->matchedTokens == 0);
   placement.release(afterDrop->ticket, true);
   CHECK(placement.gaps() == 0);
-  placement.applyEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former life: ignored
+  placement.applyEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former identity: ignored
   CHECK(placement.eventPosition(name) == 6);
   placement.applyEvents(name, identity, 9, {}, 12);
   CHECK(placement.gaps() == 1);
@@ -161,7 +161,7 @@
   ServerState warm = server("a"), cold = server("b");
   placement.setServers({warm});
   placement.release(placement.place(asking("rules:1600,n:64"))->ticket, true);
-  warm.running = 12;  // over the cap, so the match does not pull
+  warm.running = 12;  // over the cap, so the match does not count
   placement.setServers({warm, cold});
   const auto placed = placement.place(asking("rules:1600,m:64"));
   CHECK(placed->chosenServer.name.value == "b");
@@ -215,8 +215,9 @@
   }
   CHECK(matched("small", "mine") == 64);
   CHECK(matched("greedy", "g1999") == 64);
-  CHECK(matched("greedy", "g0") == 0);  // let go, and its old path leads nobody there
-  // 512 salts of the greedy one and one of the other, four blocks and the salt's own run each.
+  CHECK(matched("greedy", "g0") == 0);  // removed; its old path is unreachable
+  // 512 salts of the greedy tenant and one of the other, each with four blocks and a namespace
+  // root.
   CHECK(placement.indexedBlocks(ServerName{"s1"}) <= 513 * 5);
 }
 
@@ -242,11 +243,12 @@
   const auto enter = [&](const char* tenant) {
     return admission.enter(TenantName{tenant}, 100, policy, 1000, now);
   };
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(enter("big").isOverShare);  // alone: all is its share
+  for (int i = 0; i < 10; ++i)
+    CHECK_FALSE(enter("big").isOverShare);  // alone, so its share is everything
   CHECK_FALSE(enter("small").isOverShare);
   CHECK(enter("big").isOverShare);
   admission.leave(TenantName{"small"}, policy);
-  CHECK(enter("big").isOverShare);  // the small one was here a moment ago
+  CHECK(enter("big").isOverShare);  // the small tenant was active a moment ago
   now += 6s;
   CHECK_FALSE(enter("big").isOverShare);
   CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isAdmitted);
@@ -267,17 +269,18 @@
   placement.setServers({one});
   REQUIRE(send());
   now += 100ms;
-  // A poll that saw four: this daemon's one and three of others.
+  // A poll that counted four requests: one of this daemon and three of others.
   one.running = 4;
   one.polledAt = now;
   placement.setServers({one});
   now += 10ms;
-  CHECK(send());  // at load 1, one is taken for four: full
+  CHECK(send());  // at load 1; one new request is extrapolated to four, so the server is full
   CHECK_FALSE(send());
-  // As many have ended here as were sent since: what ended elsewhere is taken for the same.
+  // As many requests have ended here as were sent since the poll. The same is assumed of other
+  // daemons.
   placement.release(tickets[0], true, now);
   CHECK(send());
-  // The next poll says how it really is.
+  // The next poll reports the actual load.
   now += 100ms;
   one.polledAt = now;
   placement.setServers({one});
@@ -294,7 +297,7 @@
   const auto after = placement.place(asking("rules:64"));
   REQUIRE(after);
   CHECK(after->matchedTokens == 0);
-  placement.release(before->ticket, true);  // of a tree that is gone
+  placement.release(before->ticket, true);  // of a tree that no longer exists
   placement.release(after->ticket, true);
   CHECK(placement.ticketCount() == 0);
   CHECK(placement.indexedBlocks(ServerName{"s1"}) == 5);
--- a/tests/radix_tests.cpp
+++ b/tests/radix_tests.cpp
@@ -27,7 +27,7 @@
   const auto second = tree.insert(Key{1, 2, 4, 5}, {'x', 'y', 'd', 'e'});
   CHECK(second.unusedValues == Values{'x', 'y'});
   CHECK(labelOf(tree, second.node) == Key{4, 5});
-  CHECK(labelOf(tree, first.node) == Key{3});  // the old child keeps its id and the lower part
+  CHECK(labelOf(tree, first.node) == Key{3});  // the old child keeps its handle and the lower part
   CHECK(valuesOf(tree, first.node) == Values{'c'});
   const auto third = tree.matchPrefix(Key{1, 2, 3, 9});
   CHECK(third.tokens == 3);
@@ -37,7 +37,7 @@
   const std::size_t nodesBefore = tree.nodeCount();
   CHECK(tree.matchPrefix(Key{1, 2, 7}).tokens == 2);
   CHECK(tree.nodeCount() == nodesBefore);
-  CHECK(tree.matchPrefix(Key{1, 9}).tokens == 1);  // ended inside "1 2": it split
+  CHECK(tree.matchPrefix(Key{1, 9}).tokens == 1);  // ended inside "1 2", which was split
   CHECK(tree.nodeCount() == nodesBefore + 1);
   CHECK(tree.matchPrefix(Key{7, 1}).path.empty());
   CHECK(tree.size() == 5);
@@ -73,7 +73,8 @@
   CHECK(tree.evict(1, [&](BlockValue value) { freed.push_back(value); }) == 1);
   CHECK(freed == Values{4});
   CHECK(tree.evict(2, nullptr) == 2);
-  // Parent and child carry the stamp of the last match; the parent joins behind nothing newer.
+  // Parent and child have the stamp of the last match, so the parent enters the list before newer
+  // entries.
   tree.insert(Key{5}, {5});
   CHECK(tree.evict(1, nullptr) == 1);
   const auto order = tree.lruOrder();
@@ -116,7 +117,7 @@
 }
 
 namespace {
-// Every stored prefix with its value, and when it was last walked.
+// A reference implementation: every stored prefix with its value.
 struct NaiveIndex {
   std::map<Key, BlockValue> stored;
   std::size_t longest(const Key& key, std::size_t granule) const {
--- a/tests/relay_answer_tests.cpp
+++ b/tests/relay_answer_tests.cpp
@@ -1,4 +1,5 @@
-// What the relay concludes from an answer: whose it is, whether it is whole, whether it was run.
+// Tests of how the relay evaluates a response: whose it is, whether it is complete, and whether the
+// request ran.
 #include "relay_stage.h"
 
 using namespace quayrill;
@@ -6,7 +7,8 @@
 
 TEST_CASE("relay: an answer without an id tells nothing on a kept connection") {
   RelayStage stage(2);
-  // The word 'not run' stands where the second answer is due, and belongs to an earlier request.
+  // The 'not run' response arrives where the second response is expected, but belongs to an earlier
+  // request.
   const std::string surplus = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
   for (const bool answers : {true, false}) {
     stage.setScript([&](int, const std::string& request) {
@@ -28,7 +30,7 @@
   const std::string bare = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
   stage.setScript([&](int, const std::string&) { return Reply{bare, true}; });
   CHECK(statusOf(stage.post("/once/", "r1")) == 503);
-  // The second answer on the connection is somebody's, and nobody can say whose.
+  // The second response on the connection belongs to another request, and nothing says to which.
   stage.setScript([&](int, const std::string&) {
     return Reply{plain("\r\nX-Id: other\r\n", 200) + bare, true};
   });
@@ -62,7 +64,7 @@
   stage.setScript([&](int arrival, const std::string& request) {
     const std::string own = streamHead(request) + chunked({event(1)});
     if (arrival == 1) return Reply{plain(request, 421, wanted)};
-    // The first answer once more, late, on the connection that it belongs to.
+    // Repeats the first response late, on its own connection.
     const bool isKept = server.connectionNumbers.back() == server.connectionNumbers.front();
     return Reply{(isKept ? plain(request, 421, wanted) : "") + own};
   });
@@ -157,7 +159,7 @@
   CHECK(endsWhole(stage.post("/once/", "r2")));
   server.mayReadBody = true;
   eventually([&] { return server.closed >= 1; });
-  // Where the rest of the body was due came nothing else.
+  // Nothing else was sent in place of the rest of the body.
   CHECK(server.trailingBytes.find_first_not_of('b') == std::string::npos);
   CHECK(server.connectionNumbers == std::vector<int>{1, 2});
 }
@@ -165,7 +167,8 @@
 TEST_CASE("relay: no request goes to more servers than its route's tries") {
   RelayStage stage(2);
   std::atomic<int> served{0};
-  // Told of newer weights, the first server leaves before it can be asked again.
+  // The first server reports newer weights, then starts to leave before the request is sent to it
+  // again.
   stage.setScript([&](int, const std::string& request) {
     if (++served > 1) return Reply{streamHead(request) + chunked({event(1)})};
     const std::string identity = headerIn(request, "X-Want-Identity");
@@ -178,7 +181,7 @@
 }
 
 TEST_CASE("relay: further tries are paid by requests alone") {
-  RelayStage stage(2, 60s, true, 1);  // of the whole bound one daemon may use a half
+  RelayStage stage(2, 60s, true, 1);  // one daemon may use half of the fleet-wide limit
   stage.setScript([](int, const std::string& request) {
     return Reply{plain(request, 503, "X-Not-Run: 1\r\n")};
   });
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -1,5 +1,5 @@
-// The relay against a server that is split, cut off, reset or garbled at every byte boundary of its
-// answers, on fresh and on kept connections.
+// Tests of the relay against servers whose responses are split, cut off, reset or followed by
+// garbage at every byte, on fresh and on reused connections.
 #include "boundary.h"
 #include "relay_stage.h"
 
@@ -34,7 +34,7 @@
   return "HTTP/1.1 " + status + "\r\nX-Id: " + id + "\r\nX-Seal: s-" + id + "\r\n" + more + "\r\n";
 }
 
-// What a server sends that does all it should, for a run behind `after` events.
+// The response of a correct server, resumed after `after` events.
 std::string serverResponse(Kind kind, const std::string& id, int after = 0) {
   const std::string length = "Content-Length: 2\r\n";
   switch (kind) {
@@ -64,14 +64,14 @@
   std::size_t cut = 0;
   Fault fault{};
   bool isReused = false;
-  std::string surplus{};  // before the answer, and belongs to nobody
+  std::string strayBytes{};  // sent before the response, belongs to no request
 };
 
 std::string caseName(const Case& testCase) {
   return std::string(kindName(testCase.kind)) + " on " + testCase.route.prefix + ", " +
          faultName(testCase.fault) + " at " + std::to_string(testCase.cut) +
          (testCase.isReused ? ", kept connection" : ", fresh connection") +
-         (testCase.surplus.empty() ? "" : ", behind '" + testCase.surplus + "'");
+         (testCase.strayBytes.empty() ? "" : ", behind '" + testCase.strayBytes + "'");
 }
 
 struct BoundaryStage : RelayStage {
@@ -79,8 +79,7 @@
   Case testCase;
   int arrivalsInCase = 0, runs = 0;
   std::uint64_t caseCount = 0;
-  std::atomic<int> reusedConnections{
-      0};  // cases whose first arrival came on a connection used before
+  std::atomic<int> reusedConnections{0};  // cases whose first request came on a reused connection
 
   BoundaryStage() : RelayStage(2) {
     for (const RouteKind& route : {kUnsafeStream, kResumable, kUnsafe, kSafe}) {
@@ -102,7 +101,8 @@
   ~BoundaryStage() {
     for (auto& server : servers) server->setScript([](int, const std::string&) { return Reply{}; });
   }
-  // One call through the relay's only thread: what was delivered before has been read by then.
+  // Makes one call that the relay's only thread handles: bytes delivered earlier have been read by
+  // then.
   void waitForRelay() {
     exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   }
@@ -123,9 +123,9 @@
       return Reply{serverResponse(kind, id, after.empty() ? 0 : std::stoi(after))};
     }
     runs += runsFor(testCase.kind) ? 1 : 0;
-    Reply reply{testCase.surplus + serverResponse(testCase.kind, id)};
+    Reply reply{testCase.strayBytes + serverResponse(testCase.kind, id)};
     reply.closes = testCase.kind == Kind::NoLength;
-    if (testCase.surplus.empty()) reply.cut = testCase.cut;
+    if (testCase.strayBytes.empty()) reply.cut = testCase.cut;
     reply.fault = testCase.fault;
     return reply;
   }
@@ -135,9 +135,9 @@
     return sum;
   }
   ParsedResponse runCase(const Case& nextCase) {
-    // A route of its own would go elsewhere: the warm-up takes the case's.
+    // The warm-up request uses the prefix of the case, so that it is placed at the same server.
     const std::string number = std::to_string(++caseCount);
-    relay->applySnapshot(snapshot, BootClock::now());  // what the relay knows stays fresh
+    relay->applySnapshot(snapshot, BootClock::now());  // keeps the relay's snapshot recent
     if (nextCase.isReused) post("/up/", "w" + number);
     {
       std::lock_guard lock(caseMutex);
@@ -147,13 +147,14 @@
     const std::string id = "r" + number;
     const int brokenBefore = faultyClosed();
     ParsedResponse answer = parseResponse(post(nextCase.route.prefix, id), "X-Id", "X-Seal");
-    // The next case must not meet this one's end on a connection that was given back before it.
+    // Waits until the faulty connection is closed, so that the next case does not reuse it.
     if (nextCase.fault != Fault::None) eventually([&] { return faultyClosed() > brokenBefore; });
     std::lock_guard lock(caseMutex);
     checkResponse(nextCase, id, answer);
     return answer;
   }
-  // What holds at every boundary. Catch's macros are slow: only a case that fails gets to one.
+  // Checks the invariants that hold at every byte. Catch's macros are slow, so only failed cases
+  // use them.
   void checkResponse(const Case& checkedCase, const std::string& id, const ParsedResponse& answer) {
     const auto fails = [&](const std::string& why) {
       FAIL_CHECK(caseName(checkedCase) << ": " << why << " (status " << answer.status << ", whole "
@@ -170,7 +171,7 @@
     const bool endsEarly = checkedCase.kind == Kind::NoLength && checkedCase.fault == Fault::Close;
     if (answer.status == 200) {
       if (answer.seal.empty()) fails("a success without a seal");
-      // Bytes within a body of a known length are the server's, whatever they are.
+      // Garbage inside a body of known length cannot be detected; it counts as the server's.
       const bool isForged = checkedCase.fault == Fault::Garbage &&
                             checkedCase.kind == Kind::Plain && answer.body.size() == all.size();
       if (!isForged && all.rfind(answer.body, 0) != 0) fails("the body is not the server's");
@@ -180,7 +181,7 @@
     }
     const bool isUsable = checkedCase.route.isRepeatable || checkedCase.fault == Fault::None;
     const bool isFailure = !checkedCase.route.isRepeatable && checkedCase.kind == Kind::Failure;
-    if (isUsable && checkedCase.surplus.empty() && !isFailure &&
+    if (isUsable && checkedCase.strayBytes.empty() && !isFailure &&
         (answer.status != 200 || !answer.isWhole))
       fails("it was not served");
     if (isFailure && checkedCase.fault == Fault::None && answer.status != 500)
@@ -208,7 +209,7 @@
       stage.runAllCuts(kind, route, fault, isReused);
   }
   CHECK(stage.caseCount > 1300);
-  // Where none is kept each has its own; else those that found one are nearly all.
+  // Nearly all cases that should reuse a connection must have done so.
   const int cases = static_cast<int>(stage.caseCount);
   CHECK((isReused ? stage.reusedConnections * 10 >= cases * 9 : true));
 }
@@ -256,7 +257,7 @@
       }
     }
   }
-  CHECK(served >= 6);  // behind each whole one, at the least
+  CHECK(served >= 6);  // at least after each complete stray response
 }
 
 namespace {
@@ -265,7 +266,7 @@
   std::string id, bytes;
 };
 
-// All at once: each of them lasts until its deadline.
+// Sends all cases at the same time, because each lasts until its deadline.
 void sendAll(const Address& callers, std::vector<PendingCase>* all) {
   asio::io_context io;
   for (PendingCase& pending : *all) {
@@ -308,8 +309,8 @@
   });
   for (SnapshotServer& row : stage.snapshot.servers) row.slots = 4000;
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
-  // On a busy machine the deadline of some may pass before they are sent: these are refused, and
-  // asked again until each case was met by its server. Fewer at once each time.
+  // On a busy machine, the deadline of some requests passes before they are sent on, so they are
+  // rejected. These are repeated, fewer at a time, until each case has reached its server.
   std::vector<PendingCase> open = all;
   std::vector<PendingCase> reached;
   for (int round = 0; round < 40 && !open.empty(); ++round) {
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -1,6 +1,6 @@
 #pragma once
-// A whole relay between a scripted agent, servers that answer byte for byte as scripted, and raw
-// callers on loopback.
+// A complete relay on loopback with a scripted agent, servers that respond byte for byte as
+// scripted, and raw callers.
 #include "byte_server.h"
 #include "proxy_stage.h"
 #include "relay/relay.h"
@@ -31,6 +31,8 @@
   return names;
 }
 
+// Runs a relay, its servers, and three routes: /once/ and /twice/ are not repeatable and allow one
+// and two attempts; /again/ is repeatable and resumable.
 struct RelayStage {
   asio::io_context io;
   std::vector<std::unique_ptr<ByteServer>> servers;
@@ -39,11 +41,11 @@
   Address callers = localAddress(1, 7202), ready = localAddress(1, 7203);
   Configuration configuration;
   Snapshot snapshot;
-  // Called on the relay's own thread as it reads a configuration.
+  // Called on the relay's traffic thread whenever it reads a configuration.
   std::function<void()> onReadConfiguration = [] {};
 
-  // `hasSnapshot` false: the relay has heard nothing of its agent. `extraShare`: of the budget for
-  // extra tries; the default lets every test's further tries pass.
+  // `hasSnapshot` false: the relay has received nothing from its agent. `extraShare`: the share of
+  // requests that may be retried. The default allows the retries of every test.
   explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool hasSnapshot = true,
                       double extraShare = 20) {
     configuration.weights[ModelName{"m"}] = WeightsVersion{"1"};
@@ -107,7 +109,7 @@
     configuration.routes.push_back(route);
     sortRoutes(&configuration);
   }
-  // Hands the present state on and waits until it is in force.
+  // Passes the current snapshot to the relay and waits until it is in force.
   void publishSnapshot() {
     relay->applySnapshot(snapshot, BootClock::now());
     waitReady(200);
@@ -119,7 +121,7 @@
       return answer.find(" " + std::to_string(status) + " ") != std::string::npos;
     });
   }
-  // Everything that comes back until the other end closes.
+  // Sends `text` and returns everything received until the other end closes.
   static std::string exchange(const Address& to, const std::string& text) {
     asio::io_context own;
     Tcp::socket socket(own);
@@ -140,6 +142,7 @@
                    const std::string& more = "X-Key: key\r\n") {
     return exchange(callers, request(path, id, more));
   }
+  // The number of requests that have reached any server.
   int arrivals() {
     std::size_t sum = 0;
     for (auto& server : servers) sum += server->received().size();
@@ -150,6 +153,7 @@
   }
 };
 
+// True if the response ends with the last chunk of a chunked body.
 inline bool endsWhole(const std::string& answer) {
   return answer.size() > 5 && answer.substr(answer.size() - 5) == "0\r\n\r\n";
 }
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -1,4 +1,4 @@
-// The relay, each end of a try brought about at the byte level.
+// Tests of the relay: every outcome of an attempt, produced at the byte level.
 #include "relay_stage.h"
 
 using namespace quayrill;
@@ -249,8 +249,8 @@
   stage.servers[0]->pause = [&] {
     while (!hasFirst) std::this_thread::yield();
   };
-  // The relay stands still until the first event is there and its time has passed, so that it finds
-  // both at once.
+  // Stalls the relay until the first event has arrived and its deadline has passed, so that the
+  // relay sees both at the same time.
   stage.onReadConfiguration = [&] {
     const Instant past = BootClock::now() + 1s;
     isStill = true;
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -1,4 +1,4 @@
-// Which weights requests may begin on, and until when, in a whole relay.
+// Tests of which weights versions a response may start on, and until when, with a complete relay.
 #include "relay_stage.h"
 
 using namespace quayrill;
@@ -9,7 +9,8 @@
 const ModelName kModel{"m"};
 const std::chrono::microseconds kBound = Settings{}.rolloutDue;
 
-// Names `newest`; `superseded` tells how long ago each older version was the newest at least.
+// Makes `newest` the current version. `superseded`: for each older version, how long ago at least
+// it was superseded.
 void nameWeights(RelayStage* stage, const std::string& newest,
                  const std::vector<std::pair<std::string, std::chrono::microseconds>>& superseded) {
   stage->configuration.weights[kModel] = WeightsVersion{newest};
@@ -62,7 +63,7 @@
 
 TEST_CASE("relay: a request that waits at a server does not begin there past the bound") {
   RelayStage stage(2);
-  // Nothing but the bound of the weights ends a try.
+  // Only the deadline of the weights can end the attempt.
   stage.configuration.policies[PolicyName{"/again/"}].target = 600s;
   ++stage.snapshot.configurationVersion;
   stage.snapshot.servers[1].leaving = true;
@@ -78,7 +79,7 @@
         stage.post(isRepeatable ? "/again/" : "/once/", "r1", "X-Key: key\r\nX-Due: 600000\r\n");
   });
   eventually([&] { return stage.servers[0]->arrived == 1; });
-  // Newer weights were named meanwhile, and the bound of the old ones is near.
+  // Newer weights are named meanwhile, and the deadline of the old ones is close.
   nameWeights(&stage, "2", {{"1", kBound - 500ms}});
   stage.snapshot.servers[1].weights = WeightsVersion{"2"};
   stage.snapshot.servers[1].leaving = false;
@@ -89,7 +90,7 @@
     CHECK(statusOf(answer) == 200);
     CHECK(headerIn(answer, "X-Seal") == "s2");
     CHECK(endsWhole(answer));
-  } else {  // it may have run
+  } else {  // the request may have run
     CHECK(statusOf(answer) == 502);
     CHECK(answer.find("superseded") != std::string::npos);
     CHECK(stage.servers[1]->received().empty());
@@ -98,7 +99,7 @@
 
 TEST_CASE("relay: a stream that has begun goes on past the bound of its weights") {
   RelayStage stage(1);
-  constexpr auto kLeft = 3500ms;  // more than a request that is sent now must have
+  constexpr auto kLeft = 3500ms;  // more than a new request needs
   nameWeights(&stage, "2", {{"1", kBound - kLeft}});
   const Instant past = BootClock::now() + kLeft + 100ms;
   stage.publishSnapshot();
@@ -121,7 +122,7 @@
   RelayStage stage(3);
   stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = true;
   stage.publishSnapshot();
-  // While the first server answers, newer weights are known to have been named long ago.
+  // While the first server responds, it becomes known that newer weights were named long ago.
   stage.servers[0]->setScript([&](int, const std::string& request) {
     nameWeights(&stage, "2", {{"1", kBound + 1s}});
     stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = false;
--- a/tests/retry_budget_tests.cpp
+++ b/tests/retry_budget_tests.cpp
@@ -1,4 +1,4 @@
-// The budget for extra tries, summed over daemons that know nothing of each other.
+// Tests of the retry budget, summed over daemons that do not communicate.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   return static_cast<std::size_t>(std::lower_bound(first, times.end(), to) - first);
 }
 
-// What the users' bound leaves in the window [from, from + kWindow), less what was taken.
+// How many retries the fleet-wide limit still allows in the window [from, from + kWindow).
 double leftIn(const std::vector<Instant>& requests, const std::vector<Instant>& extras,
               Instant from) {
   std::size_t most = 0;
@@ -30,13 +30,14 @@
          static_cast<double>(within(extras, from, from + kWindow));
 }
 
+// The smallest remaining allowance over all windows, and the number of retries.
 struct Worst {
   double left = 1e9;
   std::size_t extras = 0;
 };
 
-// A day of two minutes: the traffic moves from daemons to others at any time, and the daemons
-// together hoard for a while and then take all that they can.
+// Simulates two minutes. Traffic moves between daemons at any time, and the daemons together save
+// up their budgets for a while and then take all retries that they can.
 template <class Budget>
 Worst play(std::size_t daemons, std::uint64_t seed, const std::function<Budget()>& make) {
   std::mt19937_64 random(seed);
@@ -44,12 +45,13 @@
   for (std::size_t i = 0; i < daemons; ++i) budgets.push_back(make());
   std::vector<Instant> requests, extras;
   Instant now{1000s}, nextMove = now, nextTurn = now;
-  const std::size_t spacing = 4000000 / (20 + 3 * daemons);  // twice the mean, in microseconds
+  const std::size_t spacing =
+      4000000 / (20 + 3 * daemons);  // twice the mean spacing, in microseconds
   std::size_t first = 0, used = daemons;
   bool spends = false, rests = false, takesTurns = false;
   for (const Instant end = now + 120s; now < end;) {
     now += std::chrono::microseconds(1 + random() % spacing);
-    if (now >= nextMove) {  // to one daemon, to some or to all; or no traffic at all
+    if (now >= nextMove) {  // traffic goes to one, some or all daemons, or stops
       nextMove = now + std::chrono::milliseconds(100 + random() % 9900);
       first = random() % daemons;
       const std::size_t some = 1 + random() % daemons;
@@ -73,7 +75,7 @@
   }
   Worst worst;
   worst.extras = extras.size();
-  // The fullest windows begin with an extra try or end right behind one.
+  // The windows with the most retries start with a retry or end right after one.
   for (const Instant at : extras) {
     worst.left = std::min(worst.left, leftIn(requests, extras, at));
     worst.left = std::min(worst.left, leftIn(requests, extras, at - kWindow + Span(1)));
@@ -94,7 +96,7 @@
   for (const std::size_t daemons : {1, 2, 9, 81, 340}) {
     std::size_t extras = 0;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-      // Each daemon knows all others, or only half of them.
+      // Each daemon knows all others, or half of them.
       for (const std::size_t known : {daemons, (daemons + 1) / 2}) {
         const Worst worst = play<RetryBudgets>(daemons, seed, [&] { return budgetsOf(known); });
         INFO(daemons << " daemons, " << known << " known, seed " << seed);
@@ -107,20 +109,21 @@
 }
 
 namespace {
-// How it was: nearly the whole share for each, and a sixteenth of the slack however many they are.
+// A former, incorrect scheme: 70 % of the share for each daemon, and a sixteenth of the slack
+// regardless of the number of daemons.
 struct EvenPart {
   RetryBudget row{kShare * 0.7, std::floor(kSlack / 16), kWindow};
   void countRequest(const ServiceName&, Instant now) { row.countRequest(now); }
   bool takeRetry(const ServiceName&, Instant now) {
     if (!row.takeRetry(now)) return false;
-    row.countRequest(now);  // each send was counted as a request
+    row.countRequest(now);  // each attempt was counted as a request
     return true;
   }
 };
 }  // namespace
 
 TEST_CASE("extra tries: a fixed part of the slack breaks the bound of many daemons") {
-  // The day above finds it: this is what it has to be able to find.
+  // Shows that the simulation above can detect a violated limit.
   CHECK(play<EvenPart>(81, 1, [] { return EvenPart{}; }).left < 0);
   CHECK(play<EvenPart>(340, 1, [] { return EvenPart{}; }).left < 0);
 }
@@ -133,7 +136,7 @@
   slack.noteDaemons(9, Instant{200s});
   CHECK(slack.shareOf(kSlack, Instant{209s}) == 0);
   CHECK(slack.shareOf(kSlack, Instant{210s}) == Approx(kSlack / 18));
-  // Fewer heard of, as behind a cut, are no reason to take more.
+  // Knowing fewer daemons, as during a network partition, must not increase the slack.
   slack.noteDaemons(1, Instant{220s});
   CHECK(slack.shareOf(kSlack, Instant{300s}) == Approx(kSlack / 18));
   slack.noteDaemons(10, Instant{300s});
--- a/tests/server_load_tests.cpp
+++ b/tests/server_load_tests.cpp
@@ -1,4 +1,5 @@
-// What servers have to do, by this daemon's requests and by what the fleet told, on a fake clock.
+// Tests of the estimate of outstanding work, from this daemon's requests and from fleet reports,
+// with a fake clock.
 #include <catch2/catch.hpp>
 
 #include "placement/server_load.h"
@@ -17,7 +18,7 @@
   load.onRequestDone(0, now);
   load.onRequestDone(200, now);
   CHECK(load.own() == Outstanding{});
-  load.onRequestDone(200, now);  // more than there was
+  load.onRequestDone(200, now);  // one more than was outstanding
   CHECK(load.own() == Outstanding{});
 }
 
@@ -26,14 +27,14 @@
   Instant now{10s};
   load.onRequestPlaced(1000, now);
   now += 500ms;
-  // All daemons' as of 300 ms ago, this one's 1000 among them.
+  // The load of all daemons 300 ms ago, including the 1000 tokens of this one.
   load.onFleetReport({9, 30000}, now - 300ms);
   CHECK(load.pendingPrefillTokens(now) == 30000);
   load.onRequestPlaced(4000, now);
   CHECK(load.pendingPrefillTokens(now) == 34000);
   load.onPrefillDone(1000, now);
   CHECK(load.pendingPrefillTokens(now) == 33000);
-  // The own part is certain.
+  // This daemon's own part is the lower bound.
   load.onFleetReport({0, 0}, now);
   CHECK(load.pendingPrefillTokens(now) == 4000);
 }
@@ -56,6 +57,6 @@
   }
   CHECK(load.ownAt(now - 1s).requests == 91);
   CHECK(load.ownAt(now).requests == 100);
-  // Longer ago than is kept: the oldest that is.
+  // Before the recorded history: the oldest recorded value.
   CHECK(load.ownAt(now - 9s).requests >= 68);
 }
