--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -37,19 +37,19 @@
     placement.setServers(servers);
   }
   std::optional<PlacementResult> place(const std::string& prefix) {
-    PlacementRequest asked{kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix(prefix), {}};
-    return placement.place(asked, kNow);
+    PlacementRequest request{kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix(prefix), {}};
+    return placement.place(request, kNow);
   }
   // Places and releases a request: leaves no load, but stays in the index.
-  PlacementResult served(const std::string& prefix) {
+  PlacementResult placeAndRelease(const std::string& prefix) {
     auto placed = place(prefix);
     REQUIRE(placed);
     placement.release(placed->ticket, true, kNow);
     return *placed;
   }
   // Reports that all daemons together have that much work outstanding at the server.
-  void tell(const ServerName& server, std::uint64_t pendingPrefillTokens,
-            std::uint32_t requests = 1) {
+  void reportFleetLoad(const ServerName& server, std::uint64_t pendingPrefillTokens,
+                       std::uint32_t requests = 1) {
     placement.noteFleetLoad({{server, {requests, pendingPrefillTokens}}}, kNow);
   }
 };
@@ -57,18 +57,18 @@
 
 TEST_CASE("choice: a prompt that is kept stays at its server behind larger ones") {
   Fleet fleet(5);
-  const ServerName home = fleet.served("rules:13312,a:64").chosenServer.name;
-  fleet.tell(home, 60000);
-  const PlacementResult next = fleet.served("rules:13312,b:512");
+  const ServerName home = fleet.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  fleet.reportFleetLoad(home, 60000);
+  const PlacementResult next = fleet.placeAndRelease("rules:13312,b:512");
   CHECK(next.chosenServer.name == home);
   CHECK(next.matchedTokens == 13312);
 }
 
 TEST_CASE("choice: a match yields where far more waits than a copy costs, and names its holder") {
   Fleet fleet(5);
-  const ServerName home = fleet.served("rules:13312,a:64").chosenServer.name;
-  fleet.tell(home, 900000);
-  const PlacementResult next = fleet.served("rules:13312,b:4096");
+  const ServerName home = fleet.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  fleet.reportFleetLoad(home, 900000);
+  const PlacementResult next = fleet.placeAndRelease("rules:13312,b:4096");
   CHECK(next.chosenServer.name != home);
   CHECK(next.fetchFrom.value == home.value);
   // Tokens that are fetched need no prefill.
@@ -82,19 +82,19 @@
 
 TEST_CASE("choice: an unknown prefix goes to its home, and elsewhere with the home as source") {
   Fleet known(5), other(5);
-  const ServerName home = known.served("rules:13312,a:64").chosenServer.name;
+  const ServerName home = known.placeAndRelease("rules:13312,a:64").chosenServer.name;
   // Another daemon, which does not know the requests of the first.
-  CHECK(other.served("rules:13312,b:64").chosenServer.name == home);
+  CHECK(other.placeAndRelease("rules:13312,b:64").chosenServer.name == home);
   Fleet third(5);
-  third.tell(home, 900000);
-  const PlacementResult away = third.served("rules:13312,c:4096");
+  third.reportFleetLoad(home, 900000);
+  const PlacementResult away = third.placeAndRelease("rules:13312,c:4096");
   CHECK(away.chosenServer.name != home);
   CHECK(away.fetchFrom.value == home.value);
   PlacementSettings without = relaySettings();
   without.mechanisms.switchOff(Mechanism::HomeFetch);
   Fleet fourth(5, without);
-  fourth.tell(home, 900000);
-  CHECK(fourth.served("rules:13312,d:4096").fetchFrom.value.empty());
+  fourth.reportFleetLoad(home, 900000);
+  CHECK(fourth.placeAndRelease("rules:13312,d:4096").fetchFrom.value.empty());
 }
 
 TEST_CASE("choice: while weights change, load moves with the servers that have the newest") {
@@ -104,8 +104,8 @@
   std::map<ServerName, int> placed;
   for (int i = 0; i < 120; ++i) {
     const std::string prefix = "p" + std::to_string(i) + ":32000,a:64";
-    const ServerName home = before.served(prefix).chosenServer.name;
-    const PlacementResult now = during.served(prefix);
+    const ServerName home = before.placeAndRelease(prefix).chosenServer.name;
+    const PlacementResult now = during.placeAndRelease(prefix);
     CHECK(now.chosenServer.name == home);
     ++placed[home];
   }
@@ -115,10 +115,11 @@
 TEST_CASE("choice: requests without a prompt go by load, and not all to one server") {
   Fleet fleet(5);
   std::map<ServerName, int> placed;
-  for (int i = 0; i < 40; ++i) ++placed[fleet.served("").chosenServer.name];
+  for (int i = 0; i < 40; ++i) ++placed[fleet.placeAndRelease("").chosenServer.name];
   CHECK(placed.size() == 5);
-  fleet.tell(ServerName{"s1"}, 0, 60);
-  for (int i = 0; i < 20; ++i) CHECK(fleet.served("").chosenServer.name != ServerName{"s1"});
+  fleet.reportFleetLoad(ServerName{"s1"}, 0, 60);
+  for (int i = 0; i < 20; ++i)
+    CHECK(fleet.placeAndRelease("").chosenServer.name != ServerName{"s1"});
 }
 
 TEST_CASE("choice: parts told before a prompt showed their place are matched") {
@@ -130,11 +131,11 @@
                                                      false,
                                                      {{1, true, salt, "rules", 1600, kModel},
                                                       {2, true, salt, "notice", 800, kModel}}});
-  const PlacementResult placed = fleet.served("rules:1600,notice:800,own:64");
+  const PlacementResult placed = fleet.placeAndRelease("rules:1600,notice:800,own:64");
   CHECK(placed.chosenServer.name == ServerName{"s3"});
   CHECK(placed.matchedTokens == 2400);
   // Nothing matches under another isolation salt.
-  PlacementRequest walled{
+  PlacementRequest isolated{
       kModel, TenantName{"t"}, CacheSalt{"t"}, *parsePrefix("rules:1600,notice:800,own:64"), {}};
-  CHECK(fleet.placement.place(walled, kNow)->matchedTokens == 0);
+  CHECK(fleet.placement.place(isolated, kNow)->matchedTokens == 0);
 }
