--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -20,7 +20,7 @@
   state.cacheTokens = 16000;
   return state;
 }
-PlacementRequest asking(const std::string& prefix, const std::string& salt = "") {
+PlacementRequest requestFor(const std::string& prefix, const std::string& salt = "") {
   return {ModelName{"till"}, TenantName{"north"}, CacheSalt{salt}, *parsePrefix(prefix), {}};
 }
 }  // namespace
@@ -68,18 +68,18 @@
 TEST_CASE("placement: the longest match wins, and only under the same salt and weights") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("a"), server("b"), server("c")});
-  const auto first = placement.place(asking("rules:320,own1:32"));
+  const auto first = placement.place(requestFor("rules:320,own1:32"));
   REQUIRE(first);
   placement.release(first->ticket, true);
-  const auto second = placement.place(asking("rules:320,own2:32"));
+  const auto second = placement.place(requestFor("rules:320,own2:32"));
   CHECK(second->chosenServer.name == first->chosenServer.name);
   CHECK(second->matchedTokens == 320);
   CHECK(second->reason == "longest match");
-  CHECK(placement.place(asking("rules:320,own3:32", "tenant:x"))->matchedTokens == 0);
-  std::vector<ServerState> moved;
-  for (const char* name : {"a", "b", "c"}) moved.push_back(server(name, "w1"));
-  placement.setServers(moved);
-  CHECK(placement.place(asking("rules:320,own4:32"))->matchedTokens == 0);
+  CHECK(placement.place(requestFor("rules:320,own3:32", "tenant:x"))->matchedTokens == 0);
+  std::vector<ServerState> updated;
+  for (const char* name : {"a", "b", "c"}) updated.push_back(server(name, "w1"));
+  placement.setServers(updated);
+  CHECK(placement.place(requestFor("rules:320,own4:32"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: a hot prefix spreads when its server is over the cap") {
@@ -87,7 +87,7 @@
   placement.setServers({server("a"), server("b"), server("c")});
   std::map<std::string, int> placed;
   for (int i = 0; i < 24; ++i)
-    ++placed[placement.place(asking("hot:320,own" + std::to_string(i) + ":32"))
+    ++placed[placement.place(requestFor("hot:320,own" + std::to_string(i) + ":32"))
                  ->chosenServer.name.value];
   CHECK(placed.size() == 3);
   for (const auto& [name, count] : placed) CHECK(count <= 14);
@@ -100,7 +100,7 @@
   unhealthy.healthy = false;
   full.queued = 16;
   placement.setServers({leaving, unhealthy, full});
-  CHECK_FALSE(placement.place(asking("rules:32")));
+  CHECK_FALSE(placement.place(requestFor("rules:32")));
 }
 
 TEST_CASE("placement: locks are released exactly once, on every way out") {
@@ -108,15 +108,15 @@
   ServerState small = server("a");
   small.cacheTokens = 16 * 8;
   placement.setServers({small});
-  const auto streaming = placement.place(asking("long:128"));
-  const auto other = placement.place(asking("other:128"));
+  const auto streaming = placement.place(requestFor("long:128"));
+  const auto other = placement.place(requestFor("other:128"));
   CHECK(placement.ticketCount() == 2);
   CHECK(placement.indexedBlocks(ServerName{"a"}) > 8);  // both are locked and exceed the budget
   placement.release(other->ticket, true);
   placement.release(other->ticket, true);
   placement.release(other->ticket, false);
   // The first request is still running, so its path stays locked whatever was released twice.
-  CHECK(placement.place(asking("long:128"))->matchedTokens == 128);
+  CHECK(placement.place(requestFor("long:128"))->matchedTokens == 128);
   placement.release(streaming->ticket, true);
   CHECK(placement.ticketCount() == 1);
 }
@@ -124,15 +124,15 @@
 TEST_CASE("placement: what did not run leaves no trace, a dropped tree voids its locks") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("a")});
-  const auto turnedAway = placement.place(asking("rules:64"));
-  placement.release(turnedAway->ticket, false);
-  CHECK(placement.place(asking("rules:64"))->matchedTokens == 0);
-  const auto before = placement.place(asking("notice:64"));
+  const auto rejected = placement.place(requestFor("rules:64"));
+  placement.release(rejected->ticket, false);
+  CHECK(placement.place(requestFor("rules:64"))->matchedTokens == 0);
+  const auto before = placement.place(requestFor("notice:64"));
   ServerState restarted = server("a");
   restarted.identity = ServerIdentity{"a#2"};
   placement.setServers({restarted});
   placement.release(before->ticket, true);  // of the former tree
-  CHECK(placement.place(asking("notice:64"))->matchedTokens == 0);
+  CHECK(placement.place(requestFor("notice:64"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: cache events prune, and a gap in them drops the estimate") {
@@ -142,10 +142,10 @@
   const ServerIdentity identity{"a#1"};
   placement.applyEvents(name, identity, 0, {}, 5);
   for (const char* prefix : {"x:64", "y:64"})
-    placement.release(placement.place(asking(prefix))->ticket, true);
+    placement.release(placement.place(requestFor(prefix))->ticket, true);
   placement.applyEvents(name, identity, 5,
                         {{5, CacheEventKind::Dropped, CacheSalt{}, *parsePrefix("x:64")}}, 6);
-  const auto afterDrop = placement.place(asking("x:64"));
+  const auto afterDrop = placement.place(requestFor("x:64"));
   CHECK(afterDrop->matchedTokens == 0);
   placement.release(afterDrop->ticket, true);
   CHECK(placement.gaps() == 0);
@@ -153,24 +153,24 @@
   CHECK(placement.eventPosition(name) == 6);
   placement.applyEvents(name, identity, 9, {}, 12);
   CHECK(placement.gaps() == 1);
-  CHECK(placement.place(asking("y:64"))->matchedTokens == 0);
+  CHECK(placement.place(requestFor("y:64"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: a peer that holds more is named as a source only where fetching pays") {
   Placement placement({16, PlacementRule::LongestPrefix});
   ServerState warm = server("a"), cold = server("b");
   placement.setServers({warm});
-  placement.release(placement.place(asking("rules:1600,n:64"))->ticket, true);
+  placement.release(placement.place(requestFor("rules:1600,n:64"))->ticket, true);
   warm.running = 12;  // over the cap, so the match does not count
   placement.setServers({warm, cold});
-  const auto placed = placement.place(asking("rules:1600,m:64"));
+  const auto placed = placement.place(requestFor("rules:1600,m:64"));
   CHECK(placed->chosenServer.name.value == "b");
   REQUIRE(placed->source);
   CHECK(placed->source->server.value == "a");
   CHECK(placed->source->matchedTokens == 1600);
   cold.weights = WeightsVersion{"w1"};
   placement.setServers({warm, cold});
-  CHECK_FALSE(placement.place(asking("rules:1600,m:64"))->source);
+  CHECK_FALSE(placement.place(requestFor("rules:1600,m:64"))->source);
 }
 
 TEST_CASE("extra tries: no trailing window of ten seconds sees more than a fifth") {
@@ -185,12 +185,13 @@
     sends.emplace_back(now, false);
     if (random() % 2 && budget.takeRetry(now)) sends.emplace_back(now, true);
   }
-  std::size_t from = 0, extras = 0, taken = 0;
+  std::size_t from = 0, retries = 0, taken = 0;
   for (std::size_t to = 0; to < sends.size(); ++to) {
-    extras += sends[to].second ? 1 : 0;
+    retries += sends[to].second ? 1 : 0;
     taken += sends[to].second ? 1 : 0;
-    for (; sends[to].first - sends[from].first >= 10s; ++from) extras -= sends[from].second ? 1 : 0;
-    REQUIRE(extras * 5 <= to + 1 - from - extras);
+    for (; sends[to].first - sends[from].first >= 10s; ++from)
+      retries -= sends[from].second ? 1 : 0;
+    REQUIRE(retries * 5 <= to + 1 - from - retries);
   }
   CHECK(taken > 500);
 }
@@ -202,9 +203,9 @@
   one.slots = 1000000;
   placement.setServers({one});
   const auto matched = [&](const std::string& tenant, const std::string& salt) {
-    PlacementRequest asked = asking("rules:64", salt);
-    asked.tenant = TenantName{tenant};
-    const auto placed = placement.place(asked);
+    PlacementRequest request = requestFor("rules:64", salt);
+    request.tenant = TenantName{tenant};
+    const auto placed = placement.place(request);
     placement.release(placed->ticket, true);
     return placed->matchedTokens;
   };
@@ -226,12 +227,12 @@
   auto one = server("s1");
   one.slots = 4;
   placement.setServers({one});
-  PlacementRequest big = asking("rules:64");
+  PlacementRequest big = requestFor("rules:64");
   big.isOverShare = true;
   std::vector<Ticket> tickets;
   while (const auto placed = placement.place(big)) tickets.push_back(placed->ticket);
   CHECK(tickets.size() == 6);  // one and a half times the slots
-  PlacementRequest small = asking("other:64");
+  PlacementRequest small = requestFor("other:64");
   for (int i = 0; i < 2; ++i) CHECK(placement.place(small));
   CHECK_FALSE(placement.place(small));
 }
@@ -262,7 +263,7 @@
   Instant now{100s};
   std::vector<Ticket> tickets;
   const auto send = [&] {
-    const auto placed = placement.place(asking("rules:64"), now);
+    const auto placed = placement.place(requestFor("rules:64"), now);
     if (placed) tickets.push_back(placed->ticket);
     return placed.has_value();
   };
@@ -290,11 +291,11 @@
 TEST_CASE("placement: a ticket of a server that left the list is void when the name comes back") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("s1")});
-  const auto before = placement.place(asking("rules:64,old:64"));
+  const auto before = placement.place(requestFor("rules:64,old:64"));
   REQUIRE(before);
   placement.setServers({});
   placement.setServers({server("s1")});
-  const auto after = placement.place(asking("rules:64"));
+  const auto after = placement.place(requestFor("rules:64"));
   REQUIRE(after);
   CHECK(after->matchedTokens == 0);
   placement.release(before->ticket, true);  // of a tree that no longer exists
