--- a/tests/part_events_tests.cpp
+++ b/tests/part_events_tests.cpp
@@ -41,103 +41,103 @@
     return placement.place(
         {kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix("rules:320,own:32"), {}});
   }
-  std::size_t matched() {
+  std::size_t matchedTokensNow() {
     const auto placed = place();
     placement.release(placed->ticket, false);
     return placed->matchedTokens;
   }
-  void take(const PartEvents& told) { placement.applyPartEvents(kServer, told); }
+  void apply(const PartEvents& batch) { placement.applyPartEvents(kServer, batch); }
 };
 }  // namespace
 
 TEST_CASE("part events: a batch goes through the wire's form and comes back the same") {
-  PartEvents told{
+  PartEvents batch{
       "7", 3, 6, true, {stored(4, "rules", 320), dropped(5, "notice"), stored(6, "rules", 336)}};
-  told.events[1].salt = CacheSalt{"1.hill"};
-  const PartEvents back = fromBatch(toBatch(kServer, told));
-  CHECK(back.incarnation == told.incarnation);
-  CHECK(back.first == told.first);
-  CHECK(back.next == told.next);
-  CHECK(back.hasGap == told.hasGap);
+  batch.events[1].salt = CacheSalt{"1.hill"};
+  const PartEvents back = fromBatch(toBatch(kServer, batch));
+  CHECK(back.incarnation == batch.incarnation);
+  CHECK(back.first == batch.first);
+  CHECK(back.next == batch.next);
+  CHECK(back.hasGap == batch.hasGap);
   REQUIRE(back.events.size() == 3);
   for (std::size_t i = 0; i < 3; ++i) {
-    CHECK(back.events[i].position == told.events[i].position);
-    CHECK(back.events[i].part == told.events[i].part);
-    CHECK(back.events[i].salt == told.events[i].salt);
-    CHECK(back.events[i].isAdded == told.events[i].isAdded);
-    CHECK(back.events[i].tokens == told.events[i].tokens);
+    CHECK(back.events[i].position == batch.events[i].position);
+    CHECK(back.events[i].part == batch.events[i].part);
+    CHECK(back.events[i].salt == batch.events[i].salt);
+    CHECK(back.events[i].isAdded == batch.events[i].isAdded);
+    CHECK(back.events[i].tokens == batch.events[i].tokens);
   }
 }
 
 TEST_CASE("part events: what another reader tells late changes nothing") {
   Index index;
-  index.take({"1", 0, 2, false, {stored(1, "rules", 320), dropped(2, "rules")}});
-  CHECK(index.matched() == 0);
-  index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
-  CHECK(index.matched() == 0);
+  index.apply({"1", 0, 2, false, {stored(1, "rules", 320), dropped(2, "rules")}});
+  CHECK(index.matchedTokensNow() == 0);
+  index.apply({"1", 0, 1, false, {stored(1, "rules", 320)}});
+  CHECK(index.matchedTokensNow() == 0);
   // Of an overlapping batch, only the new events are applied.
-  index.take({"1", 0, 3, false, {stored(1, "rules", 320), stored(3, "rules", 320)}});
-  CHECK(index.matched() == 320);
+  index.apply({"1", 0, 3, false, {stored(1, "rules", 320), stored(3, "rules", 320)}});
+  CHECK(index.matchedTokensNow() == 320);
   CHECK(index.placement.eventPosition(kServer) == 3);
   CHECK(index.placement.gaps() == 0);
 }
 
 TEST_CASE("part events: a lost batch is counted and the estimate stays") {
   Index index;
-  index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
-  index.take({"1", 8, 9, false, {stored(9, "notice", 16)}});
+  index.apply({"1", 0, 1, false, {stored(1, "rules", 320)}});
+  index.apply({"1", 8, 9, false, {stored(9, "notice", 16)}});
   CHECK(index.placement.gaps() == 1);
-  CHECK(index.matched() == 320);
+  CHECK(index.matchedTokensNow() == 320);
 }
 
 TEST_CASE("part events: what the server itself forgot drops the estimate, once") {
   Index index;
-  index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
-  index.take({"1", 1, 9, true, {stored(9, "notice", 16)}});
+  index.apply({"1", 0, 1, false, {stored(1, "rules", 320)}});
+  index.apply({"1", 1, 9, true, {stored(9, "notice", 16)}});
   CHECK(index.placement.gaps() == 1);
-  CHECK(index.matched() == 0);
-  index.take({"1", 9, 10, false, {stored(10, "rules", 320)}});
-  CHECK(index.matched() == 320);
+  CHECK(index.matchedTokensNow() == 0);
+  index.apply({"1", 9, 10, false, {stored(10, "rules", 320)}});
+  CHECK(index.matchedTokensNow() == 320);
   // A reader that started over reports the gap, but this daemon is already past it.
-  index.take({"1", 0, 11, true, {stored(9, "notice", 16), stored(11, "notice", 32)}});
-  CHECK(index.matched() == 320);
+  index.apply({"1", 0, 11, true, {stored(9, "notice", 16), stored(11, "notice", 32)}});
+  CHECK(index.matchedTokensNow() == 320);
   CHECK(index.placement.gaps() == 1);
 }
 
 TEST_CASE("part events: a server that started anew keeps nothing of before") {
   Index index;
-  index.take({"1", 0, 40, false, {stored(40, "rules", 320)}});
-  index.take({"2", 0, 1, false, {stored(1, "notice", 16)}});
-  CHECK(index.matched() == 0);
+  index.apply({"1", 0, 40, false, {stored(40, "rules", 320)}});
+  index.apply({"2", 0, 1, false, {stored(1, "notice", 16)}});
+  CHECK(index.matchedTokensNow() == 0);
   CHECK(index.placement.eventPosition(kServer) == 1);
 }
 
 TEST_CASE("part events: a position that the server never told is given up") {
   Index index;
-  index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
-  index.take({"1", 1, 1000000000, false, {stored(1000000000, "notice", 16)}});
+  index.apply({"1", 0, 1, false, {stored(1, "rules", 320)}});
+  index.apply({"1", 1, 1000000000, false, {stored(1000000000, "notice", 16)}});
   // The next read asks from that position, and the server responds with what it has.
-  index.take({"1", 1000000000, 2, false, {}});
+  index.apply({"1", 1000000000, 2, false, {}});
   CHECK(index.placement.eventPosition(kServer) == 2);
-  index.take({"1", 2, 3, false, {stored(3, "rules", 320)}});
-  CHECK(index.matched() == 320);
+  index.apply({"1", 2, 3, false, {stored(3, "rules", 320)}});
+  CHECK(index.matchedTokensNow() == 320);
 }
 
 TEST_CASE("part events: of a long reading the newest are told on, and nobody drops what it knows") {
-  PartEvents told{"1", 0, 5000, true, {}};
+  PartEvents batch{"1", 0, 5000, true, {}};
   for (std::uint64_t position = 1001; position <= 5000; ++position)
-    told.events.push_back(stored(position, "part" + std::to_string(position), 16));
-  truncateToNewest(&told);
-  CHECK(told.events.size() == kMaxSharedEvents);
-  CHECK(told.events.front().position == 5000 - kMaxSharedEvents + 1);
-  CHECK(told.first == 5000 - kMaxSharedEvents);
+    batch.events.push_back(stored(position, "part" + std::to_string(position), 16));
+  truncateToNewest(&batch);
+  CHECK(batch.events.size() == kMaxSharedEvents);
+  CHECK(batch.events.front().position == 5000 - kMaxSharedEvents + 1);
+  CHECK(batch.first == 5000 - kMaxSharedEvents);
   Index index;
-  index.take({"1", 0, 1, false, {stored(1, "rules", 320)}});
-  index.take(told);
-  CHECK(index.matched() == 320);
+  index.apply({"1", 0, 1, false, {stored(1, "rules", 320)}});
+  index.apply(batch);
+  CHECK(index.matchedTokensNow() == 320);
   CHECK(index.placement.gaps() == 1);
   CHECK(index.placement.eventPosition(kServer) == 5000);
-  PartEvents few{"1", 0, 2, false, {stored(1, "rules", 320), dropped(2, "rules")}};
-  truncateToNewest(&few);
-  CHECK(few.events.size() == 2);
+  PartEvents shortBatch{"1", 0, 2, false, {stored(1, "rules", 320), dropped(2, "rules")}};
+  truncateToNewest(&shortBatch);
+  CHECK(shortBatch.events.size() == 2);
 }
