--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 // A caller with a persistent connection.
-struct KeptCaller {
+struct PersistentCaller {
   asio::io_context io;
   Tcp::socket socket{io};
   std::string bytes;
-  explicit KeptCaller(const RelayStage& stage) { socket.connect(endpointOf(stage.callers)); }
+  explicit PersistentCaller(const RelayStage& stage) { socket.connect(endpointOf(stage.callers)); }
   void send(const std::string& path, const std::string& id) {
     asio::write(socket, asio::buffer(RelayStage::request(path, id, "X-Key: key\r\n", false)));
   }
   // Reads the next chunked response, including its head.
-  std::string take() {
+  std::string readNext() {
     const auto size = asio::read_until(socket, asio::dynamic_buffer(bytes), "\r\n0\r\n\r\n");
     std::string answer = bytes.substr(0, size);
     bytes.erase(0, size);
     return answer;
   }
   // Reads until the other end closes.
-  std::string rest() {
+  std::string readToEnd() {
     ErrorCode code;
     asio::read(socket, asio::dynamic_buffer(bytes), code);
     return bytes;
@@ -33,11 +33,11 @@
 
 TEST_CASE("leaving: the schedule accepts for three seconds and ends within the grace") {
   const Instant signal{};
-  const LeaveSchedule of8 = leaveSchedule(signal, 8s);
-  CHECK(of8.rejectFrom == signal + 3s);
-  CHECK(of8.earliestExit == signal + 3500ms);
-  CHECK(of8.abortAt == signal + 7500ms);
-  CHECK(of8.exitBy == signal + 7750ms);
+  const LeaveSchedule eightSeconds = leaveSchedule(signal, 8s);
+  CHECK(eightSeconds.rejectFrom == signal + 3s);
+  CHECK(eightSeconds.earliestExit == signal + 3500ms);
+  CHECK(eightSeconds.abortAt == signal + 7500ms);
+  CHECK(eightSeconds.exitBy == signal + 7750ms);
   for (Span grace = 10ms; grace <= 30s; grace += 10ms) {
     const LeaveSchedule schedule = leaveSchedule(signal, grace);
     CHECK(signal < schedule.rejectFrom);
@@ -50,16 +50,16 @@
 
 TEST_CASE("leaving: not ready at once, and what still comes is served and told to close") {
   RelayStage stage(1, 60s);
-  KeptCaller kept(stage);
+  PersistentCaller kept(stage);
   kept.send("/once/", "r1");
-  CHECK(headerIn(kept.take(), "Connection").empty());
+  CHECK(headerIn(kept.readNext(), "Connection").empty());
   stage.relay->beginLeaving();
   stage.waitReady(503);
   kept.send("/once/", "r2");
-  const std::string second = kept.take();
+  const std::string second = kept.readNext();
   CHECK(headerIn(second, "X-Id") == "r2");
   CHECK(headerIn(second, "Connection") == "close");
-  CHECK(kept.rest().empty());
+  CHECK(kept.readToEnd().empty());
   const std::string fresh =
       stage.exchange(stage.callers, RelayStage::request("/once/", "r3", "X-Key: key\r\n", false));
   CHECK(statusOf(fresh) == 200);
@@ -74,14 +74,14 @@
     while (!mayAnswer) std::this_thread::yield();
     return Reply{streamHead(request) + chunked({event(1)})};
   });
-  KeptCaller kept(stage);
+  PersistentCaller kept(stage);
   kept.send("/once/", "r1");
   // The server's thread is waiting in the script.
   eventually([&] { return stage.servers[0]->arrived > 0; });
   stage.relay->beginLeaving();
   stage.waitReady(503);
   mayAnswer = true;
-  const std::string answer = kept.take();
+  const std::string answer = kept.readNext();
   CHECK(headerIn(answer, "X-Id") == "r1");
   CHECK(headerIn(answer, "Connection") == "close");
 }
@@ -91,34 +91,34 @@
   stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)}, false), false, true};
   });
-  KeptCaller kept(stage);
+  PersistentCaller kept(stage);
   kept.send("/once/", "r1");
   asio::read_until(kept.socket, asio::dynamic_buffer(kept.bytes), event(1));
   stage.relay->beginLeaving();
   stage.waitReady(503);
   stage.servers[0]->sendMore(chunked({event(2)}));
-  const std::string answer = kept.take();
+  const std::string answer = kept.readNext();
   CHECK(answer.find(event(2)) != std::string::npos);
   CHECK(endsWhole(answer));
-  CHECK(
-      kept.rest().empty());  // idle from now on, so it is closed once no more requests are accepted
+  CHECK(kept.readToEnd()
+            .empty());  // idle from now on, so it is closed once no more requests are accepted
   eventually([&] { return stage.relay->hasLeft(); });
 }
 
 TEST_CASE("leaving: what can't end within the grace gets a final answer before it is over") {
   RelayStage stage(2, 1600ms);
   stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
-  KeptCaller once(stage), again(stage);
+  PersistentCaller once(stage), again(stage);
   once.send("/once/", "r1");
   again.send("/again/", "r2");
   eventually([&] { return stage.arrivals() == 2; });
   const Instant signal = BootClock::now();
   stage.relay->beginLeaving();
-  const std::string unknown = once.rest();
+  const std::string unknown = once.readToEnd();
   CHECK(statusOf(unknown) == 502);
   CHECK(headerIn(unknown, "Connection") == "close");
   CHECK(headerIn(unknown, "Retry-After").empty());
-  CHECK_FALSE(headerIn(again.rest(), "Retry-After").empty());
+  CHECK_FALSE(headerIn(again.readToEnd(), "Retry-After").empty());
   eventually([&] { return stage.relay->hasLeft(); });
   CHECK(BootClock::now() - signal >= 1500ms);
   CHECK(stage.arrivals() == 2);  // neither was retried at a second server
@@ -127,11 +127,11 @@
 TEST_CASE("leaving: a request that comes too late to end is refused at once and runs nowhere") {
   RelayStage stage(1, 4s);
   stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
-  KeptCaller running(stage), idle(stage);
+  PersistentCaller running(stage), idle(stage);
   running.send("/once/", "r1");  // keeps the relay from finishing early
   eventually([&] { return stage.arrivals() == 1; });
   stage.relay->beginLeaving();
-  CHECK(idle.rest().empty());  // the relay rejects requests from now on
+  CHECK(idle.readToEnd().empty());  // the relay rejects requests from now on
   // Confirms the configuration again, so that only the shutdown can cause the rejection.
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   const std::string late = stage.post("/once/", "r2");
@@ -143,10 +143,10 @@
 
 TEST_CASE("leaving: a relay with nothing to do is gone before its grace") {
   RelayStage stage(1, 3s);
-  KeptCaller idle(stage);
+  PersistentCaller idle(stage);
   const Instant signal = BootClock::now();
   stage.relay->beginLeaving();
   eventually([&] { return stage.relay->hasLeft(); });
   CHECK(BootClock::now() - signal >= 1500ms);
-  CHECK(idle.rest().empty());
+  CHECK(idle.readToEnd().empty());
 }
