--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -20,7 +20,7 @@
   }
   void send(const std::string& text) { asio::write(socket, asio::buffer(text)); }
   // Returns the bytes available now. `ended` is set to whether the other end has closed.
-  std::string whatIsThere(bool* ended) {
+  std::string readAvailable(bool* ended) {
     std::string bytes;
     ErrorCode code;
     socket.non_blocking(true);
@@ -30,7 +30,7 @@
   }
 };
 
-void setDue(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
+void setTimeout(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
   stage.configuration.policies.at(PolicyName{route}).due = due;
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
@@ -58,7 +58,7 @@
 TEST_CASE("deadline: a server's silence ends at the route's deadline with a final answer") {
   RelayStage stage(1);
   stage.setScript(hang);
-  setDue(stage, "/once/", 300ms);
+  setTimeout(stage, "/once/", 300ms);
   const Instant sent = BootClock::now();
   const std::string answer = stage.post("/once/", "r1");
   CHECK(statusOf(answer) == 504);
@@ -69,7 +69,7 @@
 TEST_CASE("deadline: a stream that runs past it is cut, with no end that looks whole") {
   RelayStage stage(1);
   stage.addRoute("/last/", false, 1);
-  setDue(stage, "/once/", 300ms);
+  setTimeout(stage, "/once/", 300ms);
   stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return hang(0, request);
     return Reply{streamHead(request) + chunked({event(1)}, false), false, true};
@@ -77,7 +77,7 @@
   RawCaller caller(stage, RelayStage::request("/once/", "r1"));
   waitForDeadline(stage, 1000ms);
   bool ended = false;
-  const std::string answer = caller.whatIsThere(&ended);
+  const std::string answer = caller.readAvailable(&ended);
   CHECK(ended);
   CHECK(answer.find(event(1)) != std::string::npos);
   CHECK_FALSE(endsWhole(answer));
@@ -93,7 +93,7 @@
 TEST_CASE("deadline: an answer that its caller doesn't take is given up there") {
   RelayStage stage(2);
   stage.addRoute("/last/", false, 1);
-  setDue(stage, "/once/", 600ms);
+  setTimeout(stage, "/once/", 600ms);
   const std::string large = "data: " + std::string(100000, 'x') + "\n\n";
   const std::string stream = chunked(std::vector<std::string>(200, large));
   stage.setScript([&](int, const std::string& request) {
@@ -113,34 +113,34 @@
 TEST_CASE("deadline: a body that does not come is given up at the route's deadline") {
   RelayStage stage(1);
   stage.addRoute("/last/", false, 1);
-  setDue(stage, "/once/", 300ms);
+  setTimeout(stage, "/once/", 300ms);
   stage.setScript(hang);
   RawCaller caller(stage,
                    "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: r1\r\nX-Key: "
                    "key\r\nContent-Length: 10\r\n\r\n{");
   waitForDeadline(stage, 1000ms);
   bool ended = false;
-  CHECK(statusOf(caller.whatIsThere(&ended)) == 408);
+  CHECK(statusOf(caller.readAvailable(&ended)) == 408);
   CHECK(stage.arrivals() == 1);
 }
 
 TEST_CASE("deadline: servers are handed what is left of the caller's own, less on a further try") {
   RelayStage stage(2);
   stage.configuration.policies.at(PolicyName{"/again/"}).target = 50ms;
-  setDue(stage, "/again/", 20s);
+  setTimeout(stage, "/again/", 20s);
   stage.setScript(hang);
   const std::string answer = stage.post("/again/", "r1", "X-Key: key\r\nX-Due: 2000\r\n");
   CHECK(statusOf(answer) == 504);
-  std::vector<int> handed;
+  std::vector<int> timeouts;
   for (auto& server : stage.servers) {
     for (const std::string& request : server->received())
-      handed.push_back(std::stoi(headerIn(request, "X-Due")));
+      timeouts.push_back(std::stoi(headerIn(request, "X-Due")));
   }
-  REQUIRE(handed.size() == 2);
-  std::sort(handed.begin(), handed.end());
-  CHECK(handed[1] <= 2000);
-  CHECK(handed[0] <= handed[1] - 450);  // the time that the first server was given
-  CHECK(handed[0] > 0);
+  REQUIRE(timeouts.size() == 2);
+  std::sort(timeouts.begin(), timeouts.end());
+  CHECK(timeouts[1] <= 2000);
+  CHECK(timeouts[0] <= timeouts[1] - 450);  // the time that the first server was given
+  CHECK(timeouts[0] > 0);
 }
 
 TEST_CASE("gone: a caller that leaves while a server is connected to reaches no server") {
@@ -176,7 +176,7 @@
 TEST_CASE("gone: bytes of a next request hide no close behind them") {
   RelayStage stage(1);
   stage.setScript(hang);
-  setDue(stage, "/once/", 120s);
+  setTimeout(stage, "/once/", 120s);
   {
     RawCaller caller(stage, RelayStage::request("/once/", "r1", "X-Key: key\r\n", false));
     eventually([&] { return stage.arrivals() == 1; });
@@ -208,7 +208,7 @@
 TEST_CASE("gone: a half-close is taken for a close") {
   RelayStage stage(1);
   stage.setScript(hang);
-  setDue(stage, "/again/", 120s);
+  setTimeout(stage, "/again/", 120s);
   RawCaller caller(stage, RelayStage::request("/again/", "r1"));
   eventually([&] { return stage.arrivals() == 1; });
   caller.socket.shutdown(Tcp::socket::shutdown_send);
@@ -221,7 +221,7 @@
   RelayStage stage(1);
   stage.addRoute("/plain/", false, 1);
   stage.configuration.policies.at(PolicyName{"/plain/"}).isStream = false;
-  setDue(stage, "/plain/", 120s);
+  setTimeout(stage, "/plain/", 120s);
   stage.setScript(hang);
   std::weak_ptr<Tcp::socket> plainRun, streamRun;
   {
