--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -6,7 +6,7 @@
 using namespace quayrill::tests;
 
 namespace {
-void tellAnew(RelayStage& stage) {
+void publishConfiguration(RelayStage& stage) {
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
 }
@@ -34,7 +34,7 @@
 TEST_CASE("limits: a body comes with a length or in chunks, up to its limit to the byte") {
   RelayStage stage(1);
   stage.configuration.callerLimits.bodyBytes = 10;
-  tellAnew(stage);
+  publishConfiguration(stage);
   const std::string counted = withBody("r1", "Content-Length: 10\r\n\r\n0123456789");
   const std::string chunks =
       withBody("r2", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n7\r\n3456789\r\n0\r\n\r\n");
@@ -54,7 +54,7 @@
 TEST_CASE("limits: a refusal arrives although its caller goes on sending the body") {
   RelayStage stage(1);
   stage.configuration.callerLimits.bodyBytes = 10;
-  tellAnew(stage);
+  publishConfiguration(stage);
   const std::string body(900000, 'x');
   for (int i = 0; i < 5; ++i) {
     const std::string answer =
@@ -68,22 +68,22 @@
   RelayStage stage(1);
   stage.configuration.callerLimits.idleDue = 1500ms;
   stage.addRoute("/last/", false, 1);
-  tellAnew(stage);
+  publishConfiguration(stage);
   asio::io_context own;
   Tcp::socket socket(own);
   socket.connect(endpointOf(stage.callers));
   std::string bytes;
-  const auto askAgain = [&](const char* id) {
+  const auto requestAgain = [&](const char* id) {
     asio::write(socket, asio::buffer(RelayStage::request("/once/", id, "X-Key: key\r\n", false)));
     ErrorCode code;
     asio::read_until(socket, asio::dynamic_buffer(bytes), "\r\n0\r\n\r\n", code);
-    const bool isHere = !code && headerIn(bytes, "X-Id") == id;
+    const bool isAnswered = !code && headerIn(bytes, "X-Id") == id;
     bytes.clear();
-    return isHere;
+    return isAnswered;
   };
-  CHECK(askAgain("r1"));
+  CHECK(requestAgain("r1"));
   stage.configuration.callerLimits.idleDue = 120s;  // while the connection is idle
-  tellAnew(stage);
+  publishConfiguration(stage);
   // Waits until the former limit has passed.
   stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return Reply{"", false, true};
@@ -91,10 +91,10 @@
   });
   CHECK(statusOf(stage.post("/last/", "last", "X-Key: key\r\nX-Due: 2500\r\n")) == 504);
   stage.publishSnapshot();  // confirms the configuration again
-  CHECK(askAgain("r2"));
+  CHECK(requestAgain("r2"));
   stage.configuration.callerLimits.idleDue = 300ms;
-  tellAnew(stage);
-  CHECK(askAgain("r3"));
+  publishConfiguration(stage);
+  CHECK(requestAgain("r3"));
   ErrorCode code;
   asio::read(socket, asio::dynamic_buffer(bytes), code);
   CHECK(code == asio::error::eof);
@@ -104,7 +104,7 @@
 TEST_CASE("limits: no failure of the relay's own bears a seal, a server's own keeps its") {
   RelayStage stage(1);
   stage.configuration.policies.at(PolicyName{"/once/"}).due = 200ms;
-  tellAnew(stage);
+  publishConfiguration(stage);
   stage.setScript([](int arrival, const std::string& request) {
     const std::string seal = "X-Seal: s" + std::to_string(arrival) + "\r\n";
     if (arrival == 1) return Reply{plain(request, 500, seal)};
