--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -23,10 +23,10 @@
 }
 
 template <class Work>
-double microsOf(std::size_t rounds, Work work) {
-  const Instant begun = BootClock::now();
+double microsPerRound(std::size_t rounds, Work work) {
+  const Instant start = BootClock::now();
   for (std::size_t i = 0; i < rounds; ++i) work();
-  const auto span = std::chrono::duration<double, std::micro>(BootClock::now() - begun);
+  const auto span = std::chrono::duration<double, std::micro>(BootClock::now() - start);
   return span.count() / static_cast<double>(rounds);
 }
 
@@ -124,13 +124,13 @@
       // More shared parts than servers, so that each server has some.
       Traffic traffic{std::mt19937_64{1}, models, 64, 4 * count};
       fill(&placement, servers, &traffic, count * 300);
-      const double micros = microsOf(4000, [&] {
+      const double micros = microsPerRound(4000, [&] {
         const auto placed = placement.place(traffic.next());
         placement.release(placed->ticket, true);
       });
-      const double taking = microsOf(50, [&] { placement.setServers(servers); });
+      const double updating = microsPerRound(50, [&] { placement.setServers(servers); });
       std::cout << "models " << models << " servers " << count << " placed and released in us "
-                << micros << " servers' states taken in us " << taking << std::endl;
+                << micros << " servers' states taken in us " << updating << std::endl;
     }
   }
 }
@@ -143,15 +143,15 @@
   std::vector<PromptPrefix> sent;
   Traffic traffic;
   for (int i = 0; i < 5000; ++i) {
-    auto asked = traffic.next();
-    sent.push_back(asked.prefix);
-    placement.release(placement.place(asked)->ticket, true);
+    auto request = traffic.next();
+    sent.push_back(request.prefix);
+    placement.release(placement.place(request)->ticket, true);
   }
   std::uint64_t position = 1;
   placement.applyEvents(server.name, server.identity, 0, {}, position);
   for (const auto kind : {CacheEventKind::Stored, CacheEventKind::Dropped}) {
     std::size_t taken = 0;
-    const double micros = microsOf(sent.size() / 100, [&] {
+    const double micros = microsPerRound(sent.size() / 100, [&] {
       std::vector<CacheEvent> events;
       for (int i = 0; i < 100; ++i) events.push_back({position + i, kind, {}, sent[taken++]});
       placement.applyEvents(server.name, server.identity, position, events, position + 100);
@@ -171,9 +171,9 @@
     const std::size_t before = heapBytes();
     auto configuration = std::make_unique<Configuration>(*parseConfiguration(body));
     const std::size_t bytes = heapBytes() - before;
-    const double parsing = microsOf(3, [&] { REQUIRE(parseConfiguration(body).ok()); });
-    const double patching =
-        microsOf(3, [&] { REQUIRE(patchConfiguration(body, R"({"ways":{"way-1":null}})").ok()); });
+    const double parsing = microsPerRound(3, [&] { REQUIRE(parseConfiguration(body).ok()); });
+    const double patching = microsPerRound(
+        3, [&] { REQUIRE(patchConfiguration(body, R"({"ways":{"way-1":null}})").ok()); });
     std::cout << "tenants " << size.tenants << " routes " << size.ways << " body bytes "
               << body.size() << " parsed bytes " << bytes << " parsed in us " << parsing
               << " patched in us " << patching << std::endl;
@@ -186,7 +186,7 @@
     for (const ServerState& server : serversOf(count, 4, 22900))
       snapshot.servers.push_back(toSnapshot(server, BootClock::now()));
     std::size_t bytes = 0;
-    const double micros = microsOf(200, [&] {
+    const double micros = microsPerRound(200, [&] {
       const std::string encoded = encodeValue(snapshot);
       bytes = encoded.size();
       Snapshot decoded;
@@ -211,18 +211,18 @@
       item.proxyAddress = item.source.value;
       answer.items.push_back(item);
     }
-    const std::size_t given = heapBytes();
+    const std::size_t beforeNews = heapBytes();
     news->take(answer, BootClock::now());
-    const std::size_t bytes = heapBytes() - given;
-    const std::string asked = encodeEnvelope({{}, {}, news->ask()});
-    const double micros = microsOf(200, [&] {
+    const std::size_t bytes = heapBytes() - beforeNews;
+    const std::string request = encodeEnvelope({{}, {}, news->ask()});
+    const double micros = microsPerRound(200, [&] {
       const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->ask()}));
       REQUIRE(envelope.ok());
       news->answer(std::get<NewsAsk>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
-              << " bytes of an ask " << asked.size() << " asked and answered in us " << micros
+              << " bytes of an ask " << request.size() << " asked and answered in us " << micros
               << std::endl;
-    REQUIRE(given >= before);
+    REQUIRE(beforeNews >= before);
   }
 }
