--- a/tests/placement_cost.cpp
+++ b/tests/placement_cost.cpp
@@ -33,13 +33,13 @@
     for (std::size_t i = 0; i < cacheTokens / 8 + 20000; ++i) placeOne();
     std::size_t blocks = 0;
     for (const ServerState& server : servers) blocks += placement.indexedBlocks(server.name);
-    const Instant begun = BootClock::now();
+    const Instant start = BootClock::now();
     constexpr int kRounds = 20000;
     for (int i = 0; i < kRounds; ++i) placeOne();
-    const auto each =
-        std::chrono::duration_cast<std::chrono::nanoseconds>(BootClock::now() - begun);
+    const auto elapsed =
+        std::chrono::duration_cast<std::chrono::nanoseconds>(BootClock::now() - start);
     std::cout << "cache tokens " << cacheTokens << " blocks in the index " << blocks
-              << " placed and released in " << each.count() / kRounds << " ns\n";
+              << " placed and released in " << elapsed.count() / kRounds << " ns\n";
   }
   SUCCEED();
 }
