--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -156,9 +156,9 @@
   stage.snapshot.confirmedAgoMicros = 1500000;
   stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r3")) == 200);
-  const std::string unsure = stage.post("/once/", "r4", "X-Key: none\r\n");
-  CHECK(statusOf(unsure) == 503);
-  CHECK_FALSE(headerIn(unsure, "Retry-After").empty());
+  const std::string unconfirmed = stage.post("/once/", "r4", "X-Key: none\r\n");
+  CHECK(statusOf(unconfirmed) == 503);
+  CHECK_FALSE(headerIn(unconfirmed, "Retry-After").empty());
   CHECK(statusOf(stage.post("/nowhere/", "r5")) == 503);
   stage.snapshot.confirmedAgoMicros = 2100000;
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
@@ -238,22 +238,22 @@
   policy.target = 0ms;
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
-  std::atomic<bool> isStill{false}, hasFirst{false};
+  std::atomic<bool> isStalled{false}, hasFirstEvent{false};
   stage.servers[0]->setScript([&](int, const std::string& request) {
-    while (!isStill) std::this_thread::yield();
+    while (!isStalled) std::this_thread::yield();
     Reply reply{streamHead(request) + chunked({event(1)}, false)};
     reply.cut = reply.bytes.size();
     reply.bytes += chunked({event(2), event(3)});
     return reply;
   });
   stage.servers[0]->pause = [&] {
-    while (!hasFirst) std::this_thread::yield();
+    while (!hasFirstEvent) std::this_thread::yield();
   };
   // Stalls the relay until the first event has arrived and its deadline has passed, so that the
   // relay sees both at the same time.
   stage.onReadConfiguration = [&] {
     const Instant past = BootClock::now() + 1s;
-    isStill = true;
+    isStalled = true;
     while (BootClock::now() < past) std::this_thread::yield();
   };
   asio::io_context own;
@@ -266,7 +266,7 @@
   std::string answer;
   ErrorCode code;
   asio::read_until(socket, asio::dynamic_buffer(answer), "data: d1", code);
-  hasFirst = true;
+  hasFirstEvent = true;
   asio::read(socket, asio::dynamic_buffer(answer), code);
   CHECK(statusOf(answer) == 200);
   CHECK(answer.find("data: d3") != std::string::npos);
