--- a/tests/retry_budget_tests.cpp
+++ b/tests/retry_budget_tests.cpp
@@ -16,8 +16,8 @@
 const ServiceName kService{"svc"};
 
 std::size_t countWithin(const std::vector<Instant>& times, Instant from, Instant to) {
-  const auto firstDaemon = std::lower_bound(times.begin(), times.end(), from);
-  return static_cast<std::size_t>(std::lower_bound(firstDaemon, times.end(), to) - firstDaemon);
+  const auto begin = std::lower_bound(times.begin(), times.end(), from);
+  return static_cast<std::size_t>(std::lower_bound(begin, times.end(), to) - begin);
 }
 
 // How many retries the fleet-wide limit still allows in the window [from, from + kWindow).
