--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -100,8 +100,8 @@
   const std::string answer = kept.readNext();
   CHECK(answer.find(event(2)) != std::string::npos);
   CHECK(endsWhole(answer));
-  CHECK(kept.readToEnd()
-            .empty());  // idle from now on, so it is closed once no more requests are accepted
+  // Idle from now on, so it is closed once no more requests are accepted.
+  CHECK(kept.readToEnd().empty());
   eventually([&] { return stage.relay->hasLeft(); });
 }
 
