--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -93,11 +93,12 @@
       asio::co_spawn(io, serve(std::move(socket), ++connections), asio::detached);
     }
   }
-  static awaitable<ErrorCode> readBody(Tcp::socket& socket, std::string* held, std::size_t size) {
+  static awaitable<ErrorCode> readBody(Tcp::socket& socket, std::string* buffered,
+                                       std::size_t size) {
     ErrorCode code;
-    if (held->size() < size)
-      co_await asio::async_read(socket, asio::dynamic_buffer(*held),
-                                asio::transfer_exactly(size - held->size()), into(code));
+    if (buffered->size() < size)
+      co_await asio::async_read(socket, asio::dynamic_buffer(*buffered),
+                                asio::transfer_exactly(size - buffered->size()), into(code));
     co_return code;
   }
   // Sends the bytes up to the cut, then applies the fault. Returns false if the connection is
@@ -121,25 +122,25 @@
     co_return !code && reply.fault == Fault::None;
   }
   awaitable<void> serve(Tcp::socket accepted, int number) {
-    const auto kept = std::make_shared<Tcp::socket>(std::move(accepted));
-    Tcp::socket& socket = *kept;
-    std::string held;
+    const auto sharedSocket = std::make_shared<Tcp::socket>(std::move(accepted));
+    Tcp::socket& socket = *sharedSocket;
+    std::string buffered;
     bool hadFault = false;
     for (;;) {
       ErrorCode code;
-      const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(held),
+      const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(buffered),
                                                         "\r\n\r\n", into(code));
       if (code) break;
-      std::string request = held.substr(0, size);
-      held.erase(0, size);
+      std::string request = buffered.substr(0, size);
+      buffered.erase(0, size);
       const std::string length = headerIn(request, "Content-Length");
       const std::size_t body = length.empty() ? 0 : std::stoul(length);
       const bool early = respondsBeforeBody;
       if (!early) {
-        code = co_await readBody(socket, &held, body);
+        code = co_await readBody(socket, &buffered, body);
         if (code) break;
-        request += held.substr(0, body);
-        held.erase(0, body);
+        request += buffered.substr(0, body);
+        buffered.erase(0, body);
       }
       Reply reply;
       ++arrived;
@@ -148,7 +149,7 @@
         requests.push_back(request);
         connectionNumbers.push_back(number);
         reply = script(static_cast<int>(requests.size()), request);
-        if (reply.hangs) hungSocket = kept;
+        if (reply.hangs) hungSocket = sharedSocket;
       }
       hadFault = reply.fault != Fault::None;
       if (!co_await send(socket, reply) || reply.closes) break;
@@ -159,9 +160,9 @@
       }
       if (early) {
         while (!mayReadBody) co_await pauseFor(1ms);
-        co_await asio::async_read(socket, asio::dynamic_buffer(held), into(code));
+        co_await asio::async_read(socket, asio::dynamic_buffer(buffered), into(code));
         std::lock_guard lock(mutex);
-        trailingBytes += held;
+        trailingBytes += buffered;
         break;
       }
     }
@@ -187,9 +188,9 @@
     std::lock_guard lock(mutex);
     return requests;
   }
-  void setScript(Script next) {
+  void setScript(Script newScript) {
     std::lock_guard lock(mutex);
-    script = std::move(next);
+    script = std::move(newScript);
   }
 };
 
