--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -74,17 +74,17 @@
   // Tokens that are fetched need no prefill.
   const auto again = fleet.place("rules:13312,c:4096");
   REQUIRE(again);
-  std::uint64_t unread = 0;
+  std::uint64_t pendingPrefill = 0;
   for (const ServerOutstanding& row : fleet.placement.ownOutstanding())
-    unread += row.outstanding.pendingPrefillTokens;
-  CHECK(unread == 4096);
+    pendingPrefill += row.outstanding.pendingPrefillTokens;
+  CHECK(pendingPrefill == 4096);
 }
 
 TEST_CASE("choice: an unknown prefix goes to its home, and elsewhere with the home as source") {
-  Fleet known(5), other(5);
-  const ServerName home = known.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  Fleet first(5), second(5);
+  const ServerName home = first.placeAndRelease("rules:13312,a:64").chosenServer.name;
   // Another daemon, which does not know the requests of the first.
-  CHECK(other.placeAndRelease("rules:13312,b:64").chosenServer.name == home);
+  CHECK(second.placeAndRelease("rules:13312,b:64").chosenServer.name == home);
   Fleet third(5);
   third.reportFleetLoad(home, 900000);
   const PlacementResult away = third.placeAndRelease("rules:13312,c:4096");
