--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -145,10 +145,10 @@
       arrivalsInCase = runs = 0;
     }
     const std::string id = "r" + number;
-    const int brokenBefore = faultyClosed();
+    const int faultyBefore = faultyClosed();
     ParsedResponse answer = parseResponse(post(nextCase.route.prefix, id), "X-Id", "X-Seal");
     // Waits until the faulty connection is closed, so that the next case does not reuse it.
-    if (nextCase.fault != Fault::None) eventually([&] { return faultyClosed() > brokenBefore; });
+    if (nextCase.fault != Fault::None) eventually([&] { return faultyClosed() > faultyBefore; });
     std::lock_guard lock(caseMutex);
     checkResponse(nextCase, id, answer);
     return answer;
