--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -123,8 +123,8 @@
   }
   // Sends `text` and returns everything received until the other end closes.
   static std::string exchange(const Address& to, const std::string& text) {
-    asio::io_context own;
-    Tcp::socket socket(own);
+    asio::io_context callerIo;
+    Tcp::socket socket(callerIo);
     ErrorCode code;
     socket.connect(endpointOf(to), code);
     asio::write(socket, asio::buffer(text), code);
