--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -25,8 +25,8 @@
     Instant headReadAt{};
     // The time until which the response may start (see Relay::startDeadline).
     std::function<Instant()> startDeadline = [] { return Instant::max(); };
-    // isOutdated: the response can no longer start, because the weights were superseded too long
-    // ago.
+    // hasStarted: the first event was forwarded. isOutdated: the response may no longer start,
+    // because the weights were superseded too long ago.
     bool hasStarted = false, expired = false, isOutdated = false;
     // The deadline has passed, and bytes received before it are processed first.
     bool isDeferred = false;
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -66,13 +66,13 @@
 void ConnectionPool::returnIdle(const ServerName& server,
                                 std::unique_ptr<ServerConnection> connection,
                                 std::optional<Span> keepFor, Instant now) {
-  const Span kept = keepFor ? *keepFor - kIdleMargin : idleSpan_;
+  const Span kept = keepFor ? *keepFor - kIdleMargin : idleTimeout_;
   if (kept <= Span{} || connection->buffer.size() > 0) return;
   connection->usableUntil = now + kept;
   ++connection->responsesRead;
   auto& row = idle_[server];
   row.push_back(std::move(connection));
-  if (row.size() > mostIdle_) row.pop_front();
+  if (row.size() > maxIdle_) row.pop_front();
 }
 
 void ConnectionPool::closeExpired(Instant now) {
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -29,7 +29,7 @@
   // `maxIdle`: how many idle connections to keep per server. `idleTimeout`: how long to keep one if
   // the server does not specify a time.
   ConnectionPool(asio::io_context& io, std::size_t maxIdle, Span idleTimeout)
-      : io_(io), mostIdle_(maxIdle), idleSpan_(idleTimeout) {}
+      : io_(io), maxIdle_(maxIdle), idleTimeout_(idleTimeout) {}
 
   // Returns the most recently used idle connection that the other end has neither closed nor sent
   // data on, or nullptr. Skips a connection whose last response was to `request`: a late duplicate
@@ -49,8 +49,8 @@
 
  private:
   asio::io_context& io_;
-  std::size_t mostIdle_;
-  Span idleSpan_;
+  std::size_t maxIdle_;
+  Span idleTimeout_;
   std::uint64_t opened_ = 0;
   // Least recently used first; at most maxIdle_ per server.
   std::map<ServerName, std::list<std::unique_ptr<ServerConnection>>> idle_;
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -48,7 +48,7 @@
       ++batch.repeated;
     } else {
       if (id) lastId_ = *id;
-      if (id || hasData(event)) isPlaced_ = id.has_value();
+      if (id || hasData(event)) canResume_ = id.has_value();
       batch.bytes.append(event);
       ++batch.events;
     }
--- a/src/relay/event_splitter.h
+++ b/src/relay/event_splitter.h
@@ -26,14 +26,14 @@
   std::optional<std::uint64_t> lastId() const { return lastId_; }
   // False if an event with data but without an id was returned after the newest id. The position in
   // the stream is then unknown, so another server could not continue it.
-  bool canResume() const { return isPlaced_; }
+  bool canResume() const { return canResume_; }
   // The bytes after the last whole event. If the response ends with any, they are not a whole
   // event.
   const std::string& rest() const { return rest_; }
 
  private:
   std::optional<std::uint64_t> lastId_;
-  bool isPlaced_ = true;
+  bool canResume_ = true;
   std::string rest_;  // contains no whole event
 };
 
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -7,12 +7,14 @@
 
 // The stages of a graceful shutdown. Their order is the same for any grace period.
 struct LeaveSchedule {
-  Instant rejectFrom{};  // requests read from now on are rejected without being run, as they might
-                         // not finish in time
-  Instant earliestExit{};  // not earlier, so that late callers get a rejection instead of a
-                           // connection reset
-  Instant abortAt{};       // requests still running get a final response now
-  Instant exitBy{};        // callers that have not read that response by now will not get it
+  // Requests read from now on are rejected without being run, as they might not finish in time.
+  Instant rejectFrom{};
+  // Not earlier, so that late callers get a rejection instead of a connection reset.
+  Instant earliestExit{};
+  // Requests still running get a final response now.
+  Instant abortAt{};
+  // Callers that have not read that response by now will not get it.
+  Instant exitBy{};
 };
 
 // `grace`: the time between the signal and the forced kill, of any length.
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -59,11 +59,15 @@
   Instant requestStartedAt{};        // when the first byte of the current request was read
   bool isDisconnectWatched = false;  // a wait for the caller's disconnect is pending
   bool staysOpen = true;             // stays open after the current response
-  bool isAwaitingResponse = false;   // a whole request was read and its response is not complete
-  bool isDisconnected = false;       // it closed or half-closed while a response was pending
-  bool mayAbort = false;             // the current request may be aborted if the caller disconnects
+  // A whole request was read, and its response is not complete.
+  bool isAwaitingResponse = false;
+  // The caller closed or half-closed the connection while a response was pending.
+  bool isDisconnected = false;
+  // The current request may be aborted if the caller disconnects.
+  bool mayAbort = false;
   std::function<void()>
-      abortAttempt;  // while a server has the request: closes the connection to that server
+      // Set while a server has the request: closes the connection to that server.
+      abortAttempt;
 };
 
 // What has been sent to the caller so far, over all attempts.
--- a/src/relay/response_owner.h
+++ b/src/relay/response_owner.h
@@ -10,10 +10,12 @@
 
 // The relation of a response to the request that was sent last on its connection.
 enum class ResponseOwner {
-  Request,       // has the request's id; or neither has an id and the connection is fresh
-  Unidentified,  // has no id, but is the first response on a connection that carried no other
-                 // request
-  Other,         // belongs to another request, or to an unknown one
+  // Has the request's id; or neither has an id and the connection is fresh.
+  Request,
+  // Has no id, but is the first response on a connection that carried no other request.
+  Unidentified,
+  // Belongs to another request, or to an unknown one.
+  Other,
   // Two heads are merged into one. The request's own response may be part of it, but cannot be
   // recovered.
   Malformed,
