--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -212,9 +212,8 @@
     // Unique over all trees, including those of a server that is removed and listed again. Tickets
     // of another generation are void.
     std::uint64_t treeGeneration = 0;
-    std::uint64_t firstGeneration =
-        // The first generation of this row; older tickets belong to a row that was removed.
-        0;
+    // The first generation of this row; older tickets belong to a row that was removed.
+    std::uint64_t firstGeneration = 0;
     ServerLoad load;           // outstanding requests
     Instant loadReportedAt{};  // when a response last reported the load
     std::uint64_t eventPosition = 0;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -65,9 +65,8 @@
   bool isDisconnected = false;
   // The current request may be aborted if the caller disconnects.
   bool mayAbort = false;
-  std::function<void()>
-      // Set while a server has the request: closes the connection to that server.
-      abortAttempt;
+  // Set while a server has the request: closes the connection to that server.
+  std::function<void()> abortAttempt;
 };
 
 // What has been sent to the caller so far, over all attempts.
@@ -100,12 +99,10 @@
   std::string detail;
   // From the start of the attempt to the first event.
   Span timeToFirstEvent{};
-  std::optional<HttpResponse>
-      // The server's complete error response, in case it has to be forwarded to the caller.
-      failure{};
-  bool retrySameServer =
-      // The request may be sent to the same server again, because the server said what it expects.
-      false;
+  // The server's complete error response, in case it has to be forwarded to the caller.
+  std::optional<HttpResponse> failure{};
+  // The request may be sent to the same server again, because the server said what it expects.
+  bool retrySameServer = false;
   bool isUnreachable = false;       // no connection could be established
   bool isRetryBudgetSpent = false;  // the attempt was a retry that the budget did not allow
 };
