--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -1,4 +1,4 @@
-// The choice of a server for one request, and of the source of what that server lacks.
+// Chooses the server for a request, and the source for the cache that this server lacks.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -10,46 +10,46 @@
 namespace quayrill {
 
 namespace {
-// Ours: a server over this much above the mean loses the pull of its match.
+// A server whose load exceeds the mean by this much is over the cap: its match does not count.
 constexpr double kSpreadMargin = 0.35;
-// Ours: loads from which on a server is over the spread rule's cap, whatever the mean.
-constexpr double kCapped = 1.5;
-// Ours: a fetch costs a fixed part and a part per token; prefill costs per token.
+// A server with at least this load is over the cap, whatever the mean.
+constexpr double kOverCapLoad = 1.5;
+// Cost model: a fetch has a fixed cost and a cost per token; prefill has a cost per token.
 constexpr double kFetchFixedMicros = 8000, kFetchTokenMicros = 4, kPrefillTokenMicros = 25;
-// The same, in tokens that could be read meanwhile.
+// The cost of a fetch expressed in tokens of prefill.
 constexpr double kFetchFixedTokens = kFetchFixedMicros / kPrefillTokenMicros;
 constexpr double kFetchTokenShare = kFetchTokenMicros / kPrefillTokenMicros;
-// Ours: loads from which on a server is full; the first for tenants over their share.
-constexpr double kFullOverShare = 1.5, kFull = 2.0;
-// Ours: loads within one step tie, and so do expected reads.
-constexpr double kLoadStep = 0.25, kExpectedStep = 9000;
-// Ours: what is read for weights that are about to be replaced is read again soon.
-constexpr double kOldWeightsShare = 0.5;
-// Ours: what a copy at a second server costs, in tokens, beside the time of its fetch: it takes the
-// room of another prompt's, which is then read again.
-constexpr double kCopyTokens = 6000;
-// Ours: a request with as much to read waits for half of what waits.
-constexpr double kPassedTokens = 30000;
-// Ours: tokens that each slot's worth of requests beyond all slots counts for.
-constexpr double kWaitingTokens = 20000;
+// A server is full from this load on. The first value applies to tenants over their share.
+constexpr double kFullLoadOverShare = 1.5, kFullLoad = 2.0;
+// Loads within the same step are considered equal, and so are expected prefill tokens.
+constexpr double kLoadStep = 0.25, kExpectedTokensStep = 9000;
+// Prefill for weights that are about to be replaced soon has to be repeated.
+constexpr double kOldWeightsPenalty = 0.5;
+// The cost of a copy at a second server, in tokens, in addition to the time of the fetch: it evicts
+// another prompt, which then needs prefill again.
+constexpr double kCopyCostTokens = 6000;
+// A request with this many tokens to prefill waits for half of the pending prefill.
+constexpr double kUrgencyHalfTokens = 30000;
+// A queue as long as the number of slots counts as this many tokens.
+constexpr double kQueueCostTokens = 20000;
 
-// All daemons break a tie by the same name, so that one prefix gathers on one server fleet-wide.
-// The last part is a prompt's own.
-std::uint64_t tieNameOf(const PromptPrefix& prefix) {
-  std::uint64_t name = 1;
+// The seed for breaking ties. It is the same on all daemons, so that a prefix gathers on one server
+// fleet-wide. Excludes the last part, which is specific to one prompt.
+std::uint64_t tieSeedOf(const PromptPrefix& prefix) {
+  std::uint64_t seed = 1;
   const std::size_t shared =
       prefix.parts.size() > 1 ? prefix.parts.size() - 1 : prefix.parts.size();
   for (std::size_t i = 0; i < shared; ++i)
-    name = combineHashes(name, stableHash(prefix.parts[i].id));
-  return name;
+    seed = combineHashes(seed, stableHash(prefix.parts[i].id));
+  return seed;
 }
 
-std::uint64_t tieOf(const ServerName& server, std::uint64_t tieName) {
-  return combineHashes(stableHash(server.value), tieName);
+std::uint64_t tieRank(const ServerName& server, std::uint64_t tieSeed) {
+  return combineHashes(stableHash(server.value), tieSeed);
 }
 
-// The last part is a prompt's own, or its session's.
-std::size_t sharedTokensOf(const PromptPrefix& prefix) {
+// Excludes the last part, which is specific to one prompt or session.
+std::size_t sharedPrefixTokens(const PromptPrefix& prefix) {
   std::size_t tokens = 0;
   for (std::size_t i = 0; i + 1 < prefix.parts.size(); ++i) tokens += prefix.parts[i].tokens;
   return tokens;
@@ -60,33 +60,36 @@
 }
 }  // namespace
 
-std::vector<Placement::Option> Placement::optionsFor(const PlacementAsked& asked,
+std::vector<Placement::Option> Placement::optionsFor(const PlacementRequest& request,
                                                      const std::vector<Token>& blocks) {
   std::vector<Option> options;
   std::map<Token, std::shared_ptr<const std::vector<Token>>> paths;
-  for (auto& [name, row] : rows_) {
+  for (auto& [name, row] : servers_) {
     const ServerState& state = row.state;
-    if (!state.healthy || state.leaving || state.switching || asked.avoid.contains(name)) continue;
-    if (asked.mayUse && !asked.mayUse(state)) continue;
-    if (!asked.service.value.empty() && state.service != asked.service) continue;
-    if (state.model != asked.model && !(asked.model.value.empty() && !asked.service.value.empty()))
+    if (!state.healthy || state.leaving || state.switching || request.avoid.contains(name))
       continue;
-    const Token number = nameSpace(state, asked);
+    if (request.isAllowed && !request.isAllowed(state)) continue;
+    if (!request.service.value.empty() && state.service != request.service) continue;
+    if (state.model != request.model &&
+        !(request.model.value.empty() && !request.service.value.empty()))
+      continue;
+    const Token number = namespaceFor(state, request);
     auto& path = paths[number];
     if (!path) path = std::make_shared<const std::vector<Token>>(pathFor(number, blocks));
     options.push_back({&row, path, {name}});
   }
-  // The salts of this request are known by now.
-  placeParts(asked.prefix);
+  // After the loop above, the namespaces of this request exist.
+  applyPendingParts(request.prefix);
   for (Option& option : options) {
-    const std::size_t runs = option.row->tree.peekPrefix(*option.path);
-    option.candidate.matchedTokens = runs > 1 ? (runs - 1) * settings_.blockTokens : 0;
-    option.candidate.load = loadOf(*option.row);
+    const std::size_t matchedBlocks = option.row->tree.peekPrefix(*option.path);
+    option.candidate.matchedTokens =
+        matchedBlocks > 1 ? (matchedBlocks - 1) * settings_.blockTokens : 0;
+    option.candidate.load = currentLoad(*option.row);
   }
   return options;
 }
 
-void Placement::noteNewest(std::vector<Option>& options) const {
+void Placement::markNewest(std::vector<Option>& options) const {
   std::map<ModelName, WeightsVersion> newest;
   for (const Option& option : options) {
     const ServerState& state = option.row->state;
@@ -102,7 +105,7 @@
   }
 }
 
-void Placement::noteCapped(std::vector<Option>& options) const {
+void Placement::markCapped(std::vector<Option>& options) const {
   double loadSum = 0;
   for (const Option& option : options) loadSum += option.candidate.load;
   const double mean = loadSum / static_cast<double>(options.size());
@@ -112,85 +115,88 @@
                              ? mean * settings_.spreadFactor + settings_.spreadRequests / slots
                              : mean + kSpreadMargin;
     option.candidate.capped =
-        isEnabled(Mechanism::SpreadBound) && option.candidate.load >= std::min(kCapped, bound);
+        isEnabled(Mechanism::SpreadBound) && option.candidate.load >= std::min(kOverCapLoad, bound);
   }
 }
 
-// The most of this prompt that is known to be kept, by weights, and the server where a prefix
-// gathers that nothing is known of: the same whichever weights it has, so that while weights
-// change, load moves to the newest as servers do.
-Placement::Sources Placement::sourcesOf(const std::vector<Option>& options,
-                                        const PromptPrefix& prefix) const {
-  const std::uint64_t tieName = tieNameOf(prefix);
+// Finds the longest known match by weights, and the home server of the prefix: the server that is
+// used when no match is known. The home does not depend on weights, so that during a rollout load
+// moves to the newest weights along with the servers.
+Placement::PromptHolders Placement::findHolders(const std::vector<Option>& options,
+                                                const PromptPrefix& prefix) const {
+  const std::uint64_t tieSeed = tieSeedOf(prefix);
   const bool hasHome = isEnabled(Mechanism::PrefixHome) && !prefix.parts.empty();
-  Sources sources;
+  PromptHolders holders;
   std::uint64_t highest = 0;
   for (const Option& option : options) {
-    std::size_t& most = sources.mostHeld[option.row->state.weights];
+    std::size_t& most = holders.longestMatch[option.row->state.weights];
     most = std::max(most, option.candidate.matchedTokens);
-    const std::uint64_t tie = tieOf(option.candidate.server, tieName);
-    if (!hasHome || (sources.home && tie <= highest)) continue;
+    const std::uint64_t tie = tieRank(option.candidate.server, tieSeed);
+    if (!hasHome || (holders.homeServer && tie <= highest)) continue;
     highest = tie;
-    sources.home = option.row;
+    holders.homeServer = option.row;
   }
-  return sources;
+  return holders;
 }
 
-// Tokens of the prompt that a server has to read, and what a fetch costs it, as far as can be
-// expected. Where nothing is known of a prefix, its home is taken to keep it: others placed it
-// there.
-double Placement::expectedOwn(const Option& option, const Sources& sources, double prompt,
-                              double shared) const {
+// Estimates the tokens that a server has to prefill for this request, including the cost of a
+// fetch. If no match for the prefix is known, assumes that its home server has it cached, because
+// the other daemons place it there.
+double Placement::ownPrefillTokens(const Option& option, const PromptHolders& holders,
+                                   double prompt, double shared) const {
   const auto matched = static_cast<double>(option.candidate.matchedTokens);
-  const auto held = static_cast<double>(sources.mostHeld.at(option.row->state.weights));
+  const auto cached = static_cast<double>(holders.longestMatch.at(option.row->state.weights));
   double own = prompt - matched;
   if (isEnabled(Mechanism::PeerFetch))
-    own = std::min(own, prompt - held + kCopyTokens + kFetchTokenShare * (held - matched));
-  const bool isUnknown = held < shared && matched < shared;
-  if (isUnknown && sources.home == option.row) own = std::min(own, prompt - shared);
+    own = std::min(own, prompt - cached + kCopyCostTokens + kFetchTokenShare * (cached - matched));
+  const bool isUnknown = cached < shared && matched < shared;
+  if (isUnknown && holders.homeServer == option.row) own = std::min(own, prompt - shared);
   return own;
 }
 
-// What is read before the first token of this request, on each server: what waits there, and what
-// of the prompt neither it keeps nor a peer can give.
-void Placement::noteExpected(std::vector<Option>& options, const Sources& sources,
-                             const PromptPrefix& prefix, std::size_t promptTokens,
-                             Instant now) const {
-  const auto shared = static_cast<double>(wholeBlocks(sharedTokensOf(prefix)));
+// Estimates, for each server, the tokens to prefill before the first token of this request: those
+// already pending there, and those of this prompt that neither the server nor a peer has cached.
+void Placement::estimatePrefill(std::vector<Option>& options, const PromptHolders& holders,
+                                const PromptPrefix& prefix, std::size_t promptTokens,
+                                Instant now) const {
+  const auto shared = static_cast<double>(wholeBlocks(sharedPrefixTokens(prefix)));
   for (Option& option : options) {
     Candidate& candidate = option.candidate;
-    double own = expectedOwn(option, sources, static_cast<double>(promptTokens), shared);
+    double own = ownPrefillTokens(option, holders, static_cast<double>(promptTokens), shared);
     if (!candidate.isNewest && isEnabled(Mechanism::PreferNewestWeights))
-      own *= 1 + kOldWeightsShare;
-    candidate.unreadTokens = option.row->load.unreadTokens(now);
-    // The less there is to read, the more urgent the request: it passes most of what waits.
-    const double waited = isEnabled(Mechanism::Urgency)
-                              ? candidate.unreadTokens * own / (own + kPassedTokens)
-                              : candidate.unreadTokens;
-    candidate.expectedTokens = waited + own + kWaitingTokens * std::max(0.0, candidate.load - 1);
+      own *= 1 + kOldWeightsPenalty;
+    candidate.pendingPrefillTokens = option.row->load.pendingPrefillTokens(now);
+    // Servers prefill short prompts first, so a request with few tokens to prefill overtakes most
+    // of the pending prefill.
+    const double pendingAhead = isEnabled(Mechanism::Urgency) ? candidate.pendingPrefillTokens *
+                                                                    own / (own + kUrgencyHalfTokens)
+                                                              : candidate.pendingPrefillTokens;
+    candidate.expectedTokens =
+        pendingAhead + own + kQueueCostTokens * std::max(0.0, candidate.load - 1);
   }
 }
 
-std::vector<Placement::Option> Placement::usable(const std::vector<Option>& options, bool overShare,
-                                                 Instant now) const {
-  // A server with twice its slots waiting would only let the request age in its queue. The last
-  // places of that queue are for tenants that hold no more than their share.
-  std::vector<Option> left = options;
-  const double full = overShare ? kFullOverShare : kFull;
-  std::erase_if(left, [&](const Option& option) {
-    return std::max(option.candidate.load, fullnessOf(*option.row)) >= full;
+std::vector<Placement::Option> Placement::filterUsable(const std::vector<Option>& options,
+                                                       bool isOverShare, Instant now) const {
+  // At a server with twice its slots in use or waiting, the request would only age in the queue.
+  // The last places of the queue are reserved for tenants within their share.
+  std::vector<Option> remaining = options;
+  const double full = isOverShare ? kFullLoadOverShare : kFullLoad;
+  std::erase_if(remaining, [&](const Option& option) {
+    return std::max(option.candidate.load, extrapolatedLoad(*option.row)) >= full;
   });
   const auto isAvoided = [&](const Option& option) { return now < option.row->avoidUntil; };
-  if (!std::all_of(left.begin(), left.end(), isAvoided)) std::erase_if(left, isAvoided);
-  return left;
+  if (!std::all_of(remaining.begin(), remaining.end(), isAvoided))
+    std::erase_if(remaining, isAvoided);
+  return remaining;
 }
 
-const Placement::Option& Placement::chooseByExpected(const std::vector<Option>& usable,
-                                                     std::uint64_t tieName) const {
+const Placement::Option& Placement::chooseByExpectedPrefill(const std::vector<Option>& usable,
+                                                            std::uint64_t tieSeed) const {
   const auto rank = [&](const Candidate& candidate) {
-    return std::make_tuple(-std::floor(candidate.expectedTokens / kExpectedStep),
+    return std::make_tuple(-std::floor(candidate.expectedTokens / kExpectedTokensStep),
                            candidate.matchedTokens, -std::floor(candidate.load / kLoadStep),
-                           tieOf(candidate.server, tieName));
+                           tieRank(candidate.server, tieSeed));
   };
   return *std::max_element(usable.begin(), usable.end(),
                            [&](const Option& left, const Option& right) {
@@ -206,9 +212,9 @@
   }
   const bool byMatch = comparesMatches();
   const bool hasHome = byMatch && isEnabled(Mechanism::PrefixHome) && !prefix.parts.empty();
-  const std::uint64_t tieName = hasHome ? tieNameOf(prefix) : ++nextTurn_;
+  const std::uint64_t tieSeed = hasHome ? tieSeedOf(prefix) : ++nextTurn_;
   if (comparesExpected()) {
-    const Option& chosen = chooseByExpected(usable, tieName);
+    const Option& chosen = chooseByExpectedPrefill(usable, tieSeed);
     *reason = chosen.candidate.matchedTokens > 0 ? "least expected read, longest match"
                                                  : "least expected read, tie by prefix";
     return chosen;
@@ -216,14 +222,15 @@
   const auto rank = [&](const Candidate& candidate) {
     const std::size_t match = byMatch && !candidate.capped ? candidate.matchedTokens : 0;
     const double load = byMatch ? std::floor(candidate.load / kLoadStep) : candidate.load;
-    // Bounded: those over the cap come last, the least loaded of them first.
+    // With a spread bound, servers over the cap rank last, the least loaded of them first.
     const bool isBounded = settings_.spreadRequests > 0;
     const bool isUnder = isBounded && !candidate.capped;
-    const double shown = !isBounded ? load : isUnder ? 0 : candidate.load;
-    // What must be read anew is best read for the weights that stay.
+    const double rankedLoad = !isBounded ? load : isUnder ? 0 : candidate.load;
+    // If the prompt needs prefill anyway, prefer the weights that will stay.
     const bool isNewest =
         isBounded && candidate.isNewest && isEnabled(Mechanism::PreferNewestWeights);
-    return std::make_tuple(isUnder, match, isNewest, -shown, tieOf(candidate.server, tieName));
+    return std::make_tuple(isUnder, match, isNewest, -rankedLoad,
+                           tieRank(candidate.server, tieSeed));
   };
   const Option& chosen =
       *std::max_element(usable.begin(), usable.end(), [&](const Option& left, const Option& right) {
@@ -234,84 +241,90 @@
   return chosen;
 }
 
-// A source must hold more, under the same weights; its salt is the request's by construction.
-void Placement::nameSource(Placed& placed, const Option& chosen, const std::vector<Option>& options,
-                           const Row* home, const PromptPrefix& prefix, Instant now) const {
+// A source must have more of the prompt cached under the same weights. Its salt matches by
+// construction, because the path contains it.
+void Placement::chooseFetchSource(PlacementResult& placed, const Option& chosen,
+                                  const std::vector<Option>& options, const ServerRow* homeServer,
+                                  const PromptPrefix& prefix, Instant now) const {
   for (const Option& option : options) {
     if (!isEnabled(Mechanism::PeerFetch) || option.row == chosen.row) continue;
     if (option.row->state.weights != chosen.row->state.weights) continue;
-    const std::size_t held = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
-    const std::size_t holds = option.candidate.matchedTokens;
-    if (holds > held)
-      placed.source = FetchSource{option.candidate.server, option.row->state.identity, holds};
+    const std::size_t best = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
+    const std::size_t offered = option.candidate.matchedTokens;
+    if (offered > best)
+      placed.source = FetchSource{option.candidate.server, option.row->state.identity, offered};
   }
-  const bool isWorth =
+  const bool isWorthwhile =
       placed.source &&
       isWorthFetching(static_cast<double>(placed.source->matchedTokens - placed.matchedTokens));
-  if (!isWorth) placed.source.reset();
-  placed.worthFetching =
+  if (!isWorthwhile) placed.source.reset();
+  placed.isFetchWorthwhile =
       isWorthFetching(static_cast<double>(placed.promptTokens - placed.matchedTokens));
   if (placed.source) {
     placed.fetchFrom = Address{placed.source->server.value};
     return;
   }
-  const std::size_t shared = wholeBlocks(sharedTokensOf(prefix));
-  const bool isRead = placed.matchedTokens < shared;
-  // Where the other daemons placed this prefix, as far as nothing is known of it.
-  const bool isSource = home && isRead && isEnabled(Mechanism::HomeFetch) && home != chosen.row &&
-                        home->state.weights == chosen.row->state.weights && now >= home->avoidUntil;
-  if (isSource) placed.fetchFrom = Address{home->state.name.value};
-  if (store_.value.empty() || !storeUp_) return;
-  // What the estimate takes for held may have been evicted: a source that has no more costs next
-  // to nothing, reading the part again costs much. Shared parts that are to be read are kept.
-  if (!isSource && isEnabled(Mechanism::StoreFetch)) placed.fetchFrom = store_;
-  const std::size_t kept = storeRow_.tree.peekPrefix(*chosen.path);
-  if (isRead && kept < shared / settings_.blockTokens + 1 && isEnabled(Mechanism::StoreWrite))
-    placed.keepAt = store_;
+  const std::size_t shared = wholeBlocks(sharedPrefixTokens(prefix));
+  const bool needsPrefill = placed.matchedTokens < shared;
+  // If nothing else is known of this prefix, assumes that the other daemons placed it at its home
+  // server.
+  const bool usesHomeServer =
+      homeServer && needsPrefill && isEnabled(Mechanism::HomeFetch) && homeServer != chosen.row &&
+      homeServer->state.weights == chosen.row->state.weights && now >= homeServer->avoidUntil;
+  if (usesHomeServer) placed.fetchFrom = Address{homeServer->state.name.value};
+  if (store_.value.empty() || !isStoreReachable_) return;
+  // The estimate may count cache that isEnabled been evicted since. Asking a source that isEnabled
+  // no more costs almost nothing, while prefill costs much. Shared parts that need prefill are
+  // written to the store.
+  if (!usesHomeServer && isEnabled(Mechanism::StoreFetch)) placed.fetchFrom = store_;
+  const std::size_t stored = storeRow_.tree.peekPrefix(*chosen.path);
+  if (needsPrefill && stored < shared / settings_.blockTokens + 1 &&
+      isEnabled(Mechanism::StoreWrite))
+    placed.storeTo = store_;
 }
 
-Ticket Placement::lockPath(const Option& chosen, std::uint64_t unreadTokens, Instant now) {
-  Row& row = *chosen.row;
+Ticket Placement::lockPath(const Option& chosen, std::uint64_t pendingPrefillTokens, Instant now) {
+  ServerRow& row = *chosen.row;
   const std::vector<Token>& path = *chosen.path;
   const std::size_t before = row.tree.peekPrefix(path);
   const PrefixInsert inserted =
       row.tree.insert(path, std::vector<BlockValue>(path.begin(), path.end()));
   if (isEnabled(Mechanism::PathLocks)) row.tree.lock(inserted.node);
-  row.load.onPlaced(unreadTokens, now);
-  tickets_[++lastTicket_] = {row.state.name, row.treeLife,         inserted.node,
-                             path,           before < path.size(), unreadTokens};
-  keepBudget(row);
+  row.load.onRequestPlaced(pendingPrefillTokens, now);
+  tickets_[++lastTicket_] = {row.state.name, row.treeGeneration,   inserted.node,
+                             path,           before < path.size(), pendingPrefillTokens};
+  enforceCapacity(row);
   return lastTicket_;
 }
 
-std::optional<Placed> Placement::place(const PlacementAsked& asked, Instant now) {
-  const std::vector<Token> blocks = prefixBlocks(asked.prefix, settings_.blockTokens);
-  noteChain(asked.prefix);
-  std::vector<Option> options = optionsFor(asked, blocks);
+std::optional<PlacementResult> Placement::place(const PlacementRequest& request, Instant now) {
+  const std::vector<Token> blocks = prefixBlocks(request.prefix, settings_.blockTokens);
+  recordPartChain(request.prefix);
+  std::vector<Option> options = optionsFor(request, blocks);
   if (options.empty()) return std::nullopt;
-  Placed placed;
+  PlacementResult placed;
   placed.promptTokens = blocks.size() * settings_.blockTokens;
-  noteNewest(options);
-  Sources sources;
-  if (settings_.byExpectedRead) {
-    sources = sourcesOf(options, asked.prefix);
-    noteExpected(options, sources, asked.prefix, placed.promptTokens, now);
+  markNewest(options);
+  PromptHolders holders;
+  if (settings_.byExpectedPrefill) {
+    holders = findHolders(options, request.prefix);
+    estimatePrefill(options, holders, request.prefix, placed.promptTokens, now);
   }
-  if (!comparesExpected()) noteCapped(options);
-  const std::vector<Option> left = usable(options, asked.overShare, now);
-  if (left.empty()) return std::nullopt;
-  const Option& chosen = choose(left, asked.prefix, &placed.reason);
+  if (!comparesExpected()) markCapped(options);
+  const std::vector<Option> usable = filterUsable(options, request.isOverShare, now);
+  if (usable.empty()) return std::nullopt;
+  const Option& chosen = choose(usable, request.prefix, &placed.reason);
   placed.matchedTokens = chosen.candidate.matchedTokens;
   placed.chosenServer = chosen.row->state;
   placed.chosen = chosen.candidate;
-  placed.leastExpected = chosen.candidate.expectedTokens;
+  placed.minExpectedTokens = chosen.candidate.expectedTokens;
   for (const Option& option : options) {
     placed.candidates.push_back(option.candidate);
-    placed.leastExpected = std::min(placed.leastExpected, option.candidate.expectedTokens);
+    placed.minExpectedTokens = std::min(placed.minExpectedTokens, option.candidate.expectedTokens);
   }
-  nameSource(placed, chosen, options, sources.home, asked.prefix, now);
-  const std::size_t given = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
-  placed.ticket = lockPath(chosen, placed.promptTokens - given, now);
+  chooseFetchSource(placed, chosen, options, holders.homeServer, request.prefix, now);
+  const std::size_t available = placed.source ? placed.source->matchedTokens : placed.matchedTokens;
+  placed.ticket = lockPath(chosen, placed.promptTokens - available, now);
   return placed;
 }
 
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -7,49 +7,50 @@
 namespace quayrill {
 
 namespace {
-// Ours: salts (times models and weights) that one tenant's prompts are remembered under.
-constexpr std::size_t kNameSpacesOfTenant = 512;
-constexpr double kMostDaemons = 16;
-// Ours: answers told a load as long ago as this say nothing of it now.
-constexpr Duration kHeaderSpan = std::chrono::seconds(2);
-// Ours: how long others go before a server that failed once, and one that turned a request away.
-constexpr Duration kAvoidSpan = std::chrono::milliseconds(800);
-constexpr Duration kRefusalSpan = std::chrono::milliseconds(250);
+// Bounds the namespaces (salts times models and weights) that are indexed for one tenant.
+constexpr std::size_t kMaxNamespacesPerTenant = 512;
+// Bounds the factor by which load changes on this daemon are extrapolated to all daemons.
+constexpr double kMaxDaemonRatio = 16;
+// A load reported by a response is out of date after this time.
+constexpr Duration kHeaderLoadTtl = std::chrono::seconds(2);
+// How long other servers are preferred after a first failure, and after a rejected request.
+constexpr Duration kFailureBackoff = std::chrono::milliseconds(800);
+constexpr Duration kRejectionBackoff = std::chrono::milliseconds(250);
 
 }  // namespace
 
-std::string Placement::nameSpaceName(const ModelName& model, const WeightsVersion& weights,
-                                     const CacheSalt& wall) {
-  return model.value + '\0' + weights.value + '\0' + wall.value;
+std::string Placement::namespaceKey(const ModelName& model, const WeightsVersion& weights,
+                                    const CacheSalt& isolationSalt) {
+  return model.value + '\0' + weights.value + '\0' + isolationSalt.value;
 }
 
-Token Placement::nameSpace(const ServerState& state, const PlacementAsked& asked) {
-  const std::string name = nameSpaceName(state.model, state.weights, asked.salt);
-  if (const auto known = nameSpaces_.find(name); known != nameSpaces_.end()) {
-    known->second.lastUse = ++uses_;
+Token Placement::namespaceFor(const ServerState& state, const PlacementRequest& request) {
+  const std::string name = namespaceKey(state.model, state.weights, request.salt);
+  if (const auto known = namespaces_.find(name); known != namespaces_.end()) {
+    known->second.lastUse = ++useCounter_;
     return known->second.number;
   }
-  while (nameSpacesOf_[asked.tenant] >= kNameSpacesOfTenant) {
-    auto oldest = nameSpaces_.end();
-    for (auto row = nameSpaces_.begin(); row != nameSpaces_.end(); ++row) {
-      if (row->second.tenant == asked.tenant &&
-          (oldest == nameSpaces_.end() || row->second.lastUse < oldest->second.lastUse))
+  while (namespaceCounts_[request.tenant] >= kMaxNamespacesPerTenant) {
+    auto oldest = namespaces_.end();
+    for (auto row = namespaces_.begin(); row != namespaces_.end(); ++row) {
+      if (row->second.tenant == request.tenant &&
+          (oldest == namespaces_.end() || row->second.lastUse < oldest->second.lastUse))
         oldest = row;
     }
-    letGo(oldest->first);
+    removeNamespace(oldest->first);
   }
-  ++nameSpacesOf_[asked.tenant];
-  nameSpaces_[name] = {++lastNameSpace_, asked.tenant, ++uses_};
-  return lastNameSpace_;
+  ++namespaceCounts_[request.tenant];
+  namespaces_[name] = {++lastNamespaceNumber_, request.tenant, ++useCounter_};
+  return lastNamespaceNumber_;
 }
 
-void Placement::letGo(const std::string& name) {
-  const NameSpace row = nameSpaces_.at(name);
-  nameSpaces_.erase(name);
-  if (--nameSpacesOf_[row.tenant] == 0) nameSpacesOf_.erase(row.tenant);
-  // What is locked stays until eviction; its number leads nobody there.
-  for (auto& [server, held] : rows_) held.tree.prune(std::span(&row.number, 1));
-  storeRow_.tree.prune(std::span(&row.number, 1));
+void Placement::removeNamespace(const std::string& name) {
+  const CacheNamespace removed = namespaces_.at(name);
+  namespaces_.erase(name);
+  if (--namespaceCounts_[removed.tenant] == 0) namespaceCounts_.erase(removed.tenant);
+  // Locked paths stay until they are evicted, but no request can reach them by this number.
+  for (auto& [server, row] : servers_) row.tree.prune(std::span(&removed.number, 1));
+  storeRow_.tree.prune(std::span(&removed.number, 1));
 }
 
 std::vector<Token> Placement::pathFor(Token number, const std::vector<Token>& blocks) const {
@@ -58,100 +59,102 @@
   return path;
 }
 
-void Placement::dropTree(Row& row) {
+void Placement::dropTree(ServerRow& row) {
   row.tree = RadixTree(1);
-  row.treeLife = ++lastTreeLife_;
+  row.treeGeneration = ++lastTreeGeneration_;
 }
 
 void Placement::setServers(const std::vector<ServerState>& servers) {
   std::set<ServerName> listed;
   for (const ServerState& server : servers) {
     listed.insert(server.name);
-    const auto [entry, fresh] = rows_.try_emplace(server.name);
-    Row& row = entry->second;
+    const auto [entry, fresh] = servers_.try_emplace(server.name);
+    ServerRow& row = entry->second;
     if (fresh) {
       dropTree(row);
-      row.firstLife = row.treeLife;
+      row.firstGeneration = row.treeGeneration;
     }
     const bool known = !row.state.identity.value.empty();
-    const bool sameLife = known && row.state.identity == server.identity;
-    const bool older = sameLife && isOlderVersion(server.weights, row.state.weights) &&
+    const bool sameProcess = known && row.state.identity == server.identity;
+    const bool older = sameProcess && isOlderVersion(server.weights, row.state.weights) &&
                        row.state.model == server.model && versionNumber(server.weights);
-    if (known && server.healthy && (!sameLife || (row.state.weights != server.weights && !older))) {
+    if (known && server.healthy &&
+        (!sameProcess || (row.state.weights != server.weights && !older))) {
       dropTree(row);
       if (row.state.identity != server.identity) {
         row.eventPosition = 0;
-        row.eventLife.clear();
+        row.eventIncarnation.clear();
       }
     }
     const ServerState before = row.state;
     row.state = server;
-    // A list may show weights later than an answer did; those of one life never fall.
+    // The list may be older than a response. Within one identity, weights versions never decrease.
     if (older) row.state.weights = before.weights;
     if (known && server.identity == before.identity && server.polledAt < before.polledAt) {
-      row.state.running = before.running;  // what its answers showed is newer
+      row.state.running = before.running;  // responses have reported newer values
       row.state.queued = before.queued;
       row.state.polledAt = before.polledAt;
     }
-    if (!server.healthy && known) {  // keep what it last said of itself
+    if (!server.healthy && known) {  // keep its last known state
       row.state.identity = before.identity;
       row.state.weights = before.weights;
       row.state.cacheTokens = before.cacheTokens;
     }
   }
-  std::erase_if(rows_, [&](const auto& row) { return !listed.contains(row.first); });
+  std::erase_if(servers_, [&](const auto& row) { return !listed.contains(row.first); });
 }
 
-// The poll counts what all daemons sent; what this one sent and saw end since is added to it.
-double Placement::loadOf(const Row& row) const {
+// The polled load covers the requests of all daemons. Adds what this daemon has sent, and subtracts
+// what it has seen complete, since the poll.
+double Placement::currentLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double own = row.load.own().requests;
   const double since = own - row.load.ownAt(row.state.polledAt).requests;
   return std::max(polled + since, own) / std::max(1U, row.state.slots);
 }
 
-// The other daemons do as this one does, as far as it can know: what changed here since the poll is
-// taken for its share of what changed in all.
-double Placement::fullnessOf(const Row& row) const {
+// Extrapolates to other daemons, assuming that they behave like this one: divides the change on
+// this daemon since the poll by its share of the polled load.
+double Placement::extrapolatedLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double then = row.load.ownAt(row.state.polledAt).requests;
-  const double daemons = std::clamp(then > 0 ? polled / then : 1.0, 1.0, kMostDaemons);
+  const double daemons = std::clamp(then > 0 ? polled / then : 1.0, 1.0, kMaxDaemonRatio);
   const double since = row.load.own().requests - then;
   return (polled + since * daemons) / std::max(1U, row.state.slots);
 }
 
 std::vector<ServerOutstanding> Placement::ownOutstanding() const {
   std::vector<ServerOutstanding> own;
-  for (const auto& [name, row] : rows_) {
+  for (const auto& [name, row] : servers_) {
     if (row.load.own() != Outstanding{}) own.push_back({name, row.load.own()});
   }
   return own;
 }
 
-void Placement::noteFleet(const std::vector<ServerOutstanding>& fleet, Instant at) {
-  std::map<ServerName, Outstanding> told;
-  for (const ServerOutstanding& entry : fleet) told[entry.server] = entry.outstanding;
-  for (auto& [name, row] : rows_) {
-    const Outstanding& here = told[name];
-    row.load.onTold(here, at);
-    if (at - row.headerAt < kHeaderSpan) continue;
+void Placement::noteFleetLoad(const std::vector<ServerOutstanding>& fleet, Instant at) {
+  std::map<ServerName, Outstanding> reported;
+  for (const ServerOutstanding& entry : fleet) reported[entry.server] = entry.outstanding;
+  for (auto& [name, row] : servers_) {
+    const Outstanding& here = reported[name];
+    row.load.onFleetReport(here, at);
+    if (at - row.loadReportedAt < kHeaderLoadTtl) continue;
     row.state.running = here.requests;
     row.state.queued = 0;
     row.state.polledAt = at;
   }
 }
 
-void Placement::noteRead(Ticket ticket, Instant now) {
+void Placement::notePrefillDone(Ticket ticket, Instant now) {
   const auto entry = tickets_.find(ticket);
   if (entry == tickets_.end()) return;
-  Lock& lock = entry->second;
-  const auto row = rows_.find(lock.server);
-  if (row != rows_.end() && lock.treeLife >= row->second.firstLife)
-    row->second.load.onRead(lock.unreadTokens, now);
-  lock.unreadTokens = 0;
+  PathLock& lock = entry->second;
+  const auto row = servers_.find(lock.server);
+  if (row != servers_.end() && lock.treeGeneration >= row->second.firstGeneration)
+    row->second.load.onPrefillDone(lock.pendingPrefillTokens, now);
+  lock.pendingPrefillTokens = 0;
 }
 
-void Placement::keepBudget(Row& row) {
+void Placement::enforceCapacity(ServerRow& row) {
   const std::size_t budget =
       std::max<std::size_t>(1, row.state.cacheTokens / settings_.blockTokens);
   if (row.tree.size() > budget) row.tree.evict(row.tree.size() - budget, nullptr);
@@ -160,32 +163,32 @@
 void Placement::release(Ticket ticket, bool ran, Instant now) {
   const auto entry = tickets_.find(ticket);
   if (entry == tickets_.end()) return;
-  const Lock lock = entry->second;
+  const PathLock lock = entry->second;
   tickets_.erase(entry);
-  const auto row = rows_.find(lock.server);
-  if (row == rows_.end() || lock.treeLife < row->second.firstLife) return;
-  row->second.load.onEnded(lock.unreadTokens, now);
-  if (row->second.treeLife != lock.treeLife) return;
+  const auto row = servers_.find(lock.server);
+  if (row == servers_.end() || lock.treeGeneration < row->second.firstGeneration) return;
+  row->second.load.onRequestDone(lock.pendingPrefillTokens, now);
+  if (row->second.treeGeneration != lock.treeGeneration) return;
   if (isEnabled(Mechanism::PathLocks)) row->second.tree.unlock(lock.node);
   if (!ran && lock.inserted) row->second.tree.prune(lock.path);
-  keepBudget(row->second);
+  enforceCapacity(row->second);
 }
 
 void Placement::noteLoad(const ServerName& server, std::uint32_t running, std::uint32_t queued,
                          std::uint32_t slots, Instant now) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
   row->second.state.running = running;
   row->second.state.queued = queued;
   row->second.state.slots = std::max(1U, slots);
   row->second.state.polledAt = now;
-  row->second.headerAt = now;
+  row->second.loadReportedAt = now;
 }
 
 void Placement::noteWeights(const ServerName& server, const ServerIdentity& identity,
                             const WeightsVersion& weights) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end() || row->second.state.identity != identity) return;
+  const auto row = servers_.find(server);
+  if (row == servers_.end() || row->second.state.identity != identity) return;
   if (row->second.state.weights == weights) return;
   row->second.state.weights = weights;
   dropTree(row->second);
@@ -193,35 +196,35 @@
 
 void Placement::noteFailure(const ServerName& server, Instant now) {
   if (!isEnabled(Mechanism::FailureAvoidance)) return;
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
-  const std::uint32_t doubled = std::min(row->second.failures++, 3U);
-  row->second.avoidUntil = now + kAvoidSpan * (1 << doubled);
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
+  const std::uint32_t doublings = std::min(row->second.failures++, 3U);
+  row->second.avoidUntil = now + kFailureBackoff * (1 << doublings);
 }
 
-void Placement::noteRefusal(const ServerName& server, Instant now) {
+void Placement::noteRejection(const ServerName& server, Instant now) {
   if (!isEnabled(Mechanism::FailureAvoidance)) return;
-  const auto row = rows_.find(server);
-  if (row != rows_.end())
-    row->second.avoidUntil = std::max(row->second.avoidUntil, now + kRefusalSpan);
+  const auto row = servers_.find(server);
+  if (row != servers_.end())
+    row->second.avoidUntil = std::max(row->second.avoidUntil, now + kRejectionBackoff);
 }
 
-void Placement::noteAnswer(const ServerName& server, Instant) {
-  const auto row = rows_.find(server);
-  if (row == rows_.end()) return;
+void Placement::noteSuccess(const ServerName& server, Instant) {
+  const auto row = servers_.find(server);
+  if (row == servers_.end()) return;
   row->second.failures = 0;
   row->second.avoidUntil = Instant{};
 }
 
-void Placement::takeEvents(const ServerName& server, const ServerIdentity& identity,
-                           std::uint64_t first, const std::vector<CacheEvent>& events,
-                           std::uint64_t next) {
-  const auto entry = rows_.find(server);
-  if (entry == rows_.end() || entry->second.state.identity != identity) return;
-  Row& row = entry->second;
+void Placement::applyEvents(const ServerName& server, const ServerIdentity& identity,
+                            std::uint64_t first, const std::vector<CacheEvent>& events,
+                            std::uint64_t next) {
+  const auto entry = servers_.find(server);
+  if (entry == servers_.end() || entry->second.state.identity != identity) return;
+  ServerRow& row = entry->second;
   if (next < row.eventPosition || first > row.eventPosition) {
-    // Events are missing: what was dropped in the gap is unknown, so the estimate starts anew.
-    // The very first pull of a server has nothing to miss.
+    // Events are missing, so it is unknown what was dropped: discard the estimate. The first read
+    // of a server cannot have a gap.
     if (row.eventPosition != 0) {
       dropTree(row);
       ++gaps_;
@@ -230,8 +233,8 @@
   for (const CacheEvent& event : events) {
     if (event.position < row.eventPosition || event.kind != CacheEventKind::Dropped) continue;
     const auto known =
-        nameSpaces_.find(nameSpaceName(row.state.model, row.state.weights, event.salt));
-    if (known == nameSpaces_.end()) continue;
+        namespaces_.find(namespaceKey(row.state.model, row.state.weights, event.salt));
+    if (known == namespaces_.end()) continue;
     row.tree.prune(
         pathFor(known->second.number, prefixBlocks(event.prefix, settings_.blockTokens)));
   }
@@ -240,13 +243,13 @@
 
 std::uint64_t Placement::eventPosition(const ServerName& server) const {
   if (server.value == store_.value) return storeRow_.eventPosition;
-  const auto row = rows_.find(server);
-  return row == rows_.end() ? 0 : row->second.eventPosition;
+  const auto row = servers_.find(server);
+  return row == servers_.end() ? 0 : row->second.eventPosition;
 }
 
-std::size_t Placement::blocksHeld(const ServerName& server) const {
-  const auto row = rows_.find(server);
-  return row == rows_.end() ? 0 : row->second.tree.size();
+std::size_t Placement::indexedBlocks(const ServerName& server) const {
+  const auto row = servers_.find(server);
+  return row == servers_.end() ? 0 : row->second.tree.size();
 }
 
 }  // namespace quayrill
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -40,7 +40,7 @@
     std::string body;
     std::string digest;
     Instant begun, due;
-    Entered entered;  // how it stood when it came in
+    AdmissionResult entered;  // how it stood when it came in
   };
   // One row of the decision stream, filled on the way.
   struct Trace {
@@ -64,7 +64,7 @@
     std::string text = "none";
     bool safe = true;
   };
-  awaitable<Fetched> fetch(const Job& job, const Placed& placed);
+  awaitable<Fetched> fetch(const Job& job, const PlacementResult& placed);
   HttpResponse turnAway(ErrorKind kind, const std::string& why, const RequestId& id);
   HttpResponse unknown(ErrorKind kind, const std::string& why, const Job& job);
   void record(const Job& job, const Trace& trace);
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -16,9 +16,9 @@
 
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
-Instant firstPieceDueOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
-                        Instant due) {
-  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain) return due;
+Instant firstPieceDueOf(const RoutePolicy& policy, const AdmissionResult& entered,
+                        std::size_t attempt, Instant due) {
+  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.canRetry) return due;
   const Instant now = BootClock::now();
   return now + (due - now) / 2;
 }
@@ -53,18 +53,18 @@
     co_return response;
   }
   const Tenant& tenant = seen->configuration->tenants.at(job.tenant);
-  const std::function<Entered(Admission&)> enter =
+  const std::function<AdmissionResult(Admission&)> enter =
       [name = job.tenant, policy = job.policyName, tenantLimit = tenant.concurrency,
        policyLimit = job.policy.concurrency, model = job.policy.model](Admission& admission) {
         const Instant now = BootClock::now();
-        Entered entered = admission.enter(name, tenantLimit, policy, policyLimit, now);
-        entered.couldTryAgain = admission.couldTakeExtra(model, now);
+        AdmissionResult entered = admission.enter(name, tenantLimit, policy, policyLimit, now);
+        entered.canRetry = admission.canTakeRetry(model, now);
         return entered;
       };
-  const auto entered = co_await admission_.ask<Entered>(enter);
+  const auto entered = co_await admission_.ask<AdmissionResult>(enter);
   Trace trace;
   std::optional<HttpResponse> response;
-  if (!entered || !entered->isIn) {
+  if (!entered || !entered->isAdmitted) {
     trace.outcome = "turned away at admission";
     response = turnAway(ErrorKind::Overloaded, "the tenant or the policy is at its limit", job.id);
   } else {
@@ -89,19 +89,19 @@
       late = true;
       break;
     }
-    PlacementAsked asked{job.policy.model, job.tenant, job.salt,
-                         job.prefix,       tried,      job.entered.overShare};
+    PlacementRequest asked{job.policy.model, job.tenant, job.salt,
+                           job.prefix,       tried,      job.entered.isOverShare};
     const auto seen = view();
     // What is sent now may wait at the server before it begins.
-    asked.mayUse = [seen, bound = Duration(settings_.rolloutTimeLimit)](const ServerState& server) {
+    asked.isAllowed = [seen,
+                       bound = Duration(settings_.rolloutTimeLimit)](const ServerState& server) {
       return seen->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
     };
-    const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
-      return placement.place(asked, BootClock::now());
-    };
-    const auto answered = co_await placement_.ask<std::optional<Placed>>(place);
+    const std::function<std::optional<PlacementResult>(Placement&)> place =
+        [asked](Placement& placement) { return placement.place(asked, BootClock::now()); };
+    const auto answered = co_await placement_.ask<std::optional<PlacementResult>>(place);
     if (!answered || !*answered) break;
-    const Placed placed = **answered;
+    const PlacementResult placed = **answered;
     tried.insert(placed.chosenServer.name);
     counters_.promptTokens += placed.promptTokens;
     counters_.matchedTokens += placed.matchedTokens;
@@ -114,7 +114,7 @@
     // An extra try is one more send; where nothing was sent before, this is still the first.
     if (wasSent) {
       const std::function<bool(Admission&)> pay = [model = job.policy.model](Admission& admission) {
-        return admission.takeExtra(model, BootClock::now());
+        return admission.takeRetry(model, BootClock::now());
       };
       const auto paid = co_await admission_.ask<bool>(pay);
       if (!paid || !*paid) break;
@@ -131,7 +131,7 @@
       if (!mayRun(job, placed.chosenServer)) return false;
       if (!wasSent)
         admission_.mustPost([model = job.policy.model](Admission& admission) {
-          admission.countFirst(model, BootClock::now());
+          admission.countRequest(model, BootClock::now());
         });
       return true;
     };
@@ -192,7 +192,7 @@
 
 // Has the chosen server pull what it lacks, where that is cheaper than prefill. Neither end of a
 // pull checks weights, so the source is checked before and after, and a doubt drops what came.
-awaitable<Proxy::Fetched> Proxy::fetch(const Job& job, const Placed& placed) {
+awaitable<Proxy::Fetched> Proxy::fetch(const Job& job, const PlacementResult& placed) {
   const ServerState& server = placed.chosenServer;
   const Address chosenAddress{server.name.value};
   Address source;
@@ -200,7 +200,7 @@
   if (placed.source) {
     source = Address{placed.source->server.value};
     from = "peer " + source.value;
-  } else if (placed.worthFetching && !settings_.storeAddress.value.empty()) {
+  } else if (placed.isFetchWorthwhile && !settings_.storeAddress.value.empty()) {
     source = settings_.storeAddress;
     from = "store";
   }
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -1,4 +1,4 @@
-// One try at one server: a connection, the last questions, the request's bytes.
+// One attempt at one server: gets a connection, makes the final checks and sends the request.
 #include "relay/attempt.h"
 
 #include "net/request_sender.h"
@@ -9,123 +9,126 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kConnectDue = 400ms;
-// Ours: a process that took longer than this between two steps with nothing awaited stood still.
-constexpr Duration kStoodStill = 100ms;
+constexpr Duration kConnectTimeout = 400ms;
+// If this much time passes between two steps that do not wait for anything, the process was
+// stalled.
+constexpr Duration kStallThreshold = 100ms;
 }  // namespace
 
 void Relay::Attempt::arm(Instant deadline) {
   watch->deadline = deadline;
   const Instant now = BootClock::now();
-  const Instant until = watch->hasBegun ? Instant::max() : watch->mayBeginUntil();
-  Instant next = deadline;
-  if (!watch->hasBegun) next = std::min(next, now + kBeginningEvery);
-  if (until > now) next = std::min(next, until);
-  timer.expires_after(std::max(next, now) - now);
+  const Instant until = watch->hasStarted ? Instant::max() : watch->startDeadline();
+  Instant wakeAt = deadline;
+  if (!watch->hasStarted) wakeAt = std::min(wakeAt, now + kStartCheckInterval);
+  if (until > now) wakeAt = std::min(wakeAt, until);
+  timer.expires_after(std::max(wakeAt, now) - now);
   timer.async_wait([this, watch = watch](const ErrorCode& code) {
     if (!code && watch->socket) onTimer();
   });
 }
 
-// Ends the try where it is due. An answer that is there by then is never cut off by it: what was
-// read before is handled first, and events that follow a head are waited for.
+// Ends the attempt at its deadline, but never discards a response that has arrived by then: bytes
+// received before are processed first, and once a head was read, its events are waited for.
 void Relay::Attempt::onTimer() {
   const Instant now = BootClock::now();
-  watch->isOutdated = !watch->hasBegun && now >= watch->mayBeginUntil();
+  watch->isOutdated = !watch->hasStarted && now >= watch->startDeadline();
   if (!watch->isOutdated && now < watch->deadline) return arm(watch->deadline);
-  if (!watch->hasBegun) {
-    if (!std::exchange(watch->isPutOff, true))
+  if (!watch->hasStarted) {
+    if (!std::exchange(watch->isDeferred, true))
       return asio::post(timer.get_executor(), [this, watch = watch] {
         if (watch->socket) onTimer();
       });
-    watch->isPutOff = false;
+    watch->isDeferred = false;
     const bool isAlive =
-        watch->isAnswering(now) || (!watch->isOutdated && watch->deservesMore(now));
-    if (isAlive) return arm(std::min(watch->latest, now + kSignsOfLife));
+        watch->isReceiving(now) || (!watch->isOutdated && watch->deservesExtension(now));
+    if (isAlive) return arm(std::min(watch->hardDeadline, now + kActivityWindow));
   }
   watch->expired = true;
   ErrorCode ignored;
   watch->socket->close(ignored);
 }
 
-// Asked right before bytes of the request leave. "" lets them.
-std::string Relay::whyNot(const Caller& caller, const RelayRequest& job, const ServerState& server,
-                          Instant now) const {
+// Called right before bytes of the request are sent. Returns "" if they may be sent.
+std::string Relay::reasonNotToSend(const Caller& caller, const RelayRequest& job,
+                                   const ServerState& server, Instant now) const {
   if (now >= job.deadline) return "the deadline passed";
-  if (caller.isGone) return "the caller left";
-  if (!mayRun(job, server)) return "no longer allowed at the point of use";
+  if (caller.isDisconnected) return "the caller left";
+  if (!isStillAllowed(job, server)) return "no longer allowed at the point of use";
   return "";
 }
 
-awaitable<TryResult> Relay::attempt(const std::shared_ptr<Caller>& caller, const RelayRequest& job,
-                                    const Placed& placed, AnswerSoFar* soFar,
-                                    const TryAsked& asked) {
+awaitable<AttemptResult> Relay::attempt(const std::shared_ptr<Caller>& caller,
+                                        const RelayRequest& job, const PlacementResult& placed,
+                                        ResponseProgress* progress, const AttemptOptions& options) {
   const ServerState& server = placed.chosenServer;
   Attempt attempt{caller,
                   job,
                   placed,
-                  soFar,
-                  asked.keepAlive,
+                  progress,
+                  options.keepAlive,
                   BootClock::now(),
                   nullptr,
                   std::nullopt,
                   std::make_shared<Attempt::Watch>(),
                   asio::steady_timer(io_)};
-  // Without an id nothing tells a late answer of another request from its own.
+  // Without a request id, a late response to an earlier request could not be told from this one's.
   if (!job.id.value.empty())
-    attempt.connection = pool_.takeIdle(server.name, attempt.begun, job.id);
+    attempt.connection = pool_.acquireIdle(server.name, attempt.startedAt, job.id);
   if (!attempt.connection) {
-    const Duration due = std::min<Duration>(kConnectDue, job.deadline - attempt.begun);
-    auto connected = co_await pool_.connect(server.name, due);
+    const Duration timeout = std::min<Duration>(kConnectTimeout, job.deadline - attempt.startedAt);
+    auto connected = co_await pool_.connect(server.name, timeout);
     if (!connected.ok()) {
-      TryResult result{TryEnd::NeverSent, std::string(connected.status().message())};
+      AttemptResult result{AttemptOutcome::NeverSent, std::string(connected.status().message())};
       result.isUnreachable = true;
       co_return result;
     }
     attempt.connection = std::move(*connected);
   }
-  // Nothing is awaited from here until the first bytes have left.
+  // There must be no suspension point from here until the first bytes are sent.
   const Instant now = BootClock::now();
-  const std::string refused = whyNot(*caller, job, server, now);
-  if (caller->isGone) co_return TryResult{TryEnd::CallerGone, "before it was sent"};
-  if (!refused.empty()) co_return TryResult{TryEnd::NeverSent, refused};
-  if (asked.isExtra && !budgets_.takeExtra(server.service, now)) {
-    TryResult result{TryEnd::NeverSent, "the budget of extra tries is spent"};
-    result.isOverBudget = true;
+  const std::string blocker = reasonNotToSend(*caller, job, server, now);
+  if (caller->isDisconnected)
+    co_return AttemptResult{AttemptOutcome::CallerGone, "before it was sent"};
+  if (!blocker.empty()) co_return AttemptResult{AttemptOutcome::NeverSent, blocker};
+  if (options.isRetry && !budgets_.takeRetry(server.service, now)) {
+    AttemptResult result{AttemptOutcome::NeverSent, "the budget of extra tries is spent"};
+    result.isRetryBudgetSpent = true;
     co_return result;
   }
 
   Tcp::socket& socket = attempt.connection->socket;
   attempt.watch->socket = &socket;
-  attempt.watch->signs = signsOf(server.name);
-  attempt.watch->begun = now;
-  attempt.watch->latest = job.deadline;
-  // Only a stream shows when it begins.
+  attempt.watch->lastActivity = lastActivityOf(server.name);
+  attempt.watch->startedAt = now;
+  attempt.watch->hardDeadline = job.deadline;
+  // Only a stream shows when its response starts.
   if (job.policy.isStream)
-    attempt.watch->mayBeginUntil = [this, &server] { return mayBeginUntil(server); };
-  caller->endTry = [watch = attempt.watch] {
+    attempt.watch->startDeadline = [this, &server] { return startDeadline(server); };
+  caller->abortAttempt = [watch = attempt.watch] {
     ErrorCode ignored;
     if (watch->socket) watch->socket->close(ignored);
   };
-  attempt.arm(asked.firstDeadline);
-  RequestSender sender(socket, requestHead(job, placed, now, *soFar), job.original.body(),
+  attempt.arm(options.firstDeadline);
+  RequestSender sender(socket, requestHead(job, placed, now, *progress), job.original.body(),
                        [&, now] {
-                         const Instant asking = BootClock::now();
+                         const Instant sendingAt = BootClock::now();
                          const bool isFirst = attempt.sentAt == Instant{};
-                         attempt.sentAt = asking;
-                         // The head names the time that was left at `now`.
-                         if (isFirst && asking - now >= kStoodStill) return false;
-                         return whyNot(*caller, job, server, asking).empty();
+                         attempt.sentAt = sendingAt;
+                         // The head contains the time that was left at `now`, which would be wrong
+                         // after a stall.
+                         if (isFirst && sendingAt - now >= kStallThreshold) return false;
+                         return reasonNotToSend(*caller, job, server, sendingAt).empty();
                        });
   sender.begin();
-  TryResult result;
+  AttemptResult result;
   if (sender.isUntouched() && sender.isEnded())
-    result = {TryEnd::NeverSent, "send: " + sender.code().message()};
-  else if (BootClock::now() - attempt.sentAt >= kStoodStill &&
-           !whyNot(*caller, job, server, BootClock::now()).empty())
-    result = {TryEnd::Unknown, "stood still while it was sent"};
+    result = {AttemptOutcome::NeverSent, "send: " + sender.code().message()};
+  else if (BootClock::now() - attempt.sentAt >= kStallThreshold &&
+           !reasonNotToSend(*caller, job, server, BootClock::now()).empty())
+    result = {AttemptOutcome::Unknown, "stood still while it was sent"};
   else
-    result = co_await readAnswer(attempt);
+    result = co_await readResponse(attempt);
   if (!sender.isWhole()) {
     ErrorCode ignored;
     socket.close(ignored);
@@ -133,31 +136,32 @@
   }
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
-  caller->endTry = nullptr;
-  if (result.end != TryEnd::Done && caller->isGone)
-    co_return TryResult{TryEnd::CallerGone, result.detail};
-  if (attempt.watch->expired && result.end == TryEnd::Unknown) {
-    if (!attempt.watch->isOutdated) result.end = TryEnd::Silent;
+  caller->abortAttempt = nullptr;
+  if (result.outcome != AttemptOutcome::Done && caller->isDisconnected)
+    co_return AttemptResult{AttemptOutcome::CallerGone, result.detail};
+  if (attempt.watch->expired && result.outcome == AttemptOutcome::Unknown) {
+    if (!attempt.watch->isOutdated) result.outcome = AttemptOutcome::Silent;
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
-  if (sender.isWhole()) keepConnection(attempt, result);
+  if (sender.isWhole()) returnConnection(attempt, result);
   co_return result;
 }
 
-// Gives the connection back if nothing but whole requests and whole answers, each by its id, went
-// over it.
-void Relay::keepConnection(Attempt& attempt, const TryResult& result) {
-  const auto& answered = attempt.parser;
-  const bool whole = answered && answered->is_done() && answered->keep_alive() &&
-                     (result.end == TryEnd::Done || result.end == TryEnd::NotRun);
-  if (!whole || attempt.strays > 0 || attempt.job.id.value.empty()) return;
+// Returns the connection to the pool if it carried only complete requests and complete responses,
+// each identified by its id.
+void Relay::returnConnection(Attempt& attempt, const AttemptResult& result) {
+  const auto& response = attempt.parser;
+  const bool whole =
+      response && response->is_done() && response->keep_alive() &&
+      (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::NotRun);
+  if (!whole || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
   std::optional<Duration> keepFor;
-  const auto named = numbersOf(view(answered->get()["Keep-Alive"]));
-  if (!named.empty()) keepFor = std::chrono::seconds(named.front());
+  const auto announced = parseNumbers(view(response->get()["Keep-Alive"]));
+  if (!announced.empty()) keepFor = std::chrono::seconds(announced.front());
   attempt.connection->lastRequest = attempt.job.id;
-  pool_.give(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
-             BootClock::now());
+  pool_.returnIdle(attempt.placed.chosenServer.name, std::move(attempt.connection), keepFor,
+                   BootClock::now());
 }
 
 }  // namespace quayrill
--- a/src/relay/front.cpp
+++ b/src/relay/caller_connections.cpp
@@ -1,4 +1,4 @@
-// The relay's front: connections of callers, what they may send and how long it may take.
+// Connections from callers: what they may send, and how long that may take.
 #include <glog/logging.h>
 #include <sys/socket.h>
 
@@ -9,37 +9,38 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kWriteDue = 10s;
-constexpr Duration kDrainSpan = 1s;            // ours: for a caller to see a refusal
-constexpr std::size_t kDrainLimit = 1 << 20;   // ours: of what it goes on sending meanwhile
-constexpr std::size_t kEarlyBlock = 4096;      // ours: read at once of a next request
-constexpr std::size_t kEarlyLimit = 64 << 10;  // ours: kept of one; a close behind more is not seen
-constexpr std::size_t kCallerLimit = 3000;
-constexpr std::size_t kMostIdle = 32;  // ours: connections kept for each server
-constexpr Duration kIdleSpan = 4s;     // ours: how long, where the server names no time
-// Ours: prompts wait for each other's reading, so a few requests over the mean are many.
+constexpr Duration kWriteTimeout = 10s;
+constexpr Duration kDrainTimeout = 1s;            // for a caller to receive an error response
+constexpr std::size_t kDrainLimit = 1 << 20;      // discarded at most while a caller keeps sending
+constexpr std::size_t kPipelinedReadSize = 4096;  // bytes read at once of a pipelined request
+// A disconnect behind more pipelined bytes than this goes unnoticed.
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
+constexpr std::size_t kMaxCallerConnections = 3000;
+constexpr std::size_t kMaxIdlePerServer = 32;
+constexpr Duration kDefaultIdleTimeout = 4s;  // if the server does not specify a time
+// Prompts at a server wait for each other's prefill, so even a few requests above the mean matter.
 constexpr double kSpreadRequests = 4, kSpreadFactor = 1.5;
 
 PlacementSettings placementSettings(const Settings& settings) {
-  PlacementSettings made{settings.blockTokens};
-  made.spreadRequests = kSpreadRequests;
-  made.spreadFactor = kSpreadFactor;
-  made.byExpectedRead = settings.mechanisms.isEnabled(Mechanism::ExpectedPrefill);
-  made.mechanisms = settings.mechanisms;
-  return made;
+  PlacementSettings placement{settings.blockTokens};
+  placement.spreadRequests = kSpreadRequests;
+  placement.spreadFactor = kSpreadFactor;
+  placement.byExpectedPrefill = settings.mechanisms.isEnabled(Mechanism::ExpectedPrefill);
+  placement.mechanisms = settings.mechanisms;
+  return placement;
 }
 }  // namespace
 
 Relay::Relay(Settings settings, Dialect dialect)
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
-      names_(dialect_.relayNames.value()),
+      headerNames_(dialect_.relayNames.value()),
       callers_(io_),
       placement_(placementSettings(settings_)),
       budgets_(settings_.retryShare, settings_.retryWindow),
-      slackShare_(settings_.retryWindow),
-      pool_(io_, settings_.mechanisms.isEnabled(Mechanism::ConnectionReuse) ? kMostIdle : 0,
-            kIdleSpan) {}
+      retrySlack_(settings_.retryWindow),
+      pool_(io_, settings_.mechanisms.isEnabled(Mechanism::ConnectionReuse) ? kMaxIdlePerServer : 0,
+            kDefaultIdleTimeout) {}
 
 Relay::~Relay() {
   stop();
@@ -54,7 +55,7 @@
     readySettings.connectionLimit = 64;
     ready_ = std::make_unique<HttpServer>(
         io_, readySettings,
-        [this](Connection&, HttpRequest& request) { return handleOwn(request); });
+        [this](Connection&, HttpRequest& request) { return handleAdminRequest(request); });
     if (auto status = ready_->start(); !status.ok()) return status;
   }
   asio::co_spawn(io_, accept(callers_), asio::detached);
@@ -70,12 +71,15 @@
   if (thread_.joinable()) thread_.join();
 }
 
+// True if the configuration was confirmed recently, there are servers to use, and this daemon is
+// not shutting down.
 bool Relay::isReady(Instant now) const {
   return !leaving_ && view_->configuration && !view_->servers.empty() &&
          now - view_->confirmedAt < settings_.stalenessLimit;
 }
 
-awaitable<std::optional<HttpResponse>> Relay::handleOwn(HttpRequest& request) {
+// Handles health checks, metrics and queries about past decisions.
+awaitable<std::optional<HttpResponse>> Relay::handleAdminRequest(HttpRequest& request) {
   const std::string path = pathOf(request);
   if (path == "/readyz") {
     const bool ready = isReady(BootClock::now());
@@ -94,7 +98,7 @@
     co_return jsonResponse(200,
                            {{"first", page.first}, {"next", page.next}, {"lines", page.lines}});
   }
-  co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
+  co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
 }
 
 awaitable<void> Relay::accept(Tcp::acceptor& acceptor) {
@@ -103,29 +107,29 @@
     Tcp::socket socket(io_);
     co_await acceptor.async_accept(socket, into(code));
     if (code) {
-      co_await pauseFor(10ms);  // out of descriptors: let some go
+      co_await pauseFor(10ms);  // probably out of file descriptors: wait until some are closed
       continue;
     }
-    if (openCallers_ >= kCallerLimit) continue;  // closes it, unread
+    if (openCallers_ >= kMaxCallerConnections) continue;  // closes the connection without reading
     socket.set_option(Tcp::no_delay(true), code);
     auto caller = std::make_shared<Caller>(std::move(socket));
-    open_.remove_if([](const auto& weak) { return weak.expired(); });
-    open_.push_back(caller);
+    callerList_.remove_if([](const auto& weak) { return weak.expired(); });
+    callerList_.push_back(caller);
     asio::co_spawn(io_, serveCaller(std::move(caller)), asio::detached);
   }
 }
 
-// The timer is moved only where it would fire too late; a deadline that moves away is met when the
-// timer fires.
+// Sets the timer only if it would fire too late otherwise. If the deadline moves to a later time,
+// the timer is set again when it fires.
 void Relay::setDeadline(const std::shared_ptr<Caller>& caller, Instant deadline) {
   caller->deadline = deadline;
-  if (caller->armedFor <= deadline) return;
-  caller->armedFor = deadline;
+  if (caller->timerSetFor <= deadline) return;
+  caller->timerSetFor = deadline;
   caller->timer.expires_after(deadline - BootClock::now());
   caller->timer.async_wait([this, weak = std::weak_ptr(caller)](const ErrorCode& code) {
     const auto timed = weak.lock();
     if (code || !timed) return;
-    timed->armedFor = Instant::max();
+    timed->timerSetFor = Instant::max();
     if (BootClock::now() < timed->deadline) {
       if (timed->deadline != Instant::max()) setDeadline(timed, timed->deadline);
       return;
@@ -136,30 +140,30 @@
   });
 }
 
-// Sees a caller leave while its answer is being made. A half-close looks like a close and is taken
-// for one. Bytes that come meanwhile are a next request: they are read, within a bound, since the
-// close behind them shows only then.
-void Relay::watch(const std::shared_ptr<Caller>& caller) {
-  if (caller->isWatched) return;
-  caller->isWatched = true;
+// Detects that a caller disconnects while its response is pending. A half-close cannot be told from
+// a close and counts as one. Bytes that arrive meanwhile belong to a pipelined request; they are
+// read, up to a limit, because a close behind them would not be seen otherwise.
+void Relay::watchForDisconnect(const std::shared_ptr<Caller>& caller) {
+  if (caller->isDisconnectWatched) return;
+  caller->isDisconnectWatched = true;
   caller->socket.async_wait(
       Tcp::socket::wait_read,
       [this, alive = alive_, weak = std::weak_ptr(caller)](const ErrorCode& code) {
         const auto watched = weak.lock();
         if (!watched) return;
-        watched->isWatched = false;
-        if (code || !watched->isOwed || !*alive) return;
-        const auto room = watched->buffer.prepare(kEarlyBlock);
+        watched->isDisconnectWatched = false;
+        if (code || !watched->isAwaitingResponse || !*alive) return;
+        const auto space = watched->buffer.prepare(kPipelinedReadSize);
         const auto got =
-            ::recv(watched->socket.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
+            ::recv(watched->socket.native_handle(), space.data(), space.size(), MSG_DONTWAIT);
         if (got > 0) watched->buffer.commit(static_cast<std::size_t>(got));
-        const bool isThere = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
-        if (isThere) {
-          if (watched->buffer.size() < kEarlyLimit) watch(watched);
+        const bool isConnected = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+        if (isConnected) {
+          if (watched->buffer.size() < kMaxPipelinedBytes) watchForDisconnect(watched);
           return;
         }
-        watched->isGone = true;
-        if (watched->endTry && watched->mayBreakOff) watched->endTry();
+        watched->isDisconnected = true;
+        if (watched->abortAttempt && watched->mayAbort) watched->abortAttempt();
       });
 }
 
@@ -168,33 +172,35 @@
   return caller->staysOpen;
 }
 
-// Closing over unread bytes resets the connection, and the answer may be lost with it: the caller
-// is told that no more comes, and what it still sends is thrown away for a while.
+// Closing a socket with unread bytes resets the connection, and the response may be lost with it.
+// Therefore closes the sending side first, then reads and discards for a while what the caller
+// still sends.
 awaitable<void> Relay::drain(const std::shared_ptr<Caller>& caller) {
-  char scrap[4096];
-  std::size_t left = kDrainLimit;
+  char discarded[4096];
+  std::size_t remaining = kDrainLimit;
   ErrorCode code;
   caller->isIdle = true;
   caller->socket.shutdown(Tcp::socket::shutdown_send, code);
-  setDeadline(caller, BootClock::now() + kDrainSpan);
-  while (!code && left > 0) {
-    const auto got = co_await caller->socket.async_read_some(asio::buffer(scrap), into(code));
-    left -= std::min(left, got);
+  setDeadline(caller, BootClock::now() + kDrainTimeout);
+  while (!code && remaining > 0) {
+    const auto got = co_await caller->socket.async_read_some(asio::buffer(discarded), into(code));
+    remaining -= std::min(remaining, got);
   }
 }
 
-awaitable<bool> Relay::answer(const std::shared_ptr<Caller>& caller, HttpResponse response,
-                              bool keepAlive) {
+awaitable<bool> Relay::sendResponse(const std::shared_ptr<Caller>& caller, HttpResponse response,
+                                    bool keepAlive) {
   response.version(11);
   response.keep_alive(keepsOpen(caller, keepAlive));
   response.prepare_payload();
   ErrorCode code;
-  setDeadline(caller, BootClock::now() + kWriteDue);
+  setDeadline(caller, BootClock::now() + kWriteTimeout);
   co_await http::async_write(caller->socket, response, into(code));
   co_return !code;
 }
 
-// False: the connection is to be closed; what could be said was said.
+// Reads one request. Returns false if the connection is to be closed; any error response has been
+// sent by then.
 awaitable<bool> Relay::readRequest(const std::shared_ptr<Caller>& caller, HttpRequest* request) {
   const auto limitsNow = [this] {
     return view_->configuration ? view_->configuration->callerLimits : CallerLimits{};
@@ -203,7 +209,7 @@
   caller->isIdle = true;
   if (caller->buffer.size() == 0) {
     const Instant idleSince = BootClock::now();
-    do {  // a configuration that came meanwhile may let it rest longer
+    do {  // a configuration that arrives meanwhile may extend the limit
       caller->timedOut = false;
       setDeadline(caller, idleSince + limitsNow().idleTimeout);
       co_await caller->socket.async_wait(Tcp::socket::wait_read, into(code));
@@ -212,7 +218,7 @@
   }
   caller->isIdle = false;
   caller->timedOut = false;
-  caller->requestBegun = BootClock::now();
+  caller->requestStartedAt = BootClock::now();
   const CallerLimits limits = limitsNow();
   http::request_parser<http::string_body> parser;
   parser.header_limit(static_cast<std::uint32_t>(limits.headerBytes));
@@ -220,7 +226,7 @@
   setDeadline(caller, BootClock::now() + limits.headerTimeout);
   co_await http::async_read_header(caller->socket, caller->buffer, parser, into(code));
   if (!code && !parser.is_done()) {
-    setDeadline(caller, bodyDeadline(parser.get(), caller->requestBegun));
+    setDeadline(caller, bodyDeadline(parser.get(), caller->requestStartedAt));
     if (parser.get()[http::field::expect] == "100-continue") {
       static const std::string kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
       co_await asio::async_write(caller->socket, asio::buffer(kContinue), into(code));
@@ -234,28 +240,29 @@
   }
   if (code == http::error::end_of_stream || !caller->socket.is_open()) co_return false;
   Error error{ErrorKind::MalformedRequest, "the request can't be read: " + code.message()};
-  if (caller->timedOut)
-    error = {ErrorKind::RequestTimeout, "the request did not come whole in time"};
-  if (code == http::error::header_limit) error = {ErrorKind::HeadersTooLarge, "the headers"};
-  if (code == http::error::body_limit) error = {ErrorKind::BodyTooLarge, "the body"};
+  if (caller->timedOut) error = {ErrorKind::SlowCaller, "the request did not come whole in time"};
+  if (code == http::error::header_limit) error = {ErrorKind::HeaderOversize, "the headers"};
+  if (code == http::error::body_limit) error = {ErrorKind::Oversize, "the body"};
   const bool closed = code == asio::error::eof || code == asio::error::connection_reset ||
                       code == http::error::partial_message;
   if (!closed) {
     ++counters_.badInput;
-    co_await answer(caller, errorResponse(error), false);
+    co_await sendResponse(caller, errorResponse(error), false);
     co_await drain(caller);
   }
   co_return false;
 }
 
+// Serves the requests of one connection, one after the other.
 awaitable<void> Relay::serveCaller(std::shared_ptr<Caller> caller) {
-  struct Counted {
+  struct CallerCount {
     std::atomic<std::size_t>& count;
     std::shared_ptr<bool> alive;
-    Counted(std::atomic<std::size_t>& c, std::shared_ptr<bool> a) : count(c), alive(std::move(a)) {
+    CallerCount(std::atomic<std::size_t>& c, std::shared_ptr<bool> a)
+        : count(c), alive(std::move(a)) {
       ++count;
     }
-    ~Counted() {
+    ~CallerCount() {
       if (*alive) --count;
     }
   } counted(openCallers_, alive_);
@@ -264,24 +271,24 @@
     const bool whole = co_await readRequest(caller, &job.original);
     if (!whole) break;
     ++counters_.requests;
-    job.begun = caller->requestBegun;
+    job.startedAt = caller->requestStartedAt;
     const bool keepAlive = job.original.keep_alive();
-    std::optional<HttpResponse> refusal = intake(job.original, &job);
-    if (!refusal) {
-      caller->isOwed = true;
-      caller->mayBreakOff = job.policy.repeatable || job.policy.isStream;
-      watch(caller);
-      refusal = co_await run(caller, job, keepAlive);
-      caller->isOwed = false;
+    std::optional<HttpResponse> rejection = intake(job.original, &job);
+    if (!rejection) {
+      caller->isAwaitingResponse = true;
+      caller->mayAbort = job.policy.repeatable || job.policy.isStream;
+      watchForDisconnect(caller);
+      rejection = co_await run(caller, job, keepAlive);
+      caller->isAwaitingResponse = false;
     }
-    if (caller->isGone || !caller->socket.is_open()) break;
-    if (refusal) {
-      const bool written = co_await answer(caller, std::move(*refusal), keepAlive);
+    if (caller->isDisconnected || !caller->socket.is_open()) break;
+    if (rejection) {
+      const bool written = co_await sendResponse(caller, std::move(*rejection), keepAlive);
       if (!written) break;
     }
     caller->deadline = Instant::max();
     const bool hasMore = caller->buffer.size() > 0;
-    if (!caller->staysOpen || (refusing_ && !hasMore)) break;
+    if (!caller->staysOpen || (isRejecting_ && !hasMore)) break;
   }
   ErrorCode code;
   caller->timer.cancel();
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -8,10 +8,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kMargin = 300ms;  // the other end counts from a little earlier
+constexpr Duration kIdleMargin = 300ms;  // the other end started its idle timer slightly earlier
 constexpr int kUserTimeoutMs = 4000;
 
-// True while the other end has sent nothing and not closed.
+// True if the other end has neither sent data nor closed the connection.
 bool isQuiet(Tcp::socket& socket) {
   char byte = 0;
   const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -19,8 +19,8 @@
 }
 }  // namespace
 
-std::unique_ptr<ServerConnection> ConnectionPool::takeIdle(const ServerName& server, Instant now,
-                                                           const RequestId& request) {
+std::unique_ptr<ServerConnection> ConnectionPool::acquireIdle(const ServerName& server, Instant now,
+                                                              const RequestId& request) {
   const auto row = idle_.find(server);
   if (row == idle_.end()) return nullptr;
   auto& idle = row->second;
@@ -35,11 +35,11 @@
 }
 
 awaitable<absl::StatusOr<std::unique_ptr<ServerConnection>>> ConnectionPool::connect(
-    const ServerName& server, Duration due) {
+    const ServerName& server, Duration timeout) {
   auto connection = std::make_unique<ServerConnection>(io_);
   Tcp::socket& socket = connection->socket;
   asio::steady_timer timer(io_);
-  timer.expires_after(due);
+  timer.expires_after(timeout);
   auto ended = std::make_shared<bool>(false);
   timer.async_wait([&socket, ended](const ErrorCode& code) {
     if (code || *ended) return;
@@ -52,7 +52,7 @@
   *ended = true;
   timer.cancel();
   if (code) co_return absl::UnavailableError("connect: " + code.message());
-  // It came up and the time passed in one turn of the loop.
+  // The connection was established and the timer expired in the same iteration of the event loop.
   if (!socket.is_open()) co_return absl::UnavailableError("connect: too late");
   socket.set_option(Tcp::no_delay(true), code);
   socket.non_blocking(true, code);
@@ -63,18 +63,19 @@
   co_return connection;
 }
 
-void ConnectionPool::give(const ServerName& server, std::unique_ptr<ServerConnection> connection,
-                          std::optional<Duration> keepFor, Instant now) {
-  const Duration kept = keepFor ? *keepFor - kMargin : idleSpan_;
+void ConnectionPool::returnIdle(const ServerName& server,
+                                std::unique_ptr<ServerConnection> connection,
+                                std::optional<Duration> keepFor, Instant now) {
+  const Duration kept = keepFor ? *keepFor - kIdleMargin : idleTimeout_;
   if (kept <= Duration{} || connection->buffer.size() > 0) return;
   connection->usableUntil = now + kept;
-  ++connection->served;
+  ++connection->responsesRead;
   auto& row = idle_[server];
   row.push_back(std::move(connection));
-  if (row.size() > mostIdle_) row.pop_front();
+  if (row.size() > maxIdle_) row.pop_front();
 }
 
-void ConnectionPool::sweep(Instant now) {
+void ConnectionPool::closeExpired(Instant now) {
   for (auto row = idle_.begin(); row != idle_.end();) {
     row->second.remove_if([&](const auto& connection) { return now >= connection->usableUntil; });
     row = row->second.empty() ? idle_.erase(row) : std::next(row);
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -1,4 +1,4 @@
-// The relay's intake: which route, whose key, what the request may take.
+// Checks a request before it is placed: route, key and time limit.
 #include <algorithm>
 #include <charconv>
 
@@ -10,13 +10,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A daemon that could not confirm its configuration for this long may lack a route or a key that is
-// there: it turns such requests away instead of denying them.
-constexpr Duration kDenyLimit = 1s;
-constexpr Duration kLastWords =
-    150ms;                          // ours: beyond the deadline, for what servers sent until then
-constexpr Duration kBodyDue = 30s;  // ours: where no route is known yet
-constexpr std::uint64_t kLongestDueMs = 600000;
+// If the configuration has not been confirmed for this long, it may lack a route or a key that
+// exists by now. Such requests are then rejected as retryable instead of being denied.
+constexpr Duration kMaxAgeToDeny = 1s;
+constexpr Duration kFinalEventGrace =
+    150ms;  // beyond the deadline, for what servers have sent by then
+constexpr Duration kDefaultBodyTimeout = 30s;  // if the route is not known yet
+constexpr std::uint64_t kMaxTimeoutMs = 600000;
 
 std::string headerOf(const http::request_header<>& request, const std::string& name) {
   const auto field = request.find(name);
@@ -31,79 +31,83 @@
 }
 }  // namespace
 
-Instant streamEnd(const RelayRequest& job) { return job.deadline + kLastWords; }
+Instant streamDeadline(const RelayRequest& job) { return job.deadline + kFinalEventGrace; }
 
-// The route's time, or the caller's own where that is shorter.
-Duration Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
-  const Duration due = policy.timeout;
-  const auto named = numberOf(headerOf(head, names_.dueMs));
-  if (!named) return due;
-  return std::min<Duration>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
+// The timeout of the route, or that of the caller if it is shorter.
+Duration Relay::timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const {
+  const Duration timeout = policy.timeout;
+  const auto requested = numberOf(headerOf(head, headerNames_.dueMs));
+  if (!requested) return timeout;
+  return std::min<Duration>(timeout,
+                            std::chrono::milliseconds(std::min(*requested, kMaxTimeoutMs)));
 }
 
-// A body that is not in by then is not worth waiting for.
-Instant Relay::bodyDeadline(const http::request_header<>& head, Instant begun) const {
+// The time by which the body must have arrived: after the request's deadline it is of no use.
+Instant Relay::bodyDeadline(const http::request_header<>& head, Instant startedAt) const {
   const auto configuration = view_->configuration;
   const std::string target(head.target());
   const Route* route = configuration ? findRoute(*configuration, headerOf(head, "Host"),
                                                  target.substr(0, target.find('?')))
                                      : nullptr;
-  if (!route) return begun + kBodyDue;
-  return begun + std::min(kBodyDue, dueOf(head, configuration->policies.at(route->policy)));
+  if (!route) return startedAt + kDefaultBodyTimeout;
+  return startedAt +
+         std::min(kDefaultBodyTimeout, timeoutFor(head, configuration->policies.at(route->policy)));
 }
 
-HttpResponse Relay::refuse(ErrorKind kind, const std::string& why, const std::string& id) {
+// Builds an error response.
+HttpResponse Relay::reject(ErrorKind kind, const std::string& why, const std::string& id) {
   HttpResponse response = errorResponse({kind, why});
   if (kind == ErrorKind::Rejected) {
     ++counters_.rejected;
-    // Spread, so that those refused together don't come back together.
+    // Randomised, so that callers rejected at the same time do not retry at the same time.
     const auto tenths = 2 + random_() % 4;
     response.set(http::field::retry_after, "0." + std::to_string(tenths));
   }
-  if (!id.empty()) response.set(names_.requestId, id);
+  if (!id.empty()) response.set(headerNames_.requestId, id);
   return response;
 }
 
+// Fills in `job`, or returns the error response if the request is not admitted.
 std::optional<HttpResponse> Relay::intake(const HttpRequest& request, RelayRequest* job) {
-  const std::string id = headerOf(request, names_.requestId);
+  const std::string id = headerOf(request, headerNames_.requestId);
   job->id = RequestId{id};
-  if (refusing_) return refuse(ErrorKind::Rejected, "this daemon is leaving", id);
-  const auto& seen = *view_;
-  const Duration unconfirmed = BootClock::now() - seen.confirmedAt;
-  if (!seen.configuration || unconfirmed >= settings_.stalenessLimit) {
+  if (isRejecting_) return reject(ErrorKind::Rejected, "this daemon is leaving", id);
+  const auto& currentView = *view_;
+  const Duration unconfirmed = BootClock::now() - currentView.confirmedAt;
+  if (!currentView.configuration || unconfirmed >= settings_.stalenessLimit) {
     ++counters_.unconfirmed;
-    return refuse(ErrorKind::Rejected, "this daemon can't confirm the configuration now", id);
+    return reject(ErrorKind::Rejected, "this daemon can't confirm the configuration now", id);
   }
   const auto deny = [&](ErrorKind kind, const std::string& why) {
     ++counters_.badInput;
-    if (unconfirmed >= kDenyLimit)
-      return refuse(ErrorKind::Rejected, "the configuration is not confirmed: " + why, id);
-    return refuse(kind, why, id);
+    if (unconfirmed >= kMaxAgeToDeny)
+      return reject(ErrorKind::Rejected, "the configuration is not confirmed: " + why, id);
+    return reject(kind, why, id);
   };
-  const Configuration& configuration = *seen.configuration;
+  const Configuration& configuration = *currentView.configuration;
   const std::string path = pathOf(request);
   const Route* route = findRoute(configuration, headerOf(request, "Host"), path);
   if (!route) return deny(ErrorKind::UnknownRoute, "no route for '" + path + "'");
   job->needsKey = !route->isPublic && !configuration.tenants.empty();
   std::optional<unsigned> tenantPriority;
   if (job->needsKey) {
-    job->keyDigest = keyDigest(headerOf(request, names_.key));
+    job->keyDigest = keyDigest(headerOf(request, headerNames_.key));
     const auto owner = configuration.tenantByKeyDigest.find(job->keyDigest);
     if (owner == configuration.tenantByKeyDigest.end())
       return deny(ErrorKind::UnknownKey, "the key is of no tenant");
     job->tenant = owner->second;
     const Tenant& tenant = configuration.tenants.at(job->tenant);
     tenantPriority = tenant.priority;
-    if (tenant.isolated) job->wall = CacheSalt{job->tenant.value};
+    if (tenant.isolated) job->isolationSalt = CacheSalt{job->tenant.value};
   }
   job->policy = configuration.policies.at(route->policy);
   job->split = route->split;
   job->priority = tenantPriority.value_or(job->policy.priority);
-  job->deadline = job->begun + dueOf(request, job->policy);
-  job->model = ModelName{headerOf(request, names_.model)};
-  if (auto prefix = parsePrefix(headerOf(request, names_.prefix)); prefix.ok())
+  job->deadline = job->startedAt + timeoutFor(request, job->policy);
+  job->model = ModelName{headerOf(request, headerNames_.model)};
+  if (auto prefix = parsePrefix(headerOf(request, headerNames_.prefix)); prefix.ok())
     job->prefix = std::move(*prefix);
-  job->resumesAfter = numberOf(headerOf(request, names_.lastEventId)).value_or(0);
+  job->resumeAfter = numberOf(headerOf(request, headerNames_.lastEventId)).value_or(0);
   return std::nullopt;
 }
 
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -1,5 +1,5 @@
-// The relay's leave: it accepts for as long as connections may still be handed to it, ends what it
-// accepted, and is gone before it would be killed.
+// Graceful shutdown of the relay. Accepts requests as long as the platform may still hand over
+// connections, completes those accepted, and finishes before it would be killed.
 #include "relay/leaving.h"
 
 #include <sys/socket.h>
@@ -13,17 +13,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The platform asks for readiness once a second and takes out who missed twice; the third second
-// covers its question under way and the handing over.
-constexpr Duration kHandOverSpan = 3s;
-constexpr Duration kRefuseSpan =
-    500ms;  // ours: connections handed over last are refused, not reset
-constexpr Duration kEndMargin =
-    500ms;  // ours: before the kill, for the final answers to be written
-constexpr Duration kGoneMargin = 250ms;  // ours: before the kill, for the process to end
-constexpr Duration kLookEvery = 20ms;
+// The platform checks readiness once a second and removes an instance after two failures. The third
+// second covers a check in progress and the handover of connections.
+constexpr Duration kHandoverPeriod = 3s;
+constexpr Duration kRejectPeriod = 500ms;  // late connections get a rejection instead of a reset
+constexpr Duration kAbortMargin = 500ms;   // before the kill, to write the final responses
+constexpr Duration kExitMargin = 250ms;    // before the kill, for the process to exit
+constexpr Duration kCheckInterval = 20ms;
 
-// Bytes of a request wait there unread.
+// True if unread bytes of a request are available.
 bool hasBytes(Tcp::socket& socket) {
   char byte = 0;
   return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
@@ -32,10 +30,10 @@
 
 LeaveSchedule leaveSchedule(Instant signalAt, Duration grace) {
   LeaveSchedule schedule;
-  schedule.goneBy = signalAt + grace - std::min<Duration>(kGoneMargin, grace / 32);
-  schedule.endsAt = signalAt + grace - std::min<Duration>(kEndMargin, grace / 16);
-  schedule.refusesFrom = signalAt + std::min<Duration>(kHandOverSpan, grace / 2);
-  schedule.mayEndFrom = schedule.refusesFrom + std::min<Duration>(kRefuseSpan, grace / 16);
+  schedule.exitBy = signalAt + grace - std::min<Duration>(kExitMargin, grace / 32);
+  schedule.abortAt = signalAt + grace - std::min<Duration>(kAbortMargin, grace / 16);
+  schedule.rejectFrom = signalAt + std::min<Duration>(kHandoverPeriod, grace / 2);
+  schedule.earliestExit = schedule.rejectFrom + std::min<Duration>(kRejectPeriod, grace / 16);
   return schedule;
 }
 
@@ -46,39 +44,42 @@
 }
 
 awaitable<void> Relay::leave(LeaveSchedule schedule) {
-  co_await pauseFor(schedule.refusesFrom - BootClock::now());
-  refusing_ = true;
-  closeIdle();
-  co_await pauseFor(schedule.mayEndFrom - BootClock::now());
-  while (isBusy() && BootClock::now() < schedule.endsAt) co_await pauseFor(kLookEvery);
-  ending_ = true;
-  endTries();
-  while (isBusy() && BootClock::now() < schedule.goneBy) co_await pauseFor(kLookEvery);
+  co_await pauseFor(schedule.rejectFrom - BootClock::now());
+  isRejecting_ = true;
+  closeIdleCallers();
+  co_await pauseFor(schedule.earliestExit - BootClock::now());
+  while (isBusy() && BootClock::now() < schedule.abortAt) co_await pauseFor(kCheckInterval);
+  isAborting_ = true;
+  abortAttempts();
+  while (isBusy() && BootClock::now() < schedule.exitBy) co_await pauseFor(kCheckInterval);
   hasLeft_ = true;
 }
 
-// A request that crosses this close on its way is never read, and its caller learns so by the
-// reset. What came before the close is there to be seen, and is read and answered.
-void Relay::closeIdle() {
-  for (const auto& weak : open_) {
+// Closes connections without a request. A request that is in transit at that moment is never read,
+// and the connection reset tells its caller so. Bytes that arrived before the close are visible
+// here; their request is read and answered.
+void Relay::closeIdleCallers() {
+  for (const auto& weak : callerList_) {
     const auto caller = weak.lock();
     ErrorCode code;
     if (caller && caller->isIdle && !hasBytes(caller->socket)) caller->socket.close(code);
   }
 }
 
+// True if a request is in progress or has arrived.
 bool Relay::isBusy() const {
-  return std::any_of(open_.begin(), open_.end(), [](const auto& weak) {
+  return std::any_of(callerList_.begin(), callerList_.end(), [](const auto& weak) {
     const auto caller = weak.lock();
     return caller && caller->socket.is_open() && (!caller->isIdle || hasBytes(caller->socket));
   });
 }
 
-// Each caller gets the answer that is true of its request; an answer that has begun is cut.
-void Relay::endTries() {
-  for (const auto& weak : open_) {
+// Aborts all attempts. Each caller gets the response that is true of its request; a response that
+// has started is truncated.
+void Relay::abortAttempts() {
+  for (const auto& weak : callerList_) {
     const auto caller = weak.lock();
-    if (caller && caller->endTry) caller->endTry();
+    if (caller && caller->abortAttempt) caller->abortAttempt();
   }
 }
 
--- a/src/relay/leaving.h
+++ b/src/relay/leaving.h
@@ -1,19 +1,23 @@
 #pragma once
-// When a relay that was told to end does what. Pure: the signal's instant and the grace in,
-// instants out; front.cpp acts by them.
+// The schedule of a graceful shutdown. A pure function of the time of the signal and the grace
+// period; leaving.cpp acts on it.
 #include "base/clock.h"
 
 namespace quayrill {
 
-// In this order, whatever the grace.
+// The stages of a graceful shutdown. Their order is the same for any grace period.
 struct LeaveSchedule {
-  Instant refusesFrom{};  // requests read later are refused unrun: they might not end in time
-  Instant mayEndFrom{};   // not sooner, so that whoever still comes gets a refusal and no reset
-  Instant endsAt{};       // what still runs gets its final answer now
-  Instant goneBy{};       // whoever has not taken that answer by now never gets it
+  // Requests read from now on are rejected without being run, as they might not finish in time.
+  Instant rejectFrom{};
+  // Not earlier, so that late callers get a rejection instead of a connection reset.
+  Instant earliestExit{};
+  // Requests still running get a final response now.
+  Instant abortAt{};
+  // Callers that have not read that response by now will not get it.
+  Instant exitBy{};
 };
 
-// `grace`: from the signal to the kill, of any length.
+// `grace`: the time between the signal and the forced kill, of any length.
 LeaveSchedule leaveSchedule(Instant signalAt, Duration grace);
 
 }  // namespace quayrill
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,4 +1,4 @@
-// One request's way through the relay: places, tries, and what each end of a try means.
+// Runs one request over its attempts: places it, evaluates each attempt, and decides on retries.
 #include "relay/relay.h"
 
 #include <glog/logging.h>
@@ -13,40 +13,39 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Ours: from a request's sending to its first token, as a rule. One that waits longer is ended when
-// its server's weights may be begun on no more.
-constexpr Duration kBeginsWithin = 2s;
-// Ours: from a server's first token until it is seen here, and from a close here until the server
-// knows of it.
-constexpr Duration kBeginningSlack = 200ms;
-constexpr Duration kSilentSlack = 400ms;  // ours: beyond the route's target for a first event
+// The usual upper limit for the time between sending a request and its first token. A request that
+// waits longer is aborted when its server's weights may no longer be used for new responses.
+constexpr Duration kExpectedStartDelay = 2s;
+// Covers the time from a server's first token until it arrives here, and from a close here
+// until the server notices it.
+constexpr Duration kStartDeadlineMargin = 200ms;
+constexpr Duration kFirstEventSlack = 400ms;  // added to the route's target for the first event
 }  // namespace
 
-// One try for operators: how it ended, and what was expected where it was placed.
-std::string describeTry(const Placed& placed, const TryResult& result) {
+std::string describeAttempt(const PlacementResult& placed, const AttemptResult& result) {
   const Candidate& chosen = placed.chosen;
-  const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.firstAfter);
-  std::string text = placed.chosenServer.name.value + " " + tryEndName(result.end) + " " +
-                     result.detail + ", " + placed.reason;
+  const auto first = std::chrono::duration_cast<std::chrono::milliseconds>(result.timeToFirstEvent);
+  std::string text = placed.chosenServer.name.value + " " + attemptOutcomeName(result.outcome) +
+                     " " + result.detail + ", " + placed.reason;
   text += ", matched " + std::to_string(placed.matchedTokens) + "/" +
           std::to_string(placed.promptTokens);
-  text += ", waiting " + std::to_string(std::llround(chosen.unreadTokens)) + ", expected " +
+  text += ", waiting " + std::to_string(std::llround(chosen.pendingPrefillTokens)) + ", expected " +
           std::to_string(std::llround(chosen.expectedTokens)) + " of at least " +
-          std::to_string(std::llround(placed.leastExpected)) + " tokens";
+          std::to_string(std::llround(placed.minExpectedTokens)) + " tokens";
   if (!placed.fetchFrom.value.empty()) text += ", from " + placed.fetchFrom.value;
   return text + ", first " + std::to_string(first.count()) + " ms";
 }
 
-const char* tryEndName(TryEnd end) {
+const char* attemptOutcomeName(AttemptOutcome outcome) {
   static constexpr const char* kNames[] = {"never sent", "not run", "unknown",    "silent",
                                            "done",       "cut",     "caller gone"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
-void Relay::takeSnapshot(Snapshot told, Instant askedAt) {
-  asio::post(io_, [this, told = std::move(told), askedAt] {
-    auto next =
-        std::make_shared<ProxyView>(nextView(*view_, told, askedAt, dialect_.readConfiguration));
+void Relay::applySnapshot(Snapshot snapshot, Instant requestedAt) {
+  asio::post(io_, [this, snapshot = std::move(snapshot), requestedAt] {
+    auto next = std::make_shared<ProxyView>(
+        nextView(*view_, snapshot, requestedAt, dialect_.readConfiguration));
     if (next->configurationVersion != view_->configurationVersion) {
       ++counters_.configurationChanges;
       const auto& stores = next->configuration->stores;
@@ -55,116 +54,127 @@
       else
         placement_.setStore(stores.begin()->second.address, stores.begin()->second.cacheTokens);
     }
-    // The platform's list tells no load; what answers show stays.
+    // The platform's list does not report load; keeps the load that responses reported.
     for (ServerState& server : next->servers) server.polledAt = Instant{};
     view_ = std::move(next);
-    viewRows_.clear();
-    for (std::size_t i = 0; i < view_->servers.size(); ++i) viewRows_[view_->servers[i].name] = i;
+    serverRows_.clear();
+    for (std::size_t i = 0; i < view_->servers.size(); ++i) serverRows_[view_->servers[i].name] = i;
     placement_.setServers(view_->servers);
     const Instant now = BootClock::now();
-    pool_.sweep(now);
-    keepBudgets(told.proxies, now);
-    std::erase_if(signs_, [this](const auto& row) { return !viewRows_.contains(row.first); });
+    pool_.closeExpired(now);
+    updateRetryBudgets(snapshot.proxies, now);
+    std::erase_if(lastActivity_,
+                  [this](const auto& row) { return !serverRows_.contains(row.first); });
   });
 }
 
-void Relay::keepBudgets(std::size_t daemons, Instant now) {
-  slackShare_.note(daemons, now);
-  budgets_.setSlack(slackShare_.of(static_cast<double>(settings_.retryHeadroom), now));
-  budgets_.forgetIdle(now);
+void Relay::updateRetryBudgets(std::size_t daemons, Instant now) {
+  retrySlack_.noteDaemons(daemons, now);
+  budgets_.setSlack(retrySlack_.shareOf(static_cast<double>(settings_.retryHeadroom), now));
+  budgets_.removeIdle(now);
 }
 
-std::shared_ptr<Instant> Relay::signsOf(const ServerName& server) {
-  auto& signs = signs_[server];
-  if (!signs) signs = std::make_shared<Instant>();
-  return signs;
+std::shared_ptr<Instant> Relay::lastActivityOf(const ServerName& server) {
+  auto& lastActivity = lastActivity_[server];
+  if (!lastActivity) lastActivity = std::make_shared<Instant>();
+  return lastActivity;
 }
 
-// Asked right before a request's first byte leaves: what let it in must still stand.
-bool Relay::mayRun(const RelayRequest& job, const ServerState& server) const {
-  const auto& seen = *view_;
-  if (ending_) return false;
-  if (!seen.configuration || BootClock::now() - seen.confirmedAt >= settings_.stalenessLimit)
+// Called right before the first byte of a request is sent: everything that admitted the request
+// must still hold.
+bool Relay::isStillAllowed(const RelayRequest& job, const ServerState& server) const {
+  const auto& currentView = *view_;
+  if (isAborting_) return false;
+  if (!currentView.configuration ||
+      BootClock::now() - currentView.confirmedAt >= settings_.stalenessLimit)
     return false;
   if (job.needsKey) {
-    const auto owner = seen.configuration->tenantByKeyDigest.find(job.keyDigest);
-    if (owner == seen.configuration->tenantByKeyDigest.end() || owner->second != job.tenant)
+    const auto owner = currentView.configuration->tenantByKeyDigest.find(job.keyDigest);
+    if (owner == currentView.configuration->tenantByKeyDigest.end() || owner->second != job.tenant)
       return false;
   }
-  const auto row = viewRows_.find(server.name);
-  if (row == viewRows_.end()) return false;
-  const ServerState& now = seen.servers[row->second];
+  const auto row = serverRows_.find(server.name);
+  if (row == serverRows_.end()) return false;
+  const ServerState& now = currentView.servers[row->second];
   return !now.leaving && now.identity == server.identity &&
-         mayBeginUntil(server) > BootClock::now();
+         startDeadline(server) > BootClock::now();
 }
 
-// By the weights that a request for that server asks for.
-Instant Relay::mayBeginUntil(const ServerState& server) const {
-  const Instant until = view_->usableUntil(server, settings_.rolloutTimeLimit);
-  return until == Instant::max() || until == Instant::min() ? until : until - kBeginningSlack;
+// The time until which a response may start, given the weights that the request asks the
+// server for.
+Instant Relay::startDeadline(const ServerState& server) const {
+  const Instant usableUntil = view_->usableUntil(server, settings_.rolloutTimeLimit);
+  return usableUntil == Instant::max() || usableUntil == Instant::min()
+             ? usableUntil
+             : usableUntil - kStartDeadlineMargin;
 }
 
-std::optional<Placed> Relay::place(const RelayRequest& job, const std::set<ServerName>& tried) {
-  PlacementAsked asked{job.model, job.tenant, job.wall, job.prefix, tried};
-  std::vector<SplitShare> left = job.split;
+std::optional<PlacementResult> Relay::place(const RelayRequest& job,
+                                            const std::set<ServerName>& tried) {
+  PlacementRequest request{job.model, job.tenant, job.isolationSalt, job.prefix, tried};
+  std::vector<SplitShare> shares = job.split;
   const Instant now = BootClock::now();
-  // What is sent now may wait at the server before it begins.
-  asked.mayUse = [this, now](const ServerState& server) {
-    return mayBeginUntil(server) > now + kBeginsWithin;
+  // A request sent now may have to wait at the server before its response starts.
+  request.isAllowed = [this, now](const ServerState& server) {
+    return startDeadline(server) > now + kExpectedStartDelay;
   };
-  while (!left.empty()) {
+  while (!shares.empty()) {
     std::uint64_t sum = 0;
-    for (const SplitShare& share : left) sum += share.weight;
+    for (const SplitShare& share : shares) sum += share.weight;
     if (sum == 0) break;
-    std::uint64_t drawn = random_() % sum;
-    auto chosen = left.begin();
-    while (drawn >= chosen->weight) drawn -= (chosen++)->weight;
-    asked.service = chosen->service;
-    if (auto placed = placement_.place(asked, now)) return placed;
-    left.erase(chosen);
+    std::uint64_t pick = random_() % sum;
+    auto chosen = shares.begin();
+    while (pick >= chosen->weight) pick -= (chosen++)->weight;
+    request.service = chosen->service;
+    if (auto placed = placement_.place(request, now)) return placed;
+    shares.erase(chosen);
   }
   return std::nullopt;
 }
 
-void Relay::noteOutcome(const ServerState& server, const TryResult& result) {
+void Relay::applyOutcome(const ServerState& server, const AttemptResult& result) {
   const Instant now = BootClock::now();
-  switch (result.end) {
-    case TryEnd::Done:
-    case TryEnd::CallerGone:
-      if (result.end == TryEnd::Done) placement_.noteAnswer(server.name, now);
+  switch (result.outcome) {
+    case AttemptOutcome::Done:
+    case AttemptOutcome::CallerGone:
+      if (result.outcome == AttemptOutcome::Done) placement_.noteSuccess(server.name, now);
       break;
-    case TryEnd::Silent:
+    case AttemptOutcome::Silent:
       placement_.noteFailure(server.name, now);
-      pool_.forget(server.name);
+      pool_.dropIdle(server.name);
       break;
-    case TryEnd::NeverSent:
-      // Where a connection came up, what stopped the request was not the server.
+    case AttemptOutcome::NeverSent:
+      // If a connection was established, the server is not the reason that nothing was sent.
       if (!result.isUnreachable) break;
       placement_.noteFailure(server.name, now);
-      pool_.forget(server.name);
+      pool_.dropIdle(server.name);
       break;
-    case TryEnd::NotRun:
-    case TryEnd::Unknown:
-    case TryEnd::Cut:
+    case AttemptOutcome::NotRun:
+    case AttemptOutcome::Unknown:
+    case AttemptOutcome::Cut:
       break;
   }
 }
 
+// Returns the response that is still to be sent to the caller; nullopt if nothing more is to be
+// sent.
 awaitable<std::optional<HttpResponse>> Relay::run(const std::shared_ptr<Caller>& caller,
                                                   const RelayRequest& job, bool keepAlive) {
   std::set<ServerName> tried, sentTo;
-  AnswerSoFar soFar;
-  if (job.resumesAfter > 0) soFar.lastEventId = job.resumesAfter;
-  // arrivals: sends that may have reached a server. mayHaveRun only rises: while it is false,
-  // refusing the request is the truth.
-  std::size_t arrivals = 0, neverSent = 0;
-  bool mayHaveRun = false, isCounted = false;
-  std::string lastDetail = "no server is free", trail;
+  ResponseProgress progress;
+  if (job.resumeAfter > 0) progress.lastEventId = job.resumeAfter;
+  // sentAttempts counts attempts that may have reached a server, uncountedAttempts those that do
+  // not count against the route's limit of servers. mayHaveRun never returns to false: as long as
+  // it is false, the request can be rejected as not run.
+  std::size_t sentAttempts = 0, uncountedAttempts = 0;
+  bool mayHaveRun = false, isCountedInBudget = false;
+  std::string lastDetail = "no server is free", attemptLog;
   std::optional<HttpResponse> failure;
-  TryEnd lastEnd = TryEnd::NeverSent;
-  const bool triesFurther = settings_.mechanisms.isEnabled(Mechanism::Retries);
-  const std::size_t most = triesFurther ? std::max<std::size_t>(1, job.policy.tries) : 1;
-  while (BootClock::now() < job.deadline && neverSent < 4 && !caller->isGone && !ending_) {
+  AttemptOutcome lastOutcome = AttemptOutcome::NeverSent;
+  const bool mayRetry = settings_.mechanisms.isEnabled(Mechanism::Retries);
+  const std::size_t maxServers = mayRetry ? std::max<std::size_t>(1, job.policy.tries) : 1;
+  while (BootClock::now() < job.deadline && uncountedAttempts < 4 && !caller->isDisconnected &&
+         !isAborting_) {
     const auto placed = place(job, tried);
     if (!placed) break;
     const ServerState& server = placed->chosenServer;
@@ -172,73 +182,75 @@
     ScopeExit release([this, alive = alive_, ticket = placed->ticket, &ran] {
       if (*alive) placement_.release(ticket, ran, BootClock::now());
     });
-    // One that said what it lacked may be asked again; each other one counts.
-    if (sentTo.size() >= most && !sentTo.contains(server.name)) break;
+    // The same server may be used again after it said what it expects; each other server counts.
+    if (sentTo.size() >= maxServers && !sentTo.contains(server.name)) break;
     Instant firstDeadline = job.deadline;
     const Instant now = BootClock::now();
-    if (!isCounted) budgets_.countRequest(server.service, now);
-    isCounted = true;
-    if (arrivals > 0 && !budgets_.couldTakeExtra(server.service, now)) break;
-    if (job.policy.repeatable && sentTo.size() + 1 < most &&
-        budgets_.couldTakeExtra(server.service, now))
+    if (!isCountedInBudget) budgets_.countRequest(server.service, now);
+    isCountedInBudget = true;
+    if (sentAttempts > 0 && !budgets_.canTakeRetry(server.service, now)) break;
+    if (job.policy.repeatable && sentTo.size() + 1 < maxServers &&
+        budgets_.canTakeRetry(server.service, now))
       firstDeadline =
-          std::min(firstDeadline, now + Duration(job.policy.firstEventTarget) + kSilentSlack);
+          std::min(firstDeadline, now + Duration(job.policy.firstEventTarget) + kFirstEventSlack);
     ran = true;
-    TryResult result = co_await attempt(caller, job, *placed, &soFar,
-                                        TryAsked{firstDeadline, keepAlive, arrivals > 0});
-    lastEnd = result.end;
+    AttemptResult result =
+        co_await attempt(caller, job, *placed, &progress,
+                         AttemptOptions{firstDeadline, keepAlive, sentAttempts > 0});
+    lastOutcome = result.outcome;
     lastDetail = result.detail;
-    ran = result.end != TryEnd::NeverSent && result.end != TryEnd::NotRun;
-    noteOutcome(server, result);
+    ran = result.outcome != AttemptOutcome::NeverSent && result.outcome != AttemptOutcome::NotRun;
+    applyOutcome(server, result);
     counters_.promptTokens += placed->promptTokens;
     counters_.matchedTokens += placed->matchedTokens;
-    trail += (trail.empty() ? "" : "; ") + describeTry(*placed, result);
-    if (result.end == TryEnd::Done || result.end == TryEnd::CallerGone) break;
-    if (result.isOverBudget) break;
-    if (result.end == TryEnd::NeverSent) {
-      ++neverSent;
+    attemptLog += (attemptLog.empty() ? "" : "; ") + describeAttempt(*placed, result);
+    if (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::CallerGone)
+      break;
+    if (result.isRetryBudgetSpent) break;
+    if (result.outcome == AttemptOutcome::NeverSent) {
+      ++uncountedAttempts;
       tried.insert(server.name);
       continue;
     }
-    if (arrivals > 0) ++counters_.retries;
-    ++arrivals;
+    if (sentAttempts > 0) ++counters_.retries;
+    ++sentAttempts;
     sentTo.insert(server.name);
-    if (result.end == TryEnd::NotRun && result.retrySame) {
-      if (++neverSent >= 3) break;
-      continue;  // the same server, by what it just said
+    if (result.outcome == AttemptOutcome::NotRun && result.retrySameServer) {
+      if (++uncountedAttempts >= 3) break;
+      continue;  // the same server, with what it just reported
     }
     tried.insert(server.name);
     failure = std::move(result.failure);
-    if (result.end == TryEnd::NotRun) continue;
+    if (result.outcome == AttemptOutcome::NotRun) continue;
     mayHaveRun = true;
     if (!job.policy.repeatable) break;
-    const bool canGoOn = job.policy.isResumable && soFar.isPlaced;
-    if (soFar.headSent && !canGoOn) break;
+    const bool canContinue = job.policy.isResumable && progress.canResume;
+    if (progress.headSent && !canContinue) break;
   }
-  if (lastEnd == TryEnd::Done) {
+  if (lastOutcome == AttemptOutcome::Done) {
     ++counters_.completed;
-    record(job, trail, "done");
+    recordDecision(job, attemptLog, "done");
     co_return std::nullopt;
   }
-  if (lastEnd == TryEnd::CallerGone || caller->isGone) {
+  if (lastOutcome == AttemptOutcome::CallerGone || caller->isDisconnected) {
     ++counters_.callerDisconnected;
-    caller->isGone = true;
-    record(job, trail, "caller gone");
+    caller->isDisconnected = true;
+    recordDecision(job, attemptLog, "caller gone");
     co_return std::nullopt;
   }
-  if (soFar.headSent) {  // nothing may follow but the close: a cut answer never looks complete
+  if (progress.headSent) {  // closes without an end mark: a truncated response never looks complete
     ++counters_.truncated;
     ErrorCode code;
     caller->socket.close(code);
-    record(job, trail, "cut");
+    recordDecision(job, attemptLog, "cut");
     co_return std::nullopt;
   }
   if (!mayHaveRun) {
-    record(job, trail, "refused");
-    co_return refuse(ErrorKind::Rejected, lastDetail, job.id.value);
+    recordDecision(job, attemptLog, "refused");
+    co_return reject(ErrorKind::Rejected, lastDetail, job.id.value);
   }
   ++counters_.outcomeUnknown;
-  record(job, trail, "unknown");
+  recordDecision(job, attemptLog, "unknown");
   if (failure) co_return std::move(*failure);
   const bool late = BootClock::now() >= job.deadline;
   const ErrorKind kind =
@@ -246,14 +258,14 @@
           ? (late ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
           : (late ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
   HttpResponse response =
-      refuse(kind, "the request may have run (" + lastDetail + ")", job.id.value);
+      reject(kind, "the request may have run (" + lastDetail + ")", job.id.value);
   if (job.policy.repeatable) response.set(http::field::retry_after, "0.2");
   co_return response;
 }
 
-void Relay::record(const RelayRequest& job, const std::string& tries, const char* outcome) {
+void Relay::recordDecision(const RelayRequest& job, const std::string& tries, const char* outcome) {
   const auto took =
-      std::chrono::duration_cast<std::chrono::milliseconds>(BootClock::now() - job.begun);
+      std::chrono::duration_cast<std::chrono::milliseconds>(BootClock::now() - job.startedAt);
   decisions_.add(job.id.value, "{\"decision\":\"request\",\"request\":\"" + job.id.value +
                                    "\",\"tenant\":\"" + job.tenant.value + "\",\"outcome\":\"" +
                                    outcome + "\",\"took_ms\":" + std::to_string(took.count()) +
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -1,12 +1,13 @@
-// The head of a request as a server gets it.
+// Builds the head of a request as it is sent to a server.
 #include "relay/header_text.h"
 #include "relay/relay.h"
 
 namespace quayrill {
 
 namespace {
-// What is soon read goes first among requests of like priority: it hardly holds the others up.
-unsigned urgencyOf(const RelayRequest& job, const Placed& placed) {
+// The less there is to prefill, the more urgent a request is among those of equal priority, because
+// it delays the others very little.
+unsigned urgencyOf(const RelayRequest& job, const PlacementResult& placed) {
   unsigned steps = 0;
   for (std::size_t unread = placed.promptTokens - placed.matchedTokens; unread > 1000; unread /= 2)
     ++steps;
@@ -14,38 +15,45 @@
 }
 }  // namespace
 
-std::string Relay::requestHead(const RelayRequest& job, const Placed& placed, Instant now,
-                               const AnswerSoFar& soFar) const {
+std::string Relay::requestHead(const RelayRequest& job, const PlacementResult& placed, Instant now,
+                               const ResponseProgress& progress) const {
   const HttpRequest& original = job.original;
   const ServerState& server = placed.chosenServer;
   std::string head;
   head.reserve(1024);
   head.append(view(original.method_string())).append(" ").append(view(original.target()));
   head.append(" HTTP/1.1\r\n");
-  const std::string named = std::string(view(original[http::field::connection]));
+  const std::string connectionHeader = std::string(view(original[http::field::connection]));
   for (const auto& field : original) {
     const std::string_view name = view(field.name_string());
-    if (isOfConnection(name) || (!named.empty() && named.find(name) != std::string::npos)) continue;
-    bool isOurs = false;
+    if (isHopByHop(name) ||
+        (!connectionHeader.empty() && connectionHeader.find(name) != std::string::npos))
+      continue;
+    bool isReplaced = false;
     for (const std::string* own :
-         {&names_.key, &names_.tenant, &names_.identityWanted, &names_.weightsWanted, &names_.salt,
-          &names_.fetchSource, &names_.keepAt, &names_.urgency, &names_.dueMs, &names_.lastEventId})
-      isOurs = isOurs || isSameName(name, *own);
-    if (!isOurs) addHeader(&head, name, view(field.value()));
+         {&headerNames_.key, &headerNames_.tenant, &headerNames_.identityWanted,
+          &headerNames_.weightsWanted, &headerNames_.salt, &headerNames_.fetchSource,
+          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.dueMs,
+          &headerNames_.lastEventId})
+      isReplaced = isReplaced || isSameHeaderName(name, *own);
+    if (!isReplaced) addHeader(&head, name, view(field.value()));
   }
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, names_.dueMs, std::to_string(std::max<std::int64_t>(1, left.count())));
-  addHeader(&head, names_.identityWanted, server.identity.value);
-  if (!server.weights.value.empty()) addHeader(&head, names_.weightsWanted, server.weights.value);
-  if (job.needsKey) addHeader(&head, names_.tenant, job.tenant.value);
-  // No two versions and no two walls share a salt, so no match and no fetch leads across: servers
-  // and stores check neither.
-  addHeader(&head, names_.salt, saltText(server.weights, job.wall).value);
+  const auto timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
+  addHeader(&head, headerNames_.dueMs, std::to_string(std::max<std::int64_t>(1, timeLeft.count())));
+  addHeader(&head, headerNames_.identityWanted, server.identity.value);
+  if (!server.weights.value.empty())
+    addHeader(&head, headerNames_.weightsWanted, server.weights.value);
+  if (job.needsKey) addHeader(&head, headerNames_.tenant, job.tenant.value);
+  // Salts differ between weights versions and between isolated tenants, so no match or fetch
+  // crosses either boundary. Servers and stores check neither themselves.
+  addHeader(&head, headerNames_.salt, scopedCacheSalt(server.weights, job.isolationSalt).value);
   if (settings_.mechanisms.isEnabled(Mechanism::Urgency))
-    addHeader(&head, names_.urgency, std::to_string(urgencyOf(job, placed)));
-  if (!placed.fetchFrom.value.empty()) addHeader(&head, names_.fetchSource, placed.fetchFrom.value);
-  if (!placed.keepAt.value.empty()) addHeader(&head, names_.keepAt, placed.keepAt.value);
-  if (soFar.lastEventId) addHeader(&head, names_.lastEventId, std::to_string(*soFar.lastEventId));
+    addHeader(&head, headerNames_.urgency, std::to_string(urgencyOf(job, placed)));
+  if (!placed.fetchFrom.value.empty())
+    addHeader(&head, headerNames_.fetchSource, placed.fetchFrom.value);
+  if (!placed.storeTo.value.empty()) addHeader(&head, headerNames_.keepAt, placed.storeTo.value);
+  if (progress.lastEventId)
+    addHeader(&head, headerNames_.lastEventId, std::to_string(*progress.lastEventId));
   const bool hasBody = !original.body().empty() || original.method() == http::verb::post ||
                        original.method() == http::verb::put ||
                        original.method() == http::verb::patch;
--- /dev/null
+++ b/src/relay/response.cpp
@@ -0,0 +1,210 @@
+// Reads the response of a server to one attempt: whose it is, what it says, and its events, which
+// are forwarded to the caller.
+#include <charconv>
+
+#include "relay/attempt.h"
+#include "relay/header_text.h"
+#include "relay/response_owner.h"
+
+namespace quayrill {
+
+using namespace std::chrono_literals;
+
+namespace {
+constexpr std::size_t kMaxResponseBytes = 16 << 20;
+constexpr std::size_t kMaxEventBytes = 1 << 20;
+// More responses to other requests than this mean that the server is out of sync.
+constexpr int kMaxStrayResponses = 16;
+
+// Encodes a chunk of the chunked transfer coding.
+std::string encodeChunk(std::string_view bytes) {
+  char size[24];
+  const auto [end, error] = std::to_chars(size, size + sizeof size, bytes.size(), 16);
+  (void)error;
+  std::string chunk(size, end);
+  return chunk.append("\r\n").append(bytes).append("\r\n");
+}
+}  // namespace
+
+// Updates load and weights of the server from a response.
+void Relay::applyResponseHeaders(const ServerState& server, const http::response_header<>& head) {
+  const Instant now = BootClock::now();
+  const auto load = parseNumbers(view(head[headerNames_.load]));
+  if (load.size() == 3) placement_.noteLoad(server.name, load[0], load[1], load[2], now);
+  const auto weights = parseNumbers(view(head[headerNames_.weights]));
+  if (!weights.empty())
+    placement_.noteWeights(server.name, server.identity,
+                           WeightsVersion{std::to_string(weights.back())});
+}
+
+// Reads the rest of a response that is not an event stream. Fails if the response breaks off.
+awaitable<absl::StatusOr<std::string>> Relay::readBody(Attempt& attempt) {
+  auto& parser = *attempt.parser;
+  std::string body;
+  char block[8192];
+  while (!parser.is_done()) {
+    ErrorCode code;
+    parser.get().body().data = block;
+    parser.get().body().size = sizeof block;
+    co_await http::async_read_some(attempt.connection->socket, attempt.connection->buffer, parser,
+                                   into(code));
+    if (code == http::error::need_buffer) code = {};
+    if (code) co_return absl::UnavailableError("answer: " + code.message());
+    body.append(block, sizeof block - parser.get().body().size);
+    if (body.size() > kMaxResponseBytes)
+      co_return absl::ResourceExhaustedError("an endless answer");
+  }
+  co_return body;
+}
+
+AttemptResult Relay::handleNotRun(const Attempt& attempt, const http::response_header<>& head) {
+  const ServerState& server = attempt.placed.chosenServer;
+  const unsigned status = head.result_int();
+  AttemptResult result{AttemptOutcome::NotRun, "the server answered " + std::to_string(status)};
+  // Status 421 with other weights than requested: the server reported those it has now, so the
+  // request may be sent to it again for these.
+  const bool isSameServer = head.find(headerNames_.identity) == head.end() ||
+                            view(head[headerNames_.identity]) == server.identity.value;
+  result.retrySameServer =
+      status == 421 && isSameServer && head.find(headerNames_.weights) != head.end();
+  if (status == 421 && !isSameServer) placement_.noteFailure(server.name, BootClock::now());
+  if (status != 421) placement_.noteRejection(server.name, BootClock::now());
+  return result;
+}
+
+// Reads responses until it finds the one to this request. Late responses to earlier requests may
+// come first and are identified by their ids. A response whose request cannot be determined is
+// skipped.
+awaitable<AttemptResult> Relay::readResponse(Attempt& attempt) {
+  Tcp::socket& socket = attempt.connection->socket;
+  beast::flat_buffer& buffer = attempt.connection->buffer;
+  ErrorCode code;
+  for (int skipped = 0; skipped < kMaxStrayResponses; ++skipped) {
+    attempt.parser.emplace();
+    auto& parser = *attempt.parser;
+    parser.body_limit(std::numeric_limits<std::uint64_t>::max());
+    parser.header_limit(32 << 10);
+    co_await http::async_read_header(socket, buffer, parser, into(code));
+    if (code) co_return AttemptResult{AttemptOutcome::Unknown, "answer: " + code.message()};
+    const auto& head = parser.get();
+    const unsigned status = head.result_int();
+    if (status / 100 == 1) continue;
+    const bool isFirst = attempt.connection->responsesRead == 0 && attempt.strayResponses == 0;
+    const ResponseOwner owner = responseOwner(head, headerNames_, attempt.job.id, isFirst);
+    if (owner == ResponseOwner::Malformed)
+      co_return AttemptResult{AttemptOutcome::Unknown, "answers run into one another"};
+    const bool isForRequest = owner == ResponseOwner::Request;
+    if (isForRequest) applyResponseHeaders(attempt.placed.chosenServer, head);
+    const bool isSuccess = status / 100 == 2;
+    const bool isSealed = headerNames_.seal.empty() || head.find(headerNames_.seal) != head.end();
+    if (isForRequest && isSuccess && !isSealed)
+      co_return AttemptResult{AttemptOutcome::Unknown, "a success without a seal"};
+    if (isForRequest && isSuccess && attempt.job.policy.isStream) {
+      attempt.watch->headReadAt = BootClock::now();
+      co_return co_await forwardEvents(attempt);
+    }
+    // Any other response is read completely before it is evaluated.
+    auto body = co_await readBody(attempt);
+    if (!body.ok())
+      co_return AttemptResult{AttemptOutcome::Unknown, std::string(body.status().message())};
+    const bool isNotRun = owner != ResponseOwner::Other && reportsNotRun(head, headerNames_);
+    if (isNotRun) co_return handleNotRun(attempt, head);
+    if (!isForRequest) {
+      ++attempt.strayResponses;
+      if (!parser.keep_alive()) break;
+      continue;
+    }
+    HttpResponse response;
+    response.result(status);
+    for (const auto& field : head) {
+      if (!isHopByHop(view(field.name_string())))
+        response.insert(field.name_string(), field.value());
+    }
+    response.body() = std::move(*body);
+    if (isSuccess) {
+      const bool written =
+          co_await sendResponse(attempt.caller, std::move(response), attempt.keepAlive);
+      co_return AttemptResult{written ? AttemptOutcome::Done : AttemptOutcome::CallerGone, "whole"};
+    }
+    AttemptResult result{AttemptOutcome::Unknown, "the server answered " + std::to_string(status)};
+    // Such a status promises that the request did not run; without the server's not-run header,
+    // that is not known.
+    if (!promisesNotRun(status)) result.failure = std::move(response);
+    co_return result;
+  }
+  co_return AttemptResult{AttemptOutcome::Unknown, "answers of others only"};
+}
+
+// Forwards the events of a successful response to the caller, each as soon as it is complete.
+awaitable<AttemptResult> Relay::forwardEvents(Attempt& attempt) {
+  Tcp::socket& socket = attempt.connection->socket;
+  auto& parser = *attempt.parser;
+  ResponseProgress& progress = *attempt.progress;
+  EventSplitter splitter(progress.lastEventId);
+  const bool hasNoLength = parser.need_eof();
+  AttemptResult result{AttemptOutcome::Cut, ""};
+  ErrorCode code;
+  char block[16384];
+  while (!parser.is_done()) {
+    parser.get().body().data = block;
+    parser.get().body().size = sizeof block;
+    co_await http::async_read_some(socket, attempt.connection->buffer, parser, into(code));
+    if (code == http::error::need_buffer) code = {};
+    // If the attempt has expired, no first event is forwarded: the rest of the response is lost.
+    if (attempt.watch->expired && !attempt.watch->hasStarted) code = asio::error::operation_aborted;
+    if (code) break;
+    *attempt.watch->lastActivity = BootClock::now();
+    const std::size_t got = sizeof block - parser.get().body().size;
+    const EventBatch batch = splitter.take({block, got});
+    if (splitter.rest().size() > kMaxEventBytes) break;
+    const bool isEnd = parser.is_done();
+    // If the connection ends within an event, the response is truncated, unless its framing says
+    // that it is complete.
+    if (isEnd && hasNoLength && !splitter.rest().empty()) {
+      code = http::error::partial_message;
+      break;
+    }
+    std::string events = batch.bytes;
+    if (isEnd) events += splitter.rest();
+    if (events.empty() && !isEnd) continue;
+    std::string bytes;
+    if (!progress.headSent) {
+      bytes = "HTTP/1.1 " + std::to_string(parser.get().result_int()) + " " +
+              std::string(view(parser.get().reason())) + "\r\n";
+      for (const auto& field : parser.get()) {
+        if (!isHopByHop(view(field.name_string())))
+          addHeader(&bytes, view(field.name_string()), view(field.value()));
+      }
+      addHeader(&bytes, "Transfer-Encoding", "chunked");
+      if (!keepsOpen(attempt.caller, attempt.keepAlive)) addHeader(&bytes, "Connection", "close");
+      bytes += "\r\n";
+      result.timeToFirstEvent = BootClock::now() - attempt.startedAt;
+    }
+    if (!events.empty()) bytes += encodeChunk(events);
+    if (isEnd) bytes += "0\r\n\r\n";
+    progress.headSent = true;
+    if (!attempt.watch->hasStarted)
+      placement_.notePrefillDone(attempt.placed.ticket, BootClock::now());
+    // From here on, only the deadline of the route ends the response.
+    attempt.watch->hasStarted = true;
+    attempt.watch->deadline = streamDeadline(attempt.job);
+    setDeadline(attempt.caller, streamDeadline(attempt.job));
+    ErrorCode written;
+    co_await asio::async_write(attempt.caller->socket, asio::buffer(bytes), into(written));
+    attempt.caller->deadline = Instant::max();
+    if (written) co_return AttemptResult{AttemptOutcome::CallerGone, written.message()};
+    progress.events += batch.events;
+    progress.lastEventId = splitter.lastId();
+    progress.canResume = splitter.canResume();
+  }
+  if (!code && parser.is_done()) {
+    result.outcome = AttemptOutcome::Done;
+    result.detail = std::to_string(progress.events) + " events";
+    co_return result;
+  }
+  result.detail = code ? code.message() : "an endless event";
+  result.outcome = progress.headSent ? AttemptOutcome::Cut : AttemptOutcome::Unknown;
+  co_return result;
+}
+
+}  // namespace quayrill
--- a/tests/boundary.h
+++ b/tests/boundary.h
@@ -1,26 +1,26 @@
 #pragma once
-// What the tests at every byte boundary share: answers as callers read them, and how the case that
-// failed is named.
+// Helpers for the tests that interrupt a response at every byte: parsing responses as a caller
+// does, and naming the failed case.
 #include "byte_server.h"
 
 namespace quayrill::tests {
 
-// An answer as a caller may take it, by HTTP's own framing.
-struct ReadAnswer {
+// A response as a caller would read it, according to HTTP framing.
+struct ParsedResponse {
   bool isWhole = false;
   unsigned status = 0;
-  std::string body;         // as far as it came
-  std::size_t surplus = 0;  // bytes behind its end
+  std::string body;         // as much of it as was received
+  std::size_t surplus = 0;  // bytes after its end
   std::string id, seal;
 };
 
-inline ReadAnswer readAnswer(const std::string& bytes, const std::string& idName,
-                             const std::string& sealName) {
+inline ParsedResponse parseResponse(const std::string& bytes, const std::string& idName,
+                                    const std::string& sealName) {
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   parser.eager(true);
   ErrorCode code;
-  ReadAnswer answer;
+  ParsedResponse answer;
   std::size_t used = 0;
   while (used < bytes.size() && !parser.is_done() && !code) {
     const std::size_t took =
@@ -39,13 +39,14 @@
   return answer;
 }
 
-inline bool isPromise(unsigned status) {
+// True for the statuses that promise the caller that the request did not run.
+inline bool isNotRunStatus(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-inline const char* breakName(Break breaks) {
+inline const char* faultName(Fault fault) {
   static constexpr const char* kNames[] = {"split", "closed", "reset", "garbled"};
-  return kNames[static_cast<std::size_t>(breaks)];
+  return kNames[static_cast<std::size_t>(fault)];
 }
 
 }  // namespace quayrill::tests
--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -1,5 +1,5 @@
 #pragma once
-// A server on loopback that answers byte for byte as scripted, for the tests of both data paths.
+// A server on loopback that responds byte for byte as scripted. Used by the tests of both proxies.
 #include <catch2/catch.hpp>
 #include <sstream>
 #include <thread>
@@ -10,22 +10,23 @@
 
 using namespace std::chrono_literals;
 
-// What follows a reply's cut.
-enum class Break { Not, Closes, Resets, Garbles };
+// How a reply continues after its cut: normally, with a close, with a reset, or with garbage.
+enum class Fault { None, Close, Reset, Garbage };
 
-// What a server sends for a request; afterwards it closes or waits for the next.
+// What a server sends in response to a request. Afterwards it closes or waits for the next request.
 struct Reply {
   std::string bytes;
   bool closes = false;
-  bool hangs = false;  // says nothing more until the other end closes
-  // Where the bytes stop until `ByteServer::pause` has returned.
+  bool hangs = false;  // sends nothing more until the other end closes
+  // The server pauses at this byte until `ByteServer::pause` has returned.
   std::size_t cut = std::string::npos;
-  Break breaks = Break::Not;
+  Fault fault = Fault::None;
 };
 
-// Bytes that no answer of HTTP holds anywhere.
+// Bytes that cannot occur in a valid HTTP response.
 inline const std::string kGarbage = "\x01\x02{]garbage[}\x7f\r\n\x03";
 
+// The value of a header; "" if it is missing.
 inline std::string headerIn(const std::string& head, const std::string& name) {
   const auto at = head.find("\r\n" + name + ": ");
   if (at == std::string::npos) return "";
@@ -33,24 +34,29 @@
   return head.substr(start, head.find("\r\n", start) - start);
 }
 
+// Encodes the parts as chunks.
 inline std::string chunked(const std::vector<std::string>& parts, bool ends = true) {
   std::ostringstream out;
   for (const std::string& part : parts) out << std::hex << part.size() << "\r\n" << part << "\r\n";
   if (ends) out << "0\r\n\r\n";
   return out.str();
 }
+// A server-sent event with that id.
 inline std::string event(int id) {
   return "id: " + std::to_string(id) + "\ndata: d" + std::to_string(id) + "\n\n";
 }
+// The head of a successful event stream in response to `request`.
 inline std::string streamHead(const std::string& request, const std::string& seal = "s1") {
   return "HTTP/1.1 200 OK\r\nX-Id: " + headerIn(request, "X-Id") + "\r\nX-Seal: " + seal +
          "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
+// A response without a stream, with a body of two bytes.
 inline std::string plain(const std::string& request, int status, const std::string& more = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nX-Id: " + headerIn(request, "X-Id") +
          "\r\n" + more + "Content-Length: 2\r\n\r\nno";
 }
 
+// The scripted server. `script` is called for each request, under `mutex`.
 struct ByteServer {
   using Script = std::function<Reply(int arrival, const std::string& request)>;
   asio::io_context& io;
@@ -60,16 +66,16 @@
   Script script;
   std::vector<std::string> requests;
   std::atomic<int> connections{0}, closed{0};
-  std::atomic<int> arrived{0};         // requests read, also those whose script still runs
-  std::weak_ptr<Tcp::socket> hanging;  // the connection that hung last
-  std::atomic<int> broken{0};          // of those closed: where a reply broke
-  // By the order of arrival: the number of the connection that each request came on.
-  std::vector<int> carriedBy;
-  // Answers once the head is in, and reads the body on when `readsOn` is set. What came then goes
-  // into `lateBytes`, until the connection ends.
-  std::atomic<bool> answersEarly{false}, readsOn{false};
-  std::string lateBytes;
-  // Called in the middle of a reply that has a cut.
+  std::atomic<int> arrived{0};  // requests read, including those whose script is still running
+  std::weak_ptr<Tcp::socket> hungSocket;  // the last connection whose reply hangs
+  std::atomic<int> faultyClosed{0};       // closed connections on which a reply had a fault
+  // In order of arrival: the number of the connection that carried each request.
+  std::vector<int> connectionNumbers;
+  // If respondsBeforeBody is set, responds after the head, and reads the body once mayReadBody is
+  // set. What arrives then is collected in trailingBytes until the connection ends.
+  std::atomic<bool> respondsBeforeBody{false}, mayReadBody{false};
+  std::string trailingBytes;
+  // Called at the cut of a reply.
   std::function<void()> pause = [] {};
 
   ByteServer(asio::io_context& context, Address at)
@@ -87,62 +93,65 @@
       asio::co_spawn(io, serve(std::move(socket), ++connections), asio::detached);
     }
   }
-  static awaitable<ErrorCode> readBody(Tcp::socket& socket, std::string* held, std::size_t size) {
+  static awaitable<ErrorCode> readBody(Tcp::socket& socket, std::string* buffered,
+                                       std::size_t size) {
     ErrorCode code;
-    if (held->size() < size)
-      co_await asio::async_read(socket, asio::dynamic_buffer(*held),
-                                asio::transfer_exactly(size - held->size()), into(code));
+    if (buffered->size() < size)
+      co_await asio::async_read(socket, asio::dynamic_buffer(*buffered),
+                                asio::transfer_exactly(size - buffered->size()), into(code));
     co_return code;
   }
-  // The bytes up to the cut, and how the rest fares. False: the connection is over.
+  // Sends the bytes up to the cut, then applies the fault. Returns false if the connection is
+  // finished.
   awaitable<bool> send(Tcp::socket& socket, const Reply& reply) {
     ErrorCode code;
     const std::size_t cut = std::min(reply.cut, reply.bytes.size());
     co_await asio::async_write(socket, asio::buffer(reply.bytes.data(), cut), into(code));
     if (code) co_return false;
     if (reply.cut == std::string::npos) co_return true;
-    // The end of a connection stays behind its bytes; a reset or a next piece need not.
-    if (reply.breaks == Break::Not || reply.breaks == Break::Resets) pause();
-    const std::string rest = reply.breaks == Break::Garbles ? kGarbage : reply.bytes.substr(cut);
-    if (reply.breaks == Break::Resets) {
+    // A close arrives after the bytes sent before it anyway. A reset or further bytes may be merged
+    // with them, so wait.
+    if (reply.fault == Fault::None || reply.fault == Fault::Reset) pause();
+    const std::string rest = reply.fault == Fault::Garbage ? kGarbage : reply.bytes.substr(cut);
+    if (reply.fault == Fault::Reset) {
       socket.set_option(asio::socket_base::linger(true, 0), code);
       socket.close(code);
     }
-    if (reply.breaks == Break::Not || reply.breaks == Break::Garbles)
+    if (reply.fault == Fault::None || reply.fault == Fault::Garbage)
       co_await asio::async_write(socket, asio::buffer(rest), into(code));
-    co_return !code && reply.breaks == Break::Not;
+    co_return !code && reply.fault == Fault::None;
   }
   awaitable<void> serve(Tcp::socket accepted, int number) {
-    const auto kept = std::make_shared<Tcp::socket>(std::move(accepted));
-    Tcp::socket& socket = *kept;
-    std::string held;
-    bool breaks = false;
+    const auto sharedSocket = std::make_shared<Tcp::socket>(std::move(accepted));
+    Tcp::socket& socket = *sharedSocket;
+    std::string buffered;
+    bool hadFault = false;
     for (;;) {
       ErrorCode code;
-      const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(held),
+      const auto size = co_await asio::async_read_until(socket, asio::dynamic_buffer(buffered),
                                                         "\r\n\r\n", into(code));
       if (code) break;
-      std::string request = held.substr(0, size);
-      held.erase(0, size);
+      std::string request = buffered.substr(0, size);
+      buffered.erase(0, size);
       const std::string length = headerIn(request, "Content-Length");
       const std::size_t body = length.empty() ? 0 : std::stoul(length);
-      const bool early = answersEarly;
+      const bool early = respondsBeforeBody;
       if (!early) {
-        code = co_await readBody(socket, &held, body);
+        code = co_await readBody(socket, &buffered, body);
         if (code) break;
-        request += held.substr(0, body);
-        held.erase(0, body);
+        request += buffered.substr(0, body);
+        buffered.erase(0, body);
       }
       Reply reply;
       ++arrived;
       {
         std::lock_guard lock(mutex);
         requests.push_back(request);
-        carriedBy.push_back(number);
+        connectionNumbers.push_back(number);
         reply = script(static_cast<int>(requests.size()), request);
-        if (reply.hangs) hanging = kept;
+        if (reply.hangs) hungSocket = sharedSocket;
       }
-      breaks = reply.breaks != Break::Not;
+      hadFault = reply.fault != Fault::None;
       if (!co_await send(socket, reply) || reply.closes) break;
       if (reply.hangs) {
         char byte;
@@ -150,37 +159,38 @@
         break;
       }
       if (early) {
-        while (!readsOn) co_await pauseFor(1ms);
-        co_await asio::async_read(socket, asio::dynamic_buffer(held), into(code));
+        while (!mayReadBody) co_await pauseFor(1ms);
+        co_await asio::async_read(socket, asio::dynamic_buffer(buffered), into(code));
         std::lock_guard lock(mutex);
-        lateBytes += held;
+        trailingBytes += buffered;
         break;
       }
     }
     ErrorCode ignored;
     socket.close(ignored);
     ++closed;
-    if (breaks) ++broken;
+    if (hadFault) ++faultyClosed;
   }
-  // Expires once it has been closed at the other end.
-  std::weak_ptr<Tcp::socket> hung() {
+  // Expires once the other end has closed it.
+  std::weak_ptr<Tcp::socket> hungConnection() {
     std::lock_guard lock(mutex);
-    return hanging;
+    return hungSocket;
   }
-  // On the connection that hung last.
+  // Sends bytes on the last connection whose reply hangs.
   void sendMore(std::string bytes) {
     asio::post(io, [this, bytes = std::move(bytes)] {
       ErrorCode code;
-      if (const auto socket = hung().lock()) asio::write(*socket, asio::buffer(bytes), code);
+      if (const auto socket = hungConnection().lock())
+        asio::write(*socket, asio::buffer(bytes), code);
     });
   }
-  std::vector<std::string> seen() {
+  std::vector<std::string> received() {
     std::lock_guard lock(mutex);
     return requests;
   }
-  void answer(Script next) {
+  void setScript(Script newScript) {
     std::lock_guard lock(mutex);
-    script = std::move(next);
+    script = std::move(newScript);
   }
 };
 
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -1,13 +1,14 @@
-// What callers may send and how long they may rest, and what the relay's own failures look like.
+// Tests of the limits on what callers may send and how long they may be idle, and of the error
+// responses that the relay itself creates.
 #include "relay_stage.h"
 
 using namespace quayrill;
 using namespace quayrill::tests;
 
 namespace {
-void tellAnew(RelayStage& stage) {
-  ++stage.told.configurationVersion;
-  stage.tell();
+void publishConfiguration(RelayStage& stage) {
+  ++stage.snapshot.configurationVersion;
+  stage.publishSnapshot();
 }
 
 std::string withBody(const std::string& id, const std::string& body) {
@@ -33,31 +34,31 @@
 TEST_CASE("limits: a body comes with a length or in chunks, up to its limit to the byte") {
   RelayStage stage(1);
   stage.configuration.callerLimits.bodyBytes = 10;
-  tellAnew(stage);
+  publishConfiguration(stage);
   const std::string counted = withBody("r1", "Content-Length: 10\r\n\r\n0123456789");
   const std::string chunks =
       withBody("r2", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n7\r\n3456789\r\n0\r\n\r\n");
-  CHECK(statusOf(RelayStage::ask(stage.callers, counted)) == 200);
-  CHECK(statusOf(RelayStage::ask(stage.callers, chunks)) == 200);
-  for (const std::string& request : stage.servers[0]->seen()) {
+  CHECK(statusOf(RelayStage::exchange(stage.callers, counted)) == 200);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, chunks)) == 200);
+  for (const std::string& request : stage.servers[0]->received()) {
     CHECK(headerIn(request, "Content-Length") == "10");
     CHECK(headerIn(request, "Transfer-Encoding").empty());
     CHECK(request.substr(request.size() - 14) == "\r\n\r\n0123456789");
   }
   const std::string over =
       withBody("r3", "Transfer-Encoding: chunked\r\n\r\n3\r\n012\r\n8\r\n34567890\r\n0\r\n\r\n");
-  CHECK(statusOf(RelayStage::ask(stage.callers, over)) == 413);
+  CHECK(statusOf(RelayStage::exchange(stage.callers, over)) == 413);
   CHECK(stage.arrivals() == 2);
 }
 
 TEST_CASE("limits: a refusal arrives although its caller goes on sending the body") {
   RelayStage stage(1);
   stage.configuration.callerLimits.bodyBytes = 10;
-  tellAnew(stage);
+  publishConfiguration(stage);
   const std::string body(900000, 'x');
   for (int i = 0; i < 5; ++i) {
     const std::string answer =
-        RelayStage::ask(stage.callers, withBody("r", "Content-Length: 900000\r\n\r\n" + body));
+        RelayStage::exchange(stage.callers, withBody("r", "Content-Length: 900000\r\n\r\n" + body));
     CHECK(statusOf(answer) == 413);
   }
   CHECK(stage.arrivals() == 0);
@@ -67,33 +68,33 @@
   RelayStage stage(1);
   stage.configuration.callerLimits.idleTimeout = 1500ms;
   stage.addRoute("/last/", false, 1);
-  tellAnew(stage);
+  publishConfiguration(stage);
   asio::io_context own;
   Tcp::socket socket(own);
   socket.connect(endpointOf(stage.callers));
   std::string bytes;
-  const auto askAgain = [&](const char* id) {
+  const auto requestAgain = [&](const char* id) {
     asio::write(socket, asio::buffer(RelayStage::request("/once/", id, "X-Key: key\r\n", false)));
     ErrorCode code;
     asio::read_until(socket, asio::dynamic_buffer(bytes), "\r\n0\r\n\r\n", code);
-    const bool isHere = !code && headerIn(bytes, "X-Id") == id;
+    const bool isAnswered = !code && headerIn(bytes, "X-Id") == id;
     bytes.clear();
-    return isHere;
+    return isAnswered;
   };
-  CHECK(askAgain("r1"));
-  stage.configuration.callerLimits.idleTimeout = 120s;  // while it rests
-  tellAnew(stage);
-  // Until the former limit is long over.
-  stage.all([](int, const std::string& request) {
+  CHECK(requestAgain("r1"));
+  stage.configuration.callerLimits.idleTimeout = 120s;  // while the connection is idle
+  publishConfiguration(stage);
+  // Waits until the former limit has passed.
+  stage.setScript([](int, const std::string& request) {
     if (headerIn(request, "X-Id") == "last") return Reply{"", false, true};
     return Reply{streamHead(request) + chunked({event(1)})};
   });
   CHECK(statusOf(stage.post("/last/", "last", "X-Key: key\r\nX-Due: 2500\r\n")) == 504);
-  stage.tell();  // the configuration is to be confirmed lately
-  CHECK(askAgain("r2"));
+  stage.publishSnapshot();  // confirms the configuration again
+  CHECK(requestAgain("r2"));
   stage.configuration.callerLimits.idleTimeout = 300ms;
-  tellAnew(stage);
-  CHECK(askAgain("r3"));
+  publishConfiguration(stage);
+  CHECK(requestAgain("r3"));
   ErrorCode code;
   asio::read(socket, asio::dynamic_buffer(bytes), code);
   CHECK(code == asio::error::eof);
@@ -103,8 +104,8 @@
 TEST_CASE("limits: no failure of the relay's own bears a seal, a server's own keeps its") {
   RelayStage stage(1);
   stage.configuration.policies.at(PolicyName{"/once/"}).timeout = 200ms;
-  tellAnew(stage);
-  stage.all([](int arrival, const std::string& request) {
+  publishConfiguration(stage);
+  stage.setScript([](int arrival, const std::string& request) {
     const std::string seal = "X-Seal: s" + std::to_string(arrival) + "\r\n";
     if (arrival == 1) return Reply{plain(request, 500, seal)};
     if (arrival == 2) return Reply{plain(request, 503, "X-Not-Run: 1\r\n" + seal)};
@@ -120,7 +121,7 @@
       {504, stage.post("/once/", "r4")},
       {401, stage.post("/once/", "r5", "X-Key: none\r\n")},
       {404, stage.post("/nowhere/", "r6")},
-      {400, RelayStage::ask(stage.callers, "nonsense\r\n\r\n")}};
+      {400, RelayStage::exchange(stage.callers, "nonsense\r\n\r\n")}};
   for (const auto& [status, answer] : failures) {
     CHECK(statusOf(answer) == status);
     CHECK(headerIn(answer, "X-Seal").empty());
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -1,4 +1,4 @@
-// Not a check: the slopes that docs/CAPACITY.md works with. Run it by name,
+// Benchmarks, not tests: measure the cost figures used in docs/CAPACITY.md. Run them by name with
 // `quayrill_tests "[capacity]"`, from a Release build.
 #include <malloc.h>
 
@@ -23,10 +23,10 @@
 }
 
 template <class Work>
-double microsOf(std::size_t rounds, Work work) {
-  const Instant begun = BootClock::now();
+double microsPerRound(std::size_t rounds, Work work) {
+  const Instant start = BootClock::now();
   for (std::size_t i = 0; i < rounds; ++i) work();
-  const auto span = std::chrono::duration<double, std::micro>(BootClock::now() - begun);
+  const auto span = std::chrono::duration<double, std::micro>(BootClock::now() - start);
   return span.count() / static_cast<double>(rounds);
 }
 
@@ -46,11 +46,12 @@
   return servers;
 }
 
-// A shared part of 100 blocks, one of some hundreds of variants, and an own part.
+// Requests with a shared part of 100 blocks, one of 300 variants per shared part, and a part of
+// their own.
 struct Traffic {
   std::mt19937_64 random{1};
   std::size_t models = 1, ownTokens = 64, shared = 30;
-  PlacementAsked next() {
+  PlacementRequest next() {
     const std::string rules = std::to_string(random() % shared);
     const std::string variant = std::to_string(random() % 300);
     const auto prefix =
@@ -62,7 +63,7 @@
 
 std::size_t blocksIn(const Placement& placement, const std::vector<ServerState>& servers) {
   std::size_t blocks = 0;
-  for (const ServerState& server : servers) blocks += placement.blocksHeld(server.name);
+  for (const ServerState& server : servers) blocks += placement.indexedBlocks(server.name);
   return blocks;
 }
 
@@ -120,16 +121,16 @@
       const auto servers = serversOf(count, models, 2000);
       Placement placement(PlacementSettings{});
       placement.setServers(servers);
-      // More shared parts than servers, so that every server has some.
+      // More shared parts than servers, so that each server has some.
       Traffic traffic{std::mt19937_64{1}, models, 64, 4 * count};
       fill(&placement, servers, &traffic, count * 300);
-      const double micros = microsOf(4000, [&] {
+      const double micros = microsPerRound(4000, [&] {
         const auto placed = placement.place(traffic.next());
         placement.release(placed->ticket, true);
       });
-      const double taking = microsOf(50, [&] { placement.setServers(servers); });
+      const double updating = microsPerRound(50, [&] { placement.setServers(servers); });
       std::cout << "models " << models << " servers " << count << " placed and released in us "
-                << micros << " servers' states taken in us " << taking << std::endl;
+                << micros << " servers' states taken in us " << updating << std::endl;
     }
   }
 }
@@ -142,18 +143,18 @@
   std::vector<PromptPrefix> sent;
   Traffic traffic;
   for (int i = 0; i < 5000; ++i) {
-    auto asked = traffic.next();
-    sent.push_back(asked.prefix);
-    placement.release(placement.place(asked)->ticket, true);
+    auto request = traffic.next();
+    sent.push_back(request.prefix);
+    placement.release(placement.place(request)->ticket, true);
   }
   std::uint64_t position = 1;
-  placement.takeEvents(server.name, server.identity, 0, {}, position);
+  placement.applyEvents(server.name, server.identity, 0, {}, position);
   for (const auto kind : {CacheEventKind::Stored, CacheEventKind::Dropped}) {
     std::size_t taken = 0;
-    const double micros = microsOf(sent.size() / 100, [&] {
+    const double micros = microsPerRound(sent.size() / 100, [&] {
       std::vector<CacheEvent> events;
       for (int i = 0; i < 100; ++i) events.push_back({position + i, kind, {}, sent[taken++]});
-      placement.takeEvents(server.name, server.identity, position, events, position + 100);
+      placement.applyEvents(server.name, server.identity, position, events, position + 100);
       position += 100;
     });
     std::cout << (kind == CacheEventKind::Stored ? "stored" : "dropped") << " event taken in us "
@@ -170,9 +171,9 @@
     const std::size_t before = heapBytes();
     auto configuration = std::make_unique<Configuration>(*parseConfiguration(body));
     const std::size_t bytes = heapBytes() - before;
-    const double parsing = microsOf(3, [&] { REQUIRE(parseConfiguration(body).ok()); });
-    const double patching =
-        microsOf(3, [&] { REQUIRE(patchConfiguration(body, R"({"ways":{"way-1":null}})").ok()); });
+    const double parsing = microsPerRound(3, [&] { REQUIRE(parseConfiguration(body).ok()); });
+    const double patching = microsPerRound(
+        3, [&] { REQUIRE(patchConfiguration(body, R"({"ways":{"way-1":null}})").ok()); });
     std::cout << "tenants " << size.tenants << " routes " << size.ways << " body bytes "
               << body.size() << " parsed bytes " << bytes << " parsed in us " << parsing
               << " patched in us " << patching << std::endl;
@@ -185,7 +186,7 @@
     for (const ServerState& server : serversOf(count, 4, 22900))
       snapshot.servers.push_back(toSnapshot(server, BootClock::now()));
     std::size_t bytes = 0;
-    const double micros = microsOf(200, [&] {
+    const double micros = microsPerRound(200, [&] {
       const std::string encoded = encodeValue(snapshot);
       bytes = encoded.size();
       Snapshot decoded;
@@ -210,18 +211,18 @@
       item.proxyAddress = item.source.value;
       answer.items.push_back(item);
     }
-    const std::size_t given = heapBytes();
+    const std::size_t beforeNews = heapBytes();
     news->onAnswer(answer, BootClock::now());
-    const std::size_t bytes = heapBytes() - given;
-    const std::string asked = encodeEnvelope({{}, {}, news->makeRequest()});
-    const double micros = microsOf(200, [&] {
+    const std::size_t bytes = heapBytes() - beforeNews;
+    const std::string request = encodeEnvelope({{}, {}, news->makeRequest()});
+    const double micros = microsPerRound(200, [&] {
       const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->makeRequest()}));
       REQUIRE(envelope.ok());
       news->answerRequest(std::get<GossipRequest>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
-              << " bytes of an ask " << asked.size() << " asked and answered in us " << micros
+              << " bytes of an ask " << request.size() << " asked and answered in us " << micros
               << std::endl;
-    REQUIRE(given >= before);
+    REQUIRE(beforeNews >= before);
   }
 }
--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -1,4 +1,5 @@
-// Which server a request goes to where servers are compared by the tokens read before its first.
+// Tests of the choice of a server when servers are compared by the tokens to prefill before the
+// first token.
 #include <catch2/catch.hpp>
 
 #include "placement/placement.h"
@@ -13,7 +14,7 @@
 PlacementSettings relaySettings() {
   PlacementSettings settings{16};
   settings.spreadRequests = 4;
-  settings.byExpectedRead = true;
+  settings.byExpectedPrefill = true;
   return settings;
 }
 
@@ -35,64 +36,65 @@
     }
     placement.setServers(servers);
   }
-  std::optional<Placed> place(const std::string& prefix) {
-    PlacementAsked asked{kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix(prefix), {}};
-    return placement.place(asked, kNow);
+  std::optional<PlacementResult> place(const std::string& prefix) {
+    PlacementRequest request{kModel, TenantName{"t"}, CacheSalt{}, *parsePrefix(prefix), {}};
+    return placement.place(request, kNow);
   }
-  // Where the prefix goes; what is placed there leaves no load, and stays in the index.
-  Placed served(const std::string& prefix) {
+  // Places and releases a request: leaves no load, but stays in the index.
+  PlacementResult placeAndRelease(const std::string& prefix) {
     auto placed = place(prefix);
     REQUIRE(placed);
     placement.release(placed->ticket, true, kNow);
     return *placed;
   }
-  // All daemons have so many tokens to be read at that server.
-  void tell(const ServerName& server, std::uint64_t unreadTokens, std::uint32_t requests = 1) {
-    placement.noteFleet({{server, {requests, unreadTokens}}}, kNow);
+  // Reports that all daemons together have that much work outstanding at the server.
+  void reportFleetLoad(const ServerName& server, std::uint64_t pendingPrefillTokens,
+                       std::uint32_t requests = 1) {
+    placement.noteFleetLoad({{server, {requests, pendingPrefillTokens}}}, kNow);
   }
 };
 }  // namespace
 
 TEST_CASE("choice: a prompt that is kept stays at its server behind larger ones") {
   Fleet fleet(5);
-  const ServerName home = fleet.served("rules:13312,a:64").chosenServer.name;
-  fleet.tell(home, 60000);
-  const Placed next = fleet.served("rules:13312,b:512");
+  const ServerName home = fleet.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  fleet.reportFleetLoad(home, 60000);
+  const PlacementResult next = fleet.placeAndRelease("rules:13312,b:512");
   CHECK(next.chosenServer.name == home);
   CHECK(next.matchedTokens == 13312);
 }
 
 TEST_CASE("choice: a match yields where far more waits than a copy costs, and names its holder") {
   Fleet fleet(5);
-  const ServerName home = fleet.served("rules:13312,a:64").chosenServer.name;
-  fleet.tell(home, 900000);
-  const Placed next = fleet.served("rules:13312,b:4096");
+  const ServerName home = fleet.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  fleet.reportFleetLoad(home, 900000);
+  const PlacementResult next = fleet.placeAndRelease("rules:13312,b:4096");
   CHECK(next.chosenServer.name != home);
   CHECK(next.fetchFrom.value == home.value);
-  // What a fetch brings is not read.
+  // Tokens that are fetched need no prefill.
   const auto again = fleet.place("rules:13312,c:4096");
   REQUIRE(again);
-  std::uint64_t unread = 0;
+  std::uint64_t pendingPrefill = 0;
   for (const ServerOutstanding& row : fleet.placement.ownOutstanding())
-    unread += row.outstanding.unreadTokens;
-  CHECK(unread == 4096);
+    pendingPrefill += row.outstanding.pendingPrefillTokens;
+  CHECK(pendingPrefill == 4096);
 }
 
 TEST_CASE("choice: an unknown prefix goes to its home, and elsewhere with the home as source") {
-  Fleet known(5), other(5);
-  const ServerName home = known.served("rules:13312,a:64").chosenServer.name;
-  // Another daemon, which knows nothing of the first one's requests.
-  CHECK(other.served("rules:13312,b:64").chosenServer.name == home);
+  Fleet first(5), second(5);
+  const ServerName home = first.placeAndRelease("rules:13312,a:64").chosenServer.name;
+  // Another daemon, which does not know the requests of the first.
+  CHECK(second.placeAndRelease("rules:13312,b:64").chosenServer.name == home);
   Fleet third(5);
-  third.tell(home, 900000);
-  const Placed away = third.served("rules:13312,c:4096");
+  third.reportFleetLoad(home, 900000);
+  const PlacementResult away = third.placeAndRelease("rules:13312,c:4096");
   CHECK(away.chosenServer.name != home);
   CHECK(away.fetchFrom.value == home.value);
   PlacementSettings without = relaySettings();
   without.mechanisms.disable(Mechanism::HomeFetch);
   Fleet fourth(5, without);
-  fourth.tell(home, 900000);
-  CHECK(fourth.served("rules:13312,d:4096").fetchFrom.value.empty());
+  fourth.reportFleetLoad(home, 900000);
+  CHECK(fourth.placeAndRelease("rules:13312,d:4096").fetchFrom.value.empty());
 }
 
 TEST_CASE("choice: while weights change, load moves with the servers that have the newest") {
@@ -102,37 +104,38 @@
   std::map<ServerName, int> placed;
   for (int i = 0; i < 120; ++i) {
     const std::string prefix = "p" + std::to_string(i) + ":32000,a:64";
-    const ServerName home = before.served(prefix).chosenServer.name;
-    const Placed now = during.served(prefix);
+    const ServerName home = before.placeAndRelease(prefix).chosenServer.name;
+    const PlacementResult now = during.placeAndRelease(prefix);
     CHECK(now.chosenServer.name == home);
     ++placed[home];
   }
-  for (const auto& [name, count] : placed) CHECK(count <= 40);  // of 120 at six servers
+  for (const auto& [name, count] : placed) CHECK(count <= 40);  // 120 prefixes at six servers
 }
 
 TEST_CASE("choice: requests without a prompt go by load, and not all to one server") {
   Fleet fleet(5);
   std::map<ServerName, int> placed;
-  for (int i = 0; i < 40; ++i) ++placed[fleet.served("").chosenServer.name];
+  for (int i = 0; i < 40; ++i) ++placed[fleet.placeAndRelease("").chosenServer.name];
   CHECK(placed.size() == 5);
-  fleet.tell(ServerName{"s1"}, 0, 60);
-  for (int i = 0; i < 20; ++i) CHECK(fleet.served("").chosenServer.name != ServerName{"s1"});
+  fleet.reportFleetLoad(ServerName{"s1"}, 0, 60);
+  for (int i = 0; i < 20; ++i)
+    CHECK(fleet.placeAndRelease("").chosenServer.name != ServerName{"s1"});
 }
 
 TEST_CASE("choice: parts told before a prompt showed their place are matched") {
   Fleet fleet(5);
-  const CacheSalt salt = saltText(WeightsVersion{"1"}, {});
-  fleet.placement.takePartEvents(ServerName{"s3"}, {"1",
-                                                    0,
-                                                    2,
-                                                    false,
-                                                    {{1, true, salt, "rules", 1600, kModel},
-                                                     {2, true, salt, "notice", 800, kModel}}});
-  const Placed placed = fleet.served("rules:1600,notice:800,own:64");
+  const CacheSalt salt = scopedCacheSalt(WeightsVersion{"1"}, {});
+  fleet.placement.applyPartEvents(ServerName{"s3"}, {"1",
+                                                     0,
+                                                     2,
+                                                     false,
+                                                     {{1, true, salt, "rules", 1600, kModel},
+                                                      {2, true, salt, "notice", 800, kModel}}});
+  const PlacementResult placed = fleet.placeAndRelease("rules:1600,notice:800,own:64");
   CHECK(placed.chosenServer.name == ServerName{"s3"});
   CHECK(placed.matchedTokens == 2400);
-  // Under another wall nothing of it is found.
-  PlacementAsked walled{
+  // Nothing matches under another isolation salt.
+  PlacementRequest isolated{
       kModel, TenantName{"t"}, CacheSalt{"t"}, *parsePrefix("rules:1600,notice:800,own:64"), {}};
-  CHECK(fleet.placement.place(walled, kNow)->matchedTokens == 0);
+  CHECK(fleet.placement.place(isolated, kNow)->matchedTokens == 0);
 }
--- a/tests/placement_tests.cpp
+++ b/tests/placement_tests.cpp
@@ -3,7 +3,7 @@
 
 #include "placement/admission.h"
 #include "placement/placement.h"
-#include "placement/try_budget.h"
+#include "placement/retry_budget.h"
 
 using namespace quayrill;
 using namespace std::chrono_literals;
@@ -20,7 +20,7 @@
   state.cacheTokens = 16000;
   return state;
 }
-PlacementAsked asking(const std::string& prefix, const std::string& salt = "") {
+PlacementRequest requestFor(const std::string& prefix, const std::string& salt = "") {
   return {ModelName{"till"}, TenantName{"north"}, CacheSalt{salt}, *parsePrefix(prefix), {}};
 }
 }  // namespace
@@ -60,7 +60,7 @@
   REQUIRE(left.size() == 4);
   CHECK(left[0] == right[0]);
   CHECK(left[1] == right[1]);
-  CHECK(left[2] != right[2]);  // 8 tokens of the rules and 8 of another part
+  CHECK(left[2] != right[2]);  // 8 tokens of "rules" and 8 of another part
   CHECK(left[3] != right[3]);
   CHECK(blocks("rules:15").empty());
 }
@@ -68,18 +68,18 @@
 TEST_CASE("placement: the longest match wins, and only under the same salt and weights") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("a"), server("b"), server("c")});
-  const auto first = placement.place(asking("rules:320,own1:32"));
+  const auto first = placement.place(requestFor("rules:320,own1:32"));
   REQUIRE(first);
   placement.release(first->ticket, true);
-  const auto second = placement.place(asking("rules:320,own2:32"));
+  const auto second = placement.place(requestFor("rules:320,own2:32"));
   CHECK(second->chosenServer.name == first->chosenServer.name);
   CHECK(second->matchedTokens == 320);
   CHECK(second->reason == "longest match");
-  CHECK(placement.place(asking("rules:320,own3:32", "tenant:x"))->matchedTokens == 0);
-  std::vector<ServerState> moved;
-  for (const char* name : {"a", "b", "c"}) moved.push_back(server(name, "w1"));
-  placement.setServers(moved);
-  CHECK(placement.place(asking("rules:320,own4:32"))->matchedTokens == 0);
+  CHECK(placement.place(requestFor("rules:320,own3:32", "tenant:x"))->matchedTokens == 0);
+  std::vector<ServerState> updated;
+  for (const char* name : {"a", "b", "c"}) updated.push_back(server(name, "w1"));
+  placement.setServers(updated);
+  CHECK(placement.place(requestFor("rules:320,own4:32"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: a hot prefix spreads when its server is over the cap") {
@@ -87,7 +87,7 @@
   placement.setServers({server("a"), server("b"), server("c")});
   std::map<std::string, int> placed;
   for (int i = 0; i < 24; ++i)
-    ++placed[placement.place(asking("hot:320,own" + std::to_string(i) + ":32"))
+    ++placed[placement.place(requestFor("hot:320,own" + std::to_string(i) + ":32"))
                  ->chosenServer.name.value];
   CHECK(placed.size() == 3);
   for (const auto& [name, count] : placed) CHECK(count <= 14);
@@ -100,7 +100,7 @@
   unhealthy.healthy = false;
   full.queued = 16;
   placement.setServers({leaving, unhealthy, full});
-  CHECK_FALSE(placement.place(asking("rules:32")));
+  CHECK_FALSE(placement.place(requestFor("rules:32")));
 }
 
 TEST_CASE("placement: locks are released exactly once, on every way out") {
@@ -108,15 +108,15 @@
   ServerState small = server("a");
   small.cacheTokens = 16 * 8;
   placement.setServers({small});
-  const auto streaming = placement.place(asking("long:128"));
-  const auto other = placement.place(asking("other:128"));
+  const auto streaming = placement.place(requestFor("long:128"));
+  const auto other = placement.place(requestFor("other:128"));
   CHECK(placement.ticketCount() == 2);
-  CHECK(placement.blocksHeld(ServerName{"a"}) > 8);  // both pinned, over budget
+  CHECK(placement.indexedBlocks(ServerName{"a"}) > 8);  // both are locked and exceed the budget
   placement.release(other->ticket, true);
   placement.release(other->ticket, true);
   placement.release(other->ticket, false);
-  // Still streaming: pinned whatever was released twice beside it.
-  CHECK(placement.place(asking("long:128"))->matchedTokens == 128);
+  // The first request is still running, so its path stays locked whatever was released twice.
+  CHECK(placement.place(requestFor("long:128"))->matchedTokens == 128);
   placement.release(streaming->ticket, true);
   CHECK(placement.ticketCount() == 1);
 }
@@ -124,15 +124,15 @@
 TEST_CASE("placement: what did not run leaves no trace, a dropped tree voids its locks") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("a")});
-  const auto turnedAway = placement.place(asking("rules:64"));
-  placement.release(turnedAway->ticket, false);
-  CHECK(placement.place(asking("rules:64"))->matchedTokens == 0);
-  const auto before = placement.place(asking("notice:64"));
+  const auto rejected = placement.place(requestFor("rules:64"));
+  placement.release(rejected->ticket, false);
+  CHECK(placement.place(requestFor("rules:64"))->matchedTokens == 0);
+  const auto before = placement.place(requestFor("notice:64"));
   ServerState restarted = server("a");
   restarted.identity = ServerIdentity{"a#2"};
   placement.setServers({restarted});
-  placement.release(before->ticket, true);  // of the tree's former life
-  CHECK(placement.place(asking("notice:64"))->matchedTokens == 0);
+  placement.release(before->ticket, true);  // of the former tree
+  CHECK(placement.place(requestFor("notice:64"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: cache events prune, and a gap in them drops the estimate") {
@@ -140,57 +140,58 @@
   placement.setServers({server("a")});
   const ServerName name{"a"};
   const ServerIdentity identity{"a#1"};
-  placement.takeEvents(name, identity, 0, {}, 5);
+  placement.applyEvents(name, identity, 0, {}, 5);
   for (const char* prefix : {"x:64", "y:64"})
-    placement.release(placement.place(asking(prefix))->ticket, true);
-  placement.takeEvents(name, identity, 5,
-                       {{5, CacheEventKind::Dropped, CacheSalt{}, *parsePrefix("x:64")}}, 6);
-  const auto afterDrop = placement.place(asking("x:64"));
+    placement.release(placement.place(requestFor(prefix))->ticket, true);
+  placement.applyEvents(name, identity, 5,
+                        {{5, CacheEventKind::Dropped, CacheSalt{}, *parsePrefix("x:64")}}, 6);
+  const auto afterDrop = placement.place(requestFor("x:64"));
   CHECK(afterDrop->matchedTokens == 0);
   placement.release(afterDrop->ticket, true);
   CHECK(placement.gaps() == 0);
-  placement.takeEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former life: ignored
+  placement.applyEvents(name, ServerIdentity{"a#0"}, 9, {}, 12);  // of a former identity: ignored
   CHECK(placement.eventPosition(name) == 6);
-  placement.takeEvents(name, identity, 9, {}, 12);
+  placement.applyEvents(name, identity, 9, {}, 12);
   CHECK(placement.gaps() == 1);
-  CHECK(placement.place(asking("y:64"))->matchedTokens == 0);
+  CHECK(placement.place(requestFor("y:64"))->matchedTokens == 0);
 }
 
 TEST_CASE("placement: a peer that holds more is named as a source only where fetching pays") {
   Placement placement({16, PlacementRule::LongestPrefix});
   ServerState warm = server("a"), cold = server("b");
   placement.setServers({warm});
-  placement.release(placement.place(asking("rules:1600,n:64"))->ticket, true);
-  warm.running = 12;  // over the cap, so the match does not pull
+  placement.release(placement.place(requestFor("rules:1600,n:64"))->ticket, true);
+  warm.running = 12;  // over the cap, so the match does not count
   placement.setServers({warm, cold});
-  const auto placed = placement.place(asking("rules:1600,m:64"));
+  const auto placed = placement.place(requestFor("rules:1600,m:64"));
   CHECK(placed->chosenServer.name.value == "b");
   REQUIRE(placed->source);
   CHECK(placed->source->server.value == "a");
   CHECK(placed->source->matchedTokens == 1600);
   cold.weights = WeightsVersion{"w1"};
   placement.setServers({warm, cold});
-  CHECK_FALSE(placement.place(asking("rules:1600,m:64"))->source);
+  CHECK_FALSE(placement.place(requestFor("rules:1600,m:64"))->source);
 }
 
 TEST_CASE("extra tries: no trailing window of ten seconds sees more than a fifth") {
-  TryBudget budget;
+  RetryBudget budget;
   std::mt19937_64 random(5);
   Instant now{1s};
-  CHECK_FALSE(budget.takeExtra(now));  // empty at start
+  CHECK_FALSE(budget.takeRetry(now));  // empty at start
   std::vector<std::pair<Instant, bool>> sends;
   for (int i = 0; i < 20000; ++i) {
     now += std::chrono::milliseconds(random() % (i % 4000 < 2000 ? 20 : 400));
-    budget.countFirst(now);
+    budget.countRequest(now);
     sends.emplace_back(now, false);
-    if (random() % 2 && budget.takeExtra(now)) sends.emplace_back(now, true);
+    if (random() % 2 && budget.takeRetry(now)) sends.emplace_back(now, true);
   }
-  std::size_t from = 0, extras = 0, taken = 0;
+  std::size_t from = 0, retries = 0, taken = 0;
   for (std::size_t to = 0; to < sends.size(); ++to) {
-    extras += sends[to].second ? 1 : 0;
+    retries += sends[to].second ? 1 : 0;
     taken += sends[to].second ? 1 : 0;
-    for (; sends[to].first - sends[from].first >= 10s; ++from) extras -= sends[from].second ? 1 : 0;
-    REQUIRE(extras * 5 <= to + 1 - from - extras);
+    for (; sends[to].first - sends[from].first >= 10s; ++from)
+      retries -= sends[from].second ? 1 : 0;
+    REQUIRE(retries * 5 <= to + 1 - from - retries);
   }
   CHECK(taken > 500);
 }
@@ -202,9 +203,9 @@
   one.slots = 1000000;
   placement.setServers({one});
   const auto matched = [&](const std::string& tenant, const std::string& salt) {
-    PlacementAsked asked = asking("rules:64", salt);
-    asked.tenant = TenantName{tenant};
-    const auto placed = placement.place(asked);
+    PlacementRequest request = requestFor("rules:64", salt);
+    request.tenant = TenantName{tenant};
+    const auto placed = placement.place(request);
     placement.release(placed->ticket, true);
     return placed->matchedTokens;
   };
@@ -215,9 +216,10 @@
   }
   CHECK(matched("small", "mine") == 64);
   CHECK(matched("greedy", "g1999") == 64);
-  CHECK(matched("greedy", "g0") == 0);  // let go, and its old path leads nobody there
-  // 512 salts of the greedy one and one of the other, four blocks and the salt's own run each.
-  CHECK(placement.blocksHeld(ServerName{"s1"}) <= 513 * 5);
+  CHECK(matched("greedy", "g0") == 0);  // removed; its old path is unreachable
+  // 512 salts of the greedy tenant and one of the other, each with four blocks and a namespace
+  // root.
+  CHECK(placement.indexedBlocks(ServerName{"s1"}) <= 513 * 5);
 }
 
 TEST_CASE("placement: the last places of a queue are for tenants within their share") {
@@ -225,12 +227,12 @@
   auto one = server("s1");
   one.slots = 4;
   placement.setServers({one});
-  PlacementAsked big = asking("rules:64");
-  big.overShare = true;
+  PlacementRequest big = requestFor("rules:64");
+  big.isOverShare = true;
   std::vector<Ticket> tickets;
   while (const auto placed = placement.place(big)) tickets.push_back(placed->ticket);
   CHECK(tickets.size() == 6);  // one and a half times the slots
-  PlacementAsked small = asking("other:64");
+  PlacementRequest small = requestFor("other:64");
   for (int i = 0; i < 2; ++i) CHECK(placement.place(small));
   CHECK_FALSE(placement.place(small));
 }
@@ -242,15 +244,16 @@
   const auto enter = [&](const char* tenant) {
     return admission.enter(TenantName{tenant}, 100, policy, 1000, now);
   };
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(enter("big").overShare);  // alone: all is its share
-  CHECK_FALSE(enter("small").overShare);
-  CHECK(enter("big").overShare);
+  for (int i = 0; i < 10; ++i)
+    CHECK_FALSE(enter("big").isOverShare);  // alone, so its share is everything
+  CHECK_FALSE(enter("small").isOverShare);
+  CHECK(enter("big").isOverShare);
   admission.leave(TenantName{"small"}, policy);
-  CHECK(enter("big").overShare);  // the small one was here a moment ago
+  CHECK(enter("big").isOverShare);  // the small tenant was active a moment ago
   now += 6s;
-  CHECK_FALSE(enter("big").overShare);
-  CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isIn);
-  CHECK_FALSE(admission.enter(TenantName{"new"}, 100, policy, 13, now).isIn);
+  CHECK_FALSE(enter("big").isOverShare);
+  CHECK_FALSE(admission.enter(TenantName{"big"}, 13, policy, 1000, now).isAdmitted);
+  CHECK_FALSE(admission.enter(TenantName{"new"}, 100, policy, 13, now).isAdmitted);
 }
 
 TEST_CASE("placement: what was sent since the poll counts, for the others' part as well") {
@@ -260,24 +263,25 @@
   Instant now{100s};
   std::vector<Ticket> tickets;
   const auto send = [&] {
-    const auto placed = placement.place(asking("rules:64"), now);
+    const auto placed = placement.place(requestFor("rules:64"), now);
     if (placed) tickets.push_back(placed->ticket);
     return placed.has_value();
   };
   placement.setServers({one});
   REQUIRE(send());
   now += 100ms;
-  // A poll that saw four: this daemon's one and three of others.
+  // A poll that counted four requests: one of this daemon and three of others.
   one.running = 4;
   one.polledAt = now;
   placement.setServers({one});
   now += 10ms;
-  CHECK(send());  // at load 1, one is taken for four: full
+  CHECK(send());  // at load 1; one new request is extrapolated to four, so the server is full
   CHECK_FALSE(send());
-  // As many have ended here as were sent since: what ended elsewhere is taken for the same.
+  // As many requests have ended here as were sent since the poll. The same is assumed of other
+  // daemons.
   placement.release(tickets[0], true, now);
   CHECK(send());
-  // The next poll says how it really is.
+  // The next poll reports the actual load.
   now += 100ms;
   one.polledAt = now;
   placement.setServers({one});
@@ -287,15 +291,15 @@
 TEST_CASE("placement: a ticket of a server that left the list is void when the name comes back") {
   Placement placement({16, PlacementRule::LongestPrefix});
   placement.setServers({server("s1")});
-  const auto before = placement.place(asking("rules:64,old:64"));
+  const auto before = placement.place(requestFor("rules:64,old:64"));
   REQUIRE(before);
   placement.setServers({});
   placement.setServers({server("s1")});
-  const auto after = placement.place(asking("rules:64"));
+  const auto after = placement.place(requestFor("rules:64"));
   REQUIRE(after);
   CHECK(after->matchedTokens == 0);
-  placement.release(before->ticket, true);  // of a tree that is gone
+  placement.release(before->ticket, true);  // of a tree that no longer exists
   placement.release(after->ticket, true);
   CHECK(placement.ticketCount() == 0);
-  CHECK(placement.blocksHeld(ServerName{"s1"}) == 5);
+  CHECK(placement.indexedBlocks(ServerName{"s1"}) == 5);
 }
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -1,6 +1,6 @@
 #pragma once
-// A whole relay between a scripted agent, servers that answer byte for byte as scripted, and raw
-// callers on loopback.
+// A complete relay on loopback with a scripted agent, servers that respond byte for byte as
+// scripted, and raw callers.
 #include "byte_server.h"
 #include "proxy_stage.h"
 #include "relay/relay.h"
@@ -31,6 +31,8 @@
   return names;
 }
 
+// Runs a relay, its servers, and three routes: /once/ and /twice/ are not repeatable and allow one
+// and two attempts; /again/ is repeatable and resumable.
 struct RelayStage {
   asio::io_context io;
   std::vector<std::unique_ptr<ByteServer>> servers;
@@ -38,13 +40,13 @@
   std::thread thread;
   Address callers = localAddress(1, 7202), ready = localAddress(1, 7203);
   Configuration configuration;
-  Snapshot told;
-  // Called on the relay's own thread as it reads a configuration.
-  std::function<void()> whileReading = [] {};
+  Snapshot snapshot;
+  // Called on the relay's traffic thread whenever it reads a configuration.
+  std::function<void()> onReadConfiguration = [] {};
 
-  // `isTold` false: the relay has heard nothing of its agent. `retryShare`: of the budget for extra
-  // tries; the default lets every test's further tries pass.
-  explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool isTold = true,
+  // `hasSnapshot` false: the relay has received nothing from its agent. `retryShare`: the share of
+  // requests that may be retried. The default allows the retries of every test.
+  explicit RelayStage(int count, std::chrono::milliseconds grace = 60s, bool hasSnapshot = true,
                       double retryShare = 20) {
     configuration.weights[ModelName{"m"}] = WeightsVersion{"1"};
     configuration.tenants[TenantName{"north"}] = {};
@@ -55,12 +57,12 @@
     addRoute("/twice/", false, 2);
     addRoute("/again/", true, 2);
     configuration.services[ServiceName{"svc"}] = {};
-    told.configurationVersion = 1;
-    told.configurationBody = "any";
-    told.confirmedAgoMicros = told.listedAgoMicros = 0;
+    snapshot.configurationVersion = 1;
+    snapshot.configurationBody = "any";
+    snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < count; ++i) {
       servers.push_back(std::make_unique<ByteServer>(io, localAddress(20 + i, 7400)));
-      servers.back()->answer([](int, const std::string& request) {
+      servers.back()->setScript([](int, const std::string& request) {
         return Reply{streamHead(request) + chunked({event(1), event(2), event(3)})};
       });
       SnapshotServer row;
@@ -72,7 +74,7 @@
       row.healthy = true;
       row.slots = 4;
       row.cacheTokens = 100000;
-      told.servers.push_back(row);
+      snapshot.servers.push_back(row);
     }
     thread = std::thread([this] { io.run(); });
     Settings settings;
@@ -84,12 +86,12 @@
     Dialect dialect = ownDialect();
     dialect.relayNames = relayTestNames();
     dialect.readConfiguration = [this](const std::string&) -> absl::StatusOr<Configuration> {
-      whileReading();
+      onReadConfiguration();
       return configuration;
     };
     relay = std::make_unique<Relay>(settings, dialect);
     REQUIRE(relay->start().ok());
-    if (isTold) tell();
+    if (hasSnapshot) publishSnapshot();
   }
   ~RelayStage() {
     relay.reset();
@@ -107,22 +109,22 @@
     configuration.routes.push_back(route);
     sortRoutes(&configuration);
   }
-  // Hands the present state on and waits until it is in force.
-  void tell() {
-    relay->takeSnapshot(told, BootClock::now());
+  // Passes the current snapshot to the relay and waits until it is in force.
+  void publishSnapshot() {
+    relay->applySnapshot(snapshot, BootClock::now());
     waitReady(200);
   }
   void waitReady(unsigned status) {
     eventually([&] {
       const std::string answer =
-          ask(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+          exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
       return answer.find(" " + std::to_string(status) + " ") != std::string::npos;
     });
   }
-  // Everything that comes back until the other end closes.
-  static std::string ask(const Address& to, const std::string& text) {
-    asio::io_context own;
-    Tcp::socket socket(own);
+  // Sends `text` and returns everything received until the other end closes.
+  static std::string exchange(const Address& to, const std::string& text) {
+    asio::io_context callerIo;
+    Tcp::socket socket(callerIo);
     ErrorCode code;
     socket.connect(endpointOf(to), code);
     asio::write(socket, asio::buffer(text), code);
@@ -138,18 +140,20 @@
   }
   std::string post(const std::string& path, const std::string& id,
                    const std::string& more = "X-Key: key\r\n") {
-    return ask(callers, request(path, id, more));
+    return exchange(callers, request(path, id, more));
   }
+  // The number of requests that have reached any server.
   int arrivals() {
     std::size_t sum = 0;
-    for (auto& server : servers) sum += server->seen().size();
+    for (auto& server : servers) sum += server->received().size();
     return static_cast<int>(sum);
   }
-  void all(const ByteServer::Script& script) {
-    for (auto& server : servers) server->answer(script);
+  void setScript(const ByteServer::Script& script) {
+    for (auto& server : servers) server->setScript(script);
   }
 };
 
+// True if the response ends with the last chunk of a chunked body.
 inline bool endsWhole(const std::string& answer) {
   return answer.size() > 5 && answer.substr(answer.size() - 5) == "0\r\n\r\n";
 }
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -1,4 +1,4 @@
-// Which weights requests may begin on, and until when, in a whole relay.
+// Tests of which weights versions a response may start on, and until when, with a complete relay.
 #include "relay_stage.h"
 
 using namespace quayrill;
@@ -9,66 +9,67 @@
 const ModelName kModel{"m"};
 const std::chrono::microseconds kBound = Settings{}.rolloutTimeLimit;
 
-// Names `newest`; `superseded` tells how long ago each older version was the newest at least.
+// Makes `newest` the current version. `superseded`: for each older version, how long ago at least
+// it was superseded.
 void nameWeights(RelayStage* stage, const std::string& newest,
                  const std::vector<std::pair<std::string, std::chrono::microseconds>>& superseded) {
   stage->configuration.weights[kModel] = WeightsVersion{newest};
-  ++stage->told.configurationVersion;
-  stage->told.superseded.clear();
+  ++stage->snapshot.configurationVersion;
+  stage->snapshot.superseded.clear();
   for (const auto& [version, ago] : superseded)
-    stage->told.superseded.push_back({kModel, WeightsVersion{version}, ago.count()});
+    stage->snapshot.superseded.push_back({kModel, WeightsVersion{version}, ago.count()});
 }
 }  // namespace
 
 TEST_CASE("relay: past a version's own bound nothing begins on it, whatever was named since") {
   RelayStage stage(2);
   nameWeights(&stage, "4", {{"1", kBound + 1s}, {"2", 8s}, {"3", 1s}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   for (int i = 0; i < 12; ++i)
     CHECK(statusOf(stage.post("/once/", "r" + std::to_string(i))) == 200);
-  CHECK(stage.servers[0]->seen().empty());
-  CHECK(stage.servers[1]->seen().size() == 12);
+  CHECK(stage.servers[0]->received().empty());
+  CHECK(stage.servers[1]->received().size() == 12);
 }
 
 TEST_CASE("relay: a model that a request does not name is bound by its weights too") {
   RelayStage stage(2);
   nameWeights(&stage, "2", {{"1", kBound + 1s}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   for (int i = 0; i < 8; ++i) {
     const std::string id = "r" + std::to_string(i);
-    CHECK(statusOf(RelayStage::ask(stage.callers,
-                                   "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: " + id +
-                                       "\r\nX-Key: key\r\nConnection: close\r\nContent-Length: "
-                                       "2\r\n\r\n{}")) == 200);
+    CHECK(statusOf(RelayStage::exchange(
+              stage.callers, "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Id: " + id +
+                                 "\r\nX-Key: key\r\nConnection: close\r\nContent-Length: "
+                                 "2\r\n\r\n{}")) == 200);
   }
-  CHECK(stage.servers[0]->seen().empty());
+  CHECK(stage.servers[0]->received().empty());
 }
 
 TEST_CASE("relay: where the time of a naming is not known, the newest weights alone serve") {
   RelayStage stage(2);
   nameWeights(&stage, "2", {});
-  stage.tell();
+  stage.publishSnapshot();
   const std::string refused = stage.post("/once/", "r1");
   CHECK(statusOf(refused) == 503);
   CHECK_FALSE(headerIn(refused, "Retry-After").empty());
   CHECK(stage.arrivals() == 0);
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.publishSnapshot();
   CHECK(statusOf(stage.post("/once/", "r2")) == 200);
-  CHECK(stage.servers[1]->seen().size() == 1);
+  CHECK(stage.servers[1]->received().size() == 1);
 }
 
 TEST_CASE("relay: a request that waits at a server does not begin there past the bound") {
   RelayStage stage(2);
-  // Nothing but the bound of the weights ends a try.
+  // Only the deadline of the weights can end the attempt.
   stage.configuration.policies[PolicyName{"/again/"}].firstEventTarget = 600s;
-  ++stage.told.configurationVersion;
-  stage.told.servers[1].leaving = true;
-  stage.tell();
-  stage.servers[0]->answer([](int, const std::string&) { return Reply{"", false, true}; });
-  stage.servers[1]->answer([](int, const std::string& request) {
+  ++stage.snapshot.configurationVersion;
+  stage.snapshot.servers[1].leaving = true;
+  stage.publishSnapshot();
+  stage.servers[0]->setScript([](int, const std::string&) { return Reply{"", false, true}; });
+  stage.servers[1]->setScript([](int, const std::string& request) {
     return Reply{streamHead(request, "s2") + chunked({event(1)})};
   });
   const bool isRepeatable = GENERATE(false, true);
@@ -78,34 +79,34 @@
         stage.post(isRepeatable ? "/again/" : "/once/", "r1", "X-Key: key\r\nX-Due: 600000\r\n");
   });
   eventually([&] { return stage.servers[0]->arrived == 1; });
-  // Newer weights were named meanwhile, and the bound of the old ones is near.
+  // Newer weights are named meanwhile, and the deadline of the old ones is close.
   nameWeights(&stage, "2", {{"1", kBound - 500ms}});
-  stage.told.servers[1].weights = WeightsVersion{"2"};
-  stage.told.servers[1].leaving = false;
-  stage.tell();
+  stage.snapshot.servers[1].weights = WeightsVersion{"2"};
+  stage.snapshot.servers[1].leaving = false;
+  stage.publishSnapshot();
   caller.join();
-  CHECK(stage.servers[0]->seen().size() == 1);
+  CHECK(stage.servers[0]->received().size() == 1);
   if (isRepeatable) {
     CHECK(statusOf(answer) == 200);
     CHECK(headerIn(answer, "X-Seal") == "s2");
     CHECK(endsWhole(answer));
-  } else {  // it may have run
+  } else {  // the request may have run
     CHECK(statusOf(answer) == 502);
     CHECK(answer.find("superseded") != std::string::npos);
-    CHECK(stage.servers[1]->seen().empty());
+    CHECK(stage.servers[1]->received().empty());
   }
 }
 
 TEST_CASE("relay: a stream that has begun goes on past the bound of its weights") {
   RelayStage stage(1);
-  constexpr auto kLeft = 3500ms;  // more than a request that is sent now must have
+  constexpr auto kLeft = 3500ms;  // more than a new request needs
   nameWeights(&stage, "2", {{"1", kBound - kLeft}});
   const Instant past = BootClock::now() + kLeft + 100ms;
-  stage.tell();
+  stage.publishSnapshot();
   stage.servers[0]->pause = [past] {
     while (BootClock::now() < past) std::this_thread::yield();
   };
-  stage.servers[0]->answer([](int, const std::string& request) {
+  stage.servers[0]->setScript([](int, const std::string& request) {
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2)})};
     reply.cut = first.size();
@@ -119,30 +120,30 @@
 
 TEST_CASE("relay: a stream is taken up again on weights that may still be begun on") {
   RelayStage stage(3);
-  stage.told.servers[1].leaving = stage.told.servers[2].leaving = true;
-  stage.tell();
-  // While the first server answers, newer weights are known to have been named long ago.
-  stage.servers[0]->answer([&](int, const std::string& request) {
+  stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = true;
+  stage.publishSnapshot();
+  // While the first server responds, it becomes known that newer weights were named long ago.
+  stage.servers[0]->setScript([&](int, const std::string& request) {
     nameWeights(&stage, "2", {{"1", kBound + 1s}});
-    stage.told.servers[1].leaving = stage.told.servers[2].leaving = false;
-    stage.told.servers[2].weights = WeightsVersion{"2"};
-    stage.relay->takeSnapshot(stage.told, BootClock::now());
+    stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = false;
+    stage.snapshot.servers[2].weights = WeightsVersion{"2"};
+    stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     const std::string first = streamHead(request) + chunked({event(1)}, false);
     Reply reply{first + chunked({event(2), event(3)})};
     reply.cut = first.size();
-    reply.breaks = Break::Closes;
+    reply.fault = Fault::Close;
     return reply;
   });
   for (int i : {1, 2}) {
-    stage.servers[i]->answer([](int, const std::string& request) {
+    stage.servers[i]->setScript([](int, const std::string& request) {
       return Reply{streamHead(request) + chunked({event(2), event(3)})};
     });
   }
   const std::string answer = stage.post("/again/", "r1");
   CHECK(statusOf(answer) == 200);
   CHECK(endsWhole(answer));
-  CHECK(stage.servers[1]->seen().empty());
-  REQUIRE(stage.servers[2]->seen().size() == 1);
-  CHECK(headerIn(stage.servers[2]->seen()[0], "Last-Event-Id") == "1");
-  CHECK(headerIn(stage.servers[2]->seen()[0], "X-Want-Weights") == "2");
+  CHECK(stage.servers[1]->received().empty());
+  REQUIRE(stage.servers[2]->received().size() == 1);
+  CHECK(headerIn(stage.servers[2]->received()[0], "Last-Event-Id") == "1");
+  CHECK(headerIn(stage.servers[2]->received()[0], "X-Want-Weights") == "2");
 }
