--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -41,7 +41,7 @@
   std::optional<std::map<std::string, std::string>> kept;
   if (!settings_.dataFolder.empty()) {
     disk_ = std::make_unique<Disk>(DiskSettings{settings_.dataFolder, settings_.diskDrag},
-                                   [this](Disk::Rows rows) { takeDisk(std::move(rows)); });
+                                   [this](Disk::Rows rows) { onDiskReopened(std::move(rows)); });
     auto opened = disk_->open();
     if (!opened.ok()) return opened.status();
     kept = std::move(*opened);
@@ -53,7 +53,7 @@
     const Instant now = BootClock::now();
     core_->onMessage(e, now, &effects);
     apply(std::move(effects));
-    feedPlane(now);
+    publishPlaneDigests(now);
   });
   if (auto status = link_->start(); !status.ok()) return status;
   HttpServerSettings serverSettings;
@@ -75,7 +75,7 @@
   asio::post(io_, [this] { core_->setLeaving(true); });
 }
 
-void Agent::takeSettings(const Settings& changed) {
+void Agent::applySettings(const Settings& changed) {
   asio::post(io_, [this, changed] {
     settings_.platform = changed.platform;
     core_->setListLimits(changed.listEvery, changed.listCallsPerS);
@@ -84,7 +84,7 @@
 }
 
 // Called on the disk's thread.
-void Agent::takeDisk(Disk::Rows rows) {
+void Agent::onDiskReopened(Disk::Rows rows) {
   asio::post(io_, [this, rows = std::move(rows)] {
     AgentEffects effects;
     if (!core_->onDiskReadAnew(rows, &effects)) {
@@ -123,10 +123,10 @@
     waiters_.erase(waiter);
     wake(done);
   }
-  takeConfiguration();
+  applyConfiguration();
 }
 
-void Agent::takeConfiguration() {
+void Agent::applyConfiguration() {
   const RegisterValue& value = core_->freshness().configuration().value;
   if (value.version == configurationVersion_) {
     confirmedThen_ = core_->freshness().confirmedAt();
@@ -148,15 +148,17 @@
 }
 
 void Agent::feed(Instant now) {
-  if (!feed_ || (now < nextFeed_ && fedConfiguration_ == configurationVersion_)) return;
-  nextFeed_ = now + kFeedEvery;
-  feed_(snapshot(fedConfiguration_, now), now);
-  fedConfiguration_ = configurationVersion_;
+  if (!snapshotListener_ ||
+      (now < nextSnapshotAt_ && publishedConfigurationVersion_ == configurationVersion_))
+    return;
+  nextSnapshotAt_ = now + kFeedEvery;
+  snapshotListener_(snapshot(publishedConfigurationVersion_, now), now);
+  publishedConfigurationVersion_ = configurationVersion_;
 }
 
-void Agent::feedPlane(Instant now) {
+void Agent::publishPlaneDigests(Instant now) {
   for (PlaneDigest& digest : core_->takePlaneDigests()) {
-    if (planeFeed_) planeFeed_(std::move(digest), now);
+    if (planeDigestListener_) planeDigestListener_(std::move(digest), now);
   }
 }
 
@@ -167,9 +169,9 @@
 }
 
 // Which servers' events, and whether the store's, this daemon reads for the fleet.
-void Agent::shareEventSources(Instant now) {
-  if (now < nextEventSources_) return;
-  nextEventSources_ = now + kShareEvery;
+void Agent::updateEventSources(Instant now) {
+  if (now < nextEventSourcesAt_) return;
+  nextEventSourcesAt_ = now + kShareEvery;
   std::vector<EventSource> sources;
   for (const auto& [name, row] : servers_) {
     if (row.state && !row.state->model.value.empty()) sources.push_back({name, row.listed.zone});
@@ -192,10 +194,10 @@
     if (effects.readList) asio::co_spawn(io_, readList(), asio::detached);
     apply(std::move(effects));
     takeList();
-    tickOrders(now);
-    shareEventSources(now);
+    tickRollouts(now);
+    updateEventSources(now);
     feed(now);
-    feedPlane(now);
+    publishPlaneDigests(now);
     timer.expires_after(kTick);
     ErrorCode code;
     co_await timer.async_wait(into(code));
@@ -220,8 +222,8 @@
 
 // The list may have come from the platform or from another daemon.
 void Agent::takeList() {
-  if (core_->list().readAt() == takenList_) return;
-  takenList_ = core_->list().readAt();
+  if (core_->list().readAt() == appliedListReadAt_) return;
+  appliedListReadAt_ = core_->list().readAt();
   std::set<ServerName> names;
   for (const ListRow& server : core_->list().rows()) {
     names.insert(server.name);
@@ -229,18 +231,18 @@
     if (!fresh && !row->second.listed.leaving && server.leaving)
       LOG(INFO) << "server " << server.name.value << " is leaving";
     row->second.listed = server;
-    if (server.told) takeTold(row->second, *takenList_);
+    if (server.told) applyListedState(row->second, *appliedListReadAt_);
     if (!fresh) continue;
-    row->second.life = ++pollLife_;
+    row->second.life = ++lastPollGeneration_;
     LOG(INFO) << "server " << server.name.value << " listed";
     if (!dialect_.readServer) continue;
-    asio::co_spawn(io_, pollLoop(server.name, pollLife_), asio::detached);
+    asio::co_spawn(io_, pollLoop(server.name, lastPollGeneration_), asio::detached);
   }
   std::erase_if(servers_, [&](const auto& row) { return !names.contains(row.first); });
 }
 
 // What the list itself tells of a server stands in for its own word.
-void Agent::takeTold(Polled& row, Instant readAt) const {
+void Agent::applyListedState(PolledServer& row, Instant readAt) const {
   const ListRow& listed = row.listed;
   ServerState state;
   state.name = listed.name;
@@ -271,7 +273,7 @@
 
 // A server's state with all that is known of it: its own word, the list's, and those of whoever
 // orders weights.
-ServerState Agent::stateOf(const Polled& row, Instant now) const {
+ServerState Agent::stateOf(const PolledServer& row, Instant now) const {
   ServerState state = *row.state;
   state.zone = row.listed.zone;
   state.leaving = row.listed.leaving;
@@ -300,7 +302,7 @@
   const bool inForce = configurationVersion_ == core_->freshness().configuration().value.version &&
                        configurationVersion_ > 0;
   snapshot.confirmedAgoMicros = inForce ? ago(core_->freshness().confirmedAt()) : -1;
-  snapshot.listedAgoMicros = ago(takenList_);
+  snapshot.listedAgoMicros = ago(appliedListReadAt_);
   for (const NewsItem& item : core_->live(now))
     snapshot.proxies += item.proxyAddress.empty() ? 0 : 1;
   for (const auto& [name, row] : servers_) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -21,7 +21,7 @@
 namespace quayrill {
 
 // The lease under which a model's servers are ordered.
-RegisterKey orderLease(const ModelName& model);
+RegisterKey rolloutLeaseKey(const ModelName& model);
 
 class Agent {
  public:
@@ -31,7 +31,7 @@
   void beginLeaving();
   // Takes up what of changed settings can change while it runs: `takenLive` in
   // daemon/settings_watch.h names them. May be called on any thread.
-  void takeSettings(const Settings& changed);
+  void applySettings(const Settings& changed);
   void stop();
   // Leaving, and the register replica's vote is about to pass to another machine: the process is
   // still needed. From any thread; known a tick after beginLeaving.
@@ -39,24 +39,24 @@
   // Operator calls that were taken and not yet answered.
   // The data plane in this process, told each time that something changed and every 100 ms. Set it
   // before start; it is called on the control thread.
-  using Feed = std::function<void(Snapshot, Instant)>;
-  void setFeed(Feed feed) { feed_ = std::move(feed); }
-  // The data plane in this process, told what those of the fleet observe. As setFeed.
-  using PlaneFeed = std::function<void(PlaneDigest, Instant)>;
-  void setPlaneFeed(PlaneFeed feed) { planeFeed_ = std::move(feed); }
+  using SnapshotListener = std::function<void(Snapshot, Instant)>;
+  void setSnapshotListener(SnapshotListener feed) { snapshotListener_ = std::move(feed); }
+  // The data plane in this process, told what those of the fleet observe. As setSnapshotListener.
+  using PlaneDigestListener = std::function<void(PlaneDigest, Instant)>;
+  void setPlaneDigestListener(PlaneDigestListener feed) { planeDigestListener_ = std::move(feed); }
   // What the data plane in this process observed. May be called on any thread.
   void takePlaneReport(PlaneReport report);
-  std::size_t callsOpen() const { return callsOpen_; }
+  std::size_t openOperatorCalls() const { return openOperatorCalls_; }
 
   // For calls of operators, on the control thread. A register that is not heard can't be changed.
-  bool hearsRegister() const;
+  bool isRegisterReachable() const;
   // Reads, updates and proposes until it is known what became of it, or its time is over.
   awaitable<UpdateDone> updateConfiguration(Update change);
   // A read of the configuration through the register itself, which also settles it.
-  awaitable<ChangeDone> readSettled(Span due);
+  awaitable<ChangeDone> linearizableRead(Span due);
 
  private:
-  struct Polled {
+  struct PolledServer {
     ListRow listed;
     std::optional<ServerState> state;
     Instant healthyAt{};  // start of the last poll that was answered
@@ -65,23 +65,23 @@
   using Waiter = std::function<void(const ChangeDone&)>;
 
   void apply(AgentEffects effects);
-  void takeDisk(Disk::Rows rows);
+  void onDiskReopened(Disk::Rows rows);
   void feed(Instant now);
-  void shareEventSources(Instant now);
-  void feedPlane(Instant now);
+  void updateEventSources(Instant now);
+  void publishPlaneDigests(Instant now);
   awaitable<void> tickLoop();
   awaitable<void> readList();
   void takeList();
   awaitable<void> pollLoop(ServerName server, std::uint64_t life);
-  void takeTold(Polled& row, Instant readAt) const;
-  void tickOrders(Instant now);
+  void applyListedState(PolledServer& row, Instant readAt) const;
+  void tickRollouts(Instant now);
   RolloutView rolloutView(const ModelName& model, Instant now) const;
   void applyRollout(const ModelName& model, const RolloutEffects& made, Instant now);
-  std::string orderOwner() const;
+  std::string fenceOwner() const;
   // `decidedAt` is when the lease was last seen to outlast the order.
-  awaitable<void> orderServer(ModelName model, WeightsOrder order, Instant decidedAt);
-  awaitable<void> askReport(ModelName model, ReportAsk asked);
-  void takeConfiguration();
+  awaitable<void> sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt);
+  awaitable<void> requestWeightsReport(ModelName model, ReportAsk asked);
+  void applyConfiguration();
 
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
   awaitable<HttpResponse> recover(HttpRequest& request);
@@ -89,7 +89,7 @@
   awaitable<ChangeDone> ask(ChangeAsked change);
   // Enough register replicas that a change survives the loss of one.
   bool hasReplicasToSpare() const;
-  ServerState stateOf(const Polled& row, Instant now) const;
+  ServerState stateOf(const PolledServer& row, Instant now) const;
   Snapshot snapshot(std::uint64_t knownConfiguration, Instant now) const;
   nlohmann::json membersJson(Instant now) const;
   nlohmann::json serversJson(Instant now) const;
@@ -104,25 +104,25 @@
   std::unique_ptr<HttpServer> operators_;
   Counters counters_;
   DecisionLog decisions_{20000};
-  std::atomic<std::size_t> callsOpen_{0};
+  std::atomic<std::size_t> openOperatorCalls_{0};
   std::atomic<bool> handingOver_{false};
   std::map<OperationId, Waiter> waiters_;  // one for each operator call under way
   // servers_ holds exactly what the platform listed last.
-  std::map<ServerName, Polled> servers_;
-  std::uint64_t pollLife_ = 0;
-  std::optional<Instant> takenList_;  // the reading that servers_ stands for
-  Feed feed_;
-  PlaneFeed planeFeed_;
+  std::map<ServerName, PolledServer> servers_;
+  std::uint64_t lastPollGeneration_ = 0;
+  std::optional<Instant> appliedListReadAt_;  // the reading that servers_ stands for
+  SnapshotListener snapshotListener_;
+  PlaneDigestListener planeDigestListener_;
   std::vector<ServerName> eventSources_;
-  Instant nextEventSources_{};
-  std::uint64_t fedConfiguration_ = 0;
-  Instant nextFeed_{};
+  Instant nextEventSourcesAt_{};
+  std::uint64_t publishedConfigurationVersion_ = 0;
+  Instant nextSnapshotAt_{};
   std::optional<Configuration> configuration_;  // the configuration in force, parsed
   std::uint64_t configurationVersion_ = 0;
   // When the configuration in force here was last known to be the newest.
   std::optional<Instant> confirmedThen_;
-  std::map<ModelName, Rollout> rollouts_;     // of models that the configuration names weights for
-  std::map<ModelName, Instant> behindSince_;  // of those, where a server has other weights
+  std::map<ModelName, Rollout> rollouts_;  // of models that the configuration names weights for
+  std::map<ModelName, Instant> outdatedSince_;  // of those, where a server has other weights
 };
 
 }  // namespace quayrill
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -35,7 +35,7 @@
   co_return **result;
 }
 
-awaitable<ChangeDone> Agent::readSettled(Span due) {
+awaitable<ChangeDone> Agent::linearizableRead(Span due) {
   ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
   co_return co_await ask(read);
 }
@@ -49,7 +49,7 @@
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
     co_return turnedAway("too few register replicas to survive the loss of one");
-  const ChangeDone current = co_await readSettled(2s);
+  const ChangeDone current = co_await linearizableRead(2s);
   if (current.result != ChangeResult::Chosen)
     co_return turnedAway("no majority of register replicas answered");
   if (current.value.version != expected) {
@@ -123,7 +123,7 @@
   if (!made.turnedAway.empty())
     co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
   // A round of the new register shows that what founds it is synced.
-  const ChangeDone done = co_await readSettled(3s);
+  const ChangeDone done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
     co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
   LOG(INFO) << "register founded again as fleet " << made.replicas.fleet;
@@ -159,7 +159,7 @@
   Json rows = Json::array();
   const Snapshot told = snapshot(configurationVersion_, now);
   for (const SnapshotServer& row : told.servers) {
-    const auto fence = core_->held(orderLease(row.model), Span{}, now);
+    const auto fence = core_->held(rolloutLeaseKey(row.model), Span{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
                     {"model", row.model.value},
@@ -187,8 +187,8 @@
   const std::string path = pathOf(request);
   const Instant now = BootClock::now();
   const auto verb = request.method();
-  ++callsOpen_;
-  AtEnd answered([this] { --callsOpen_; });
+  ++openOperatorCalls_;
+  AtEnd answered([this] { --openOperatorCalls_; });
   if (dialect_.operatorCall) {
     auto answer = co_await dialect_.operatorCall(*this, request);
     if (answer) co_return std::move(*answer);
@@ -222,7 +222,7 @@
   }
   if (path == "/q/spec") {
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
-    const ChangeDone done = co_await readSettled(2s);
+    const ChangeDone done = co_await linearizableRead(2s);
     if (done.result != ChangeResult::Chosen)
       co_return turnedAway("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -16,10 +16,10 @@
 std::string roleOf(const ModelName& model) { return "orders/" + model.value; }
 }  // namespace
 
-RegisterKey orderLease(const ModelName& model) { return RegisterKey{"hold/" + roleOf(model)}; }
+RegisterKey rolloutLeaseKey(const ModelName& model) { return RegisterKey{"hold/" + roleOf(model)}; }
 
 // No other life of a daemon has the same.
-std::string Agent::orderOwner() const {
+std::string Agent::fenceOwner() const {
   const std::string name = settings_.node.empty() ? settings_.peer.value : settings_.node;
   return name + "/" + std::to_string(core_->settings().nonce);
 }
@@ -35,11 +35,11 @@
   }
   const auto confirmed = core_->freshness().confirmedAt();
   if (confirmed && now - *confirmed < settings_.freshLimit)
-    view.fence = core_->held(orderLease(model), kOrderDue + kOrderMargin, now);
+    view.fence = core_->held(rolloutLeaseKey(model), kOrderDue + kOrderMargin, now);
   return view;
 }
 
-void Agent::tickOrders(Instant now) {
+void Agent::tickRollouts(Instant now) {
   core_->forgetWeightsBefore(now - settings_.rolloutDue);
   if (!configuration_) return;
   std::erase_if(rollouts_,
@@ -49,20 +49,20 @@
     const RolloutSettings rolloutSettings{settings_.rolloutDue, Span{}};
     Rollout& rollout = rollouts_.try_emplace(model, model, rolloutSettings).first->second;
     const RolloutView view = rolloutView(model, now);
-    const RegisterKey key = orderLease(model);
+    const RegisterKey key = rolloutLeaseKey(model);
     AgentEffects effects;
     const auto held = core_->held(key, Span{}, now);
     if (held && rollout.isFencedOff(*held)) {
       // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
     } else if (rollout.wantsLease(view)) {
-      Instant& since = behindSince_.try_emplace(model, now).first->second;
+      Instant& since = outdatedSince_.try_emplace(model, now).first->second;
       // As long as somebody tells of its orders, nothing is overdue.
       const Instant sign = std::max(since, core_->notes().lastSign(model).value_or(since));
       if (held || core_->mayStepIn(roleOf(model), now - sign, now))
         core_->pursueLease(key, now, &effects);
     } else {
-      behindSince_.erase(model);
+      outdatedSince_.erase(model);
       if (held && rollout.isIdle()) core_->releaseLease(key, now, &effects);
     }
     apply(std::move(effects));
@@ -77,15 +77,15 @@
   for (const ServerNote& note : made.notes) core_->tellNote(note, now, &effects);
   apply(std::move(effects));
   for (const WeightsOrder& order : made.orders)
-    asio::co_spawn(io_, orderServer(model, order, now), asio::detached);
+    asio::co_spawn(io_, sendWeightsOrder(model, order, now), asio::detached);
   for (const ReportAsk& asked : made.questions)
-    asio::co_spawn(io_, askReport(model, asked), asio::detached);
+    asio::co_spawn(io_, requestWeightsReport(model, asked), asio::detached);
 }
 
-awaitable<void> Agent::orderServer(ModelName model, WeightsOrder order, Instant decidedAt) {
+awaitable<void> Agent::sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt) {
   // GCC 12 destroys an aggregate temporary of a co_await twice: what is handed over has a name.
   const Address address{order.server.value};
-  const std::string owner = orderOwner();
+  const std::string owner = fenceOwner();
   co_await pauseFor(kNoticeSpan);
   // What stood still since it was decided has that much less time, or is not sent at all.
   const Span due = kOrderDue - (BootClock::now() - decidedAt);
@@ -110,7 +110,7 @@
   applyRollout(model, made, now);
 }
 
-awaitable<void> Agent::askReport(ModelName model, ReportAsk asked) {
+awaitable<void> Agent::requestWeightsReport(ModelName model, ReportAsk asked) {
   const Instant askedAt = BootClock::now();
   const Address address{asked.server.value};
   const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportDue);
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -13,7 +13,7 @@
 constexpr Span kHeardWithin = 2s;  // ours: several rounds of confirming
 }  // namespace
 
-bool Agent::hearsRegister() const {
+bool Agent::isRegisterReachable() const {
   const auto confirmed = core_->freshness().confirmedAt();
   return confirmed && BootClock::now() - *confirmed < kHeardWithin;
 }
@@ -24,7 +24,7 @@
 }
 
 awaitable<UpdateDone> Agent::updateConfiguration(Update change) {
-  if (!hearsRegister())
+  if (!isRegisterReachable())
     co_return UpdateDone{UpdateResult::NotTaken, "no majority of register replicas is heard here"};
   if (!hasReplicasToSpare())
     co_return UpdateDone{UpdateResult::NotTaken,
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -78,10 +78,10 @@
         std::cerr << program << ": " << status.message() << "\n";
         return 1;
       }
-      agent->setFeed([&relay](Snapshot told, Instant askedAt) {
+      agent->setSnapshotListener([&relay](Snapshot told, Instant askedAt) {
         relay->takeSnapshot(std::move(told), askedAt);
       });
-      agent->setPlaneFeed([&relay](PlaneDigest digest, Instant toldAt) {
+      agent->setPlaneDigestListener([&relay](PlaneDigest digest, Instant toldAt) {
         relay->takeDigest(std::move(digest), toldAt);
       });
     }
@@ -102,7 +102,7 @@
   if (const std::string off = settings.mechanisms.namesOff(); !off.empty())
     LOG(WARNING) << "switched off: " << off;
   SettingsWatch watch(std::move(source), settings, [&agent](const Settings& changed) {
-    if (agent) agent->takeSettings(changed);
+    if (agent) agent->applySettings(changed);
   });
   int signal = 0;
   while (sigwait(&awaited, &signal) == 0 && signal == SIGHUP) watch.onHup();
@@ -116,7 +116,7 @@
     // A proxy beside this agent finishes on its word that the configuration still stands.
     leaveRegister(*agent, settings, toldAt);
     // Each operator's call has a due of its own, so this ends by itself.
-    while (agent->callsOpen() > 0) std::this_thread::sleep_for(20ms);
+    while (agent->openOperatorCalls() > 0) std::this_thread::sleep_for(20ms);
     agent->stop();
     control.join();
   }
