--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -29,7 +29,7 @@
   absl::Status start();
   void run();  // on the calling thread, until stop
   void beginLeaving();
-  // Takes up what of changed settings can change while it runs: `takenLive` in
+  // Takes up what of changed settings can change while it runs: `withLiveSettings` in
   // daemon/settings_watch.h names them. May be called on any thread.
   void applySettings(const Settings& changed);
   void stop();
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -105,7 +105,7 @@
     if (agent) agent->applySettings(changed);
   });
   int signal = 0;
-  while (sigwait(&awaited, &signal) == 0 && signal == SIGHUP) watch.onHup();
+  while (sigwait(&awaited, &signal) == 0 && signal == SIGHUP) watch.requestReload();
   const Instant toldAt = BootClock::now();
   settings = watch.stop();
   LOG(INFO) << "leaving: not ready, finishing what was accepted";
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 // SIGHUP or not, a change is taken up within this and one look more.
-constexpr std::chrono::milliseconds kLookEvery{1000};
+constexpr std::chrono::milliseconds kPollInterval{1000};
 // A writer that is in the midst of the file is given this to write on.
-constexpr std::chrono::milliseconds kRestSpan{200};
+constexpr std::chrono::milliseconds kSettleInterval{200};
 constexpr std::size_t kFileLimit = 1 << 20;  // bytes; settings files have some thousand
 
 // The names are those of the own settings file where it has the setting.
@@ -26,8 +26,8 @@
   return a.*field == b.*field;
 }
 
-// Not here: what `takenLive` takes up, and whether the platform calls this the first start of all,
-// which only a start can be.
+// Not here: what `withLiveSettings` takes up, and whether the platform calls this the first start
+// of all, which only a start can be.
 constexpr std::array kStartSettings = {
     StartSetting{"role", same<&Settings::role>},
     StartSetting{"node", same<&Settings::node>},
@@ -96,7 +96,7 @@
   return source->read(source->text);
 }
 
-std::vector<std::string> restartNeeded(const Settings& before, const Settings& after) {
+std::vector<std::string> settingsNeedingRestart(const Settings& before, const Settings& after) {
   std::vector<std::string> names;
   for (const StartSetting& setting : kStartSettings) {
     if (!setting.same(before, after)) names.emplace_back(setting.name);
@@ -104,7 +104,7 @@
   return names;
 }
 
-Settings takenLive(const Settings& before, const Settings& after) {
+Settings withLiveSettings(const Settings& before, const Settings& after) {
   Settings taken = before;
   taken.seeds = after.seeds;
   taken.platform = after.platform;
@@ -114,36 +114,36 @@
   return taken;
 }
 
-SettingsJudge::SettingsJudge(SettingsSource source, Settings inForce)
+SettingsReloader::SettingsReloader(SettingsSource source, Settings inForce)
     : source_(std::move(source)),
       inForce_(std::move(inForce)),
-      takenText_(source_.text),
+      appliedText_(source_.text),
       seen_(source_.text),
       judged_(source_.text) {}
 
-SettingsLook SettingsJudge::onLook(const std::optional<std::string>& text, bool asked) {
+SettingsPollResult SettingsReloader::onPoll(const std::optional<std::string>& text, bool asked) {
   asked_ = asked_ || asked;
   const bool rests = text == seen_;
   seen_ = text;
   if (rests && text == judged_ && !asked_) return {};
   if (!rests) {
-    SettingsLook look;
-    look.lookSoon = true;
+    SettingsPollResult look;
+    look.pollSoon = true;
     return look;
   }
   const bool known = text == judged_;
   judged_ = text;
   asked_ = false;
-  if (known && text == takenText_) {
-    SettingsLook look;
+  if (known && text == appliedText_) {
+    SettingsPollResult look;
     look.told = "settings file '" + source_.file + "' is unchanged";
     return look;
   }
   return judge(text);
 }
 
-SettingsLook SettingsJudge::judge(const std::optional<std::string>& text) {
-  SettingsLook look;
+SettingsPollResult SettingsReloader::judge(const std::optional<std::string>& text) {
+  SettingsPollResult look;
   const std::string named = "settings file '" + source_.file + "' ";
   const std::string old = ": the settings read before stay in force";
   if (!text) {
@@ -155,9 +155,9 @@
     look.refused = named + "is refused, " + std::string(read.status().message()) + old;
     return look;
   }
-  takenText_ = *text;
-  const std::vector<std::string> waiting = restartNeeded(inForce_, *read);
-  Settings taken = takenLive(inForce_, *read);
+  appliedText_ = *text;
+  const std::vector<std::string> waiting = settingsNeedingRestart(inForce_, *read);
+  Settings taken = withLiveSettings(inForce_, *read);
   look.told = named + "is read anew, seeds " + joined(taken.seeds);
   if (!waiting.empty())
     look.told += "; not taken up before you restart this daemon: " + joined(waiting);
@@ -166,15 +166,15 @@
   return look;
 }
 
-SettingsWatch::SettingsWatch(SettingsSource source, Settings inForce, TakeUp takeUp)
+SettingsWatch::SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback takeUp)
     : file_(source.file),
       judge_(std::move(source), std::move(inForce)),
-      takeUp_(std::move(takeUp)),
+      applyCallback_(std::move(takeUp)),
       thread_([this] { run(); }) {}
 
 SettingsWatch::~SettingsWatch() { stop(); }
 
-void SettingsWatch::onHup() {
+void SettingsWatch::requestReload() {
   const std::lock_guard lock(mutex_);
   hup_ = true;
   wake_.notify_all();
@@ -191,7 +191,7 @@
 }
 
 // False: the watch has ended. `*asked` tells of a SIGHUP since the last look.
-bool SettingsWatch::waitForLook(std::chrono::milliseconds span, bool* asked) {
+bool SettingsWatch::waitForPoll(std::chrono::milliseconds span, bool* asked) {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, span, [this] { return hup_ || ended_; });
   *asked = std::exchange(hup_, false);
@@ -199,17 +199,17 @@
 }
 
 void SettingsWatch::run() {
-  std::chrono::milliseconds span = kLookEvery;
-  for (bool asked = false; waitForLook(span, &asked);) {
+  std::chrono::milliseconds span = kPollInterval;
+  for (bool asked = false; waitForPoll(span, &asked);) {
     if (file_.empty()) {
       if (asked) LOG(INFO) << "SIGHUP: started without a settings file, so nothing to read";
       continue;
     }
-    const SettingsLook look = judge_.onLook(readSettingsFile(file_), asked);
+    const SettingsPollResult look = judge_.onPoll(readSettingsFile(file_), asked);
     if (!look.refused.empty()) LOG(ERROR) << look.refused;
     if (!look.told.empty()) LOG(INFO) << look.told;
-    if (look.changed) takeUp_(*look.changed);
-    span = look.lookSoon ? kRestSpan : kLookEvery;
+    if (look.changed) applyCallback_(*look.changed);
+    span = look.pollSoon ? kSettleInterval : kPollInterval;
   }
 }
 
--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -18,13 +18,13 @@
 namespace quayrill {
 
 // From the text of a settings file to settings; an error names the field and the remedy.
-using ReadSettings = std::function<absl::StatusOr<Settings>(const std::string& text)>;
+using SettingsParser = std::function<absl::StatusOr<Settings>(const std::string& text)>;
 
 // Where a program's settings come from, and how it reads them.
 struct SettingsSource {
   std::string file;  // "": there is none, and `text` stands for it
   std::string text;  // as it was read at the start
-  ReadSettings read;
+  SettingsParser read;
 };
 
 // The file's text, or nothing where it can't be read or is longer than any settings file.
@@ -35,37 +35,37 @@
 
 // Names of the settings that differ and that a running daemon can't change: its addresses, data
 // folder, role and the bounds that its parts were built with.
-std::vector<std::string> restartNeeded(const Settings& before, const Settings& after);
+std::vector<std::string> settingsNeedingRestart(const Settings& before, const Settings& after);
 
 // `before`, with what a running daemon can change as it is in `after`: the seeds, the platform's
 // address, how often its list is read, and the grace of SIGTERM.
-Settings takenLive(const Settings& before, const Settings& after);
+Settings withLiveSettings(const Settings& before, const Settings& after);
 
 // What came of one look at the file.
-struct SettingsLook {
+struct SettingsPollResult {
   std::optional<Settings> changed;  // take these up
   std::string refused;              // one line for the log; "" where nothing is refused
   std::string told;                 // the same, of what is no error
-  bool lookSoon = false;            // the text has just changed: it may be half written
+  bool pollSoon = false;            // the text has just changed: it may be half written
 };
 
 // Judges the texts that were seen. No clock, file or thread of its own.
-class SettingsJudge {
+class SettingsReloader {
  public:
-  SettingsJudge(SettingsSource source, Settings inForce);
+  SettingsReloader(SettingsSource source, Settings inForce);
 
   // `text` is what the file holds now, or nothing where it can't be read; `asked` is true where
   // SIGHUP came since the last look. A text is judged once, when two looks have shown the same, and
   // again at each SIGHUP.
-  SettingsLook onLook(const std::optional<std::string>& text, bool asked);
+  SettingsPollResult onPoll(const std::optional<std::string>& text, bool asked);
   const Settings& inForce() const { return inForce_; }
 
  private:
-  SettingsLook judge(const std::optional<std::string>& text);
+  SettingsPollResult judge(const std::optional<std::string>& text);
 
   SettingsSource source_;
   Settings inForce_;
-  std::string takenText_;
+  std::string appliedText_;
   std::optional<std::string> seen_;    // at the last look
   std::optional<std::string> judged_;  // taken or refused
   bool asked_ = false;                 // by SIGHUP, and not judged since
@@ -75,24 +75,24 @@
 class SettingsWatch {
  public:
   // Called on the watch's thread, once for each change.
-  using TakeUp = std::function<void(const Settings&)>;
+  using ApplyCallback = std::function<void(const Settings&)>;
 
-  SettingsWatch(SettingsSource source, Settings inForce, TakeUp takeUp);
+  SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback takeUp);
   ~SettingsWatch();
   SettingsWatch(const SettingsWatch&) = delete;
   SettingsWatch& operator=(const SettingsWatch&) = delete;
 
-  void onHup();
+  void requestReload();
   // Ends the watch; the settings in force then.
   Settings stop();
 
  private:
   void run();
-  bool waitForLook(std::chrono::milliseconds span, bool* asked);
+  bool waitForPoll(std::chrono::milliseconds span, bool* asked);
 
   const std::string file_;
-  SettingsJudge judge_;  // the thread's own until it has ended
-  TakeUp takeUp_;
+  SettingsReloader judge_;  // the thread's own until it has ended
+  ApplyCallback applyCallback_;
   std::mutex mutex_;
   std::condition_variable wake_;
   bool hup_ = false;
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -19,7 +19,7 @@
 constexpr Span kRefuseSpan = 500ms;  // ours: connections handed over last are refused, not reset
 constexpr Span kEndMargin = 500ms;   // ours: before the kill, for the final answers to be written
 constexpr Span kGoneMargin = 250ms;  // ours: before the kill, for the process to end
-constexpr Span kLookEvery = 20ms;
+constexpr Span kPollInterval = 20ms;
 
 // Bytes of a request wait there unread.
 bool hasBytes(Tcp::socket& socket) {
@@ -47,10 +47,10 @@
   refusing_ = true;
   closeIdle();
   co_await pauseFor(schedule.mayEndFrom - BootClock::now());
-  while (isBusy() && BootClock::now() < schedule.endsAt) co_await pauseFor(kLookEvery);
+  while (isBusy() && BootClock::now() < schedule.endsAt) co_await pauseFor(kPollInterval);
   ending_ = true;
   endTries();
-  while (isBusy() && BootClock::now() < schedule.goneBy) co_await pauseFor(kLookEvery);
+  while (isBusy() && BootClock::now() < schedule.goneBy) co_await pauseFor(kPollInterval);
   hasLeft_ = true;
 }
 
--- a/src/relay/part_events.cpp
+++ b/src/relay/part_events.cpp
@@ -11,7 +11,7 @@
 constexpr Span kRound = 1s;          // ours: each source is asked once in this time
 constexpr Span kStoreRound = 500ms;  // ours: requests wait at servers for a store that is down
 constexpr Span kEventsDue = 500ms;
-constexpr Span kLookEvery = 100ms;  // ours: for sources that are due
+constexpr Span kPollInterval = 100ms;  // ours: for sources that are due
 constexpr Span kReportEvery = 100ms;
 }  // namespace
 
@@ -74,7 +74,7 @@
       due->second = now + round;
       asio::co_spawn(io_, pullEvents(source), asio::detached);
     }
-    co_await pauseFor(kLookEvery);
+    co_await pauseFor(kPollInterval);
   }
 }
 
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -27,18 +27,18 @@
 
 absl::StatusOr<Settings> readOwn(const std::string& text) { return readSettings(text, {}); }
 
-SettingsJudge judgeOf(const std::string& text) {
+SettingsReloader judgeOf(const std::string& text) {
   return {SettingsSource{kFile, text, readOwn}, *readOwn(text)};
 }
 
 // Two looks, as at a file that has come to rest.
-SettingsLook lookTwice(SettingsJudge& judge, const std::optional<std::string>& text,
-                       bool asked = false) {
-  const SettingsLook first = judge.onLook(text, asked);
+SettingsPollResult lookTwice(SettingsReloader& judge, const std::optional<std::string>& text,
+                             bool asked = false) {
+  const SettingsPollResult first = judge.onPoll(text, asked);
   CHECK_FALSE(first.changed.has_value());
   CHECK(first.refused.empty());
-  CHECK(first.lookSoon);
-  return judge.onLook(text, false);
+  CHECK(first.pollSoon);
+  return judge.onPoll(text, false);
 }
 
 struct SettingsFile {
@@ -54,38 +54,38 @@
 }  // namespace
 
 TEST_CASE("settings: a changed file is taken up, and an unchanged one is passed over") {
-  SettingsJudge judge = judgeOf(kOld);
-  const SettingsLook same = judge.onLook(kOld, false);
-  CHECK_FALSE((same.changed || same.lookSoon));
+  SettingsReloader judge = judgeOf(kOld);
+  const SettingsPollResult same = judge.onPoll(kOld, false);
+  CHECK_FALSE((same.changed || same.pollSoon));
   CHECK((same.told + same.refused).empty());
-  const SettingsLook look = lookTwice(judge, kNew);
+  const SettingsPollResult look = lookTwice(judge, kNew);
   REQUIRE(look.changed);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.2:1"}, {"10.0.0.3:1"}});
   CHECK(judge.inForce().seeds == look.changed->seeds);
   CHECK_THAT(look.told, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
   CHECK(look.refused.empty());
-  CHECK_FALSE(judge.onLook(kNew, false).changed);
+  CHECK_FALSE(judge.onPoll(kNew, false).changed);
   // And back.
   CHECK(lookTwice(judge, kOld).changed->seeds.front() == Address{"10.0.0.1:1"});
 }
 
 TEST_CASE("settings: SIGHUP over an unchanged file is answered by one line and changes nothing") {
-  SettingsJudge judge = judgeOf(kOld);
-  const SettingsLook look = judge.onLook(kOld, true);
+  SettingsReloader judge = judgeOf(kOld);
+  const SettingsPollResult look = judge.onPoll(kOld, true);
   CHECK_FALSE(look.changed);
   CHECK_THAT(look.told, Catch::Contains("unchanged"));
-  CHECK(judge.onLook(kOld, false).told.empty());
+  CHECK(judge.onPoll(kOld, false).told.empty());
 }
 
 TEST_CASE("settings: a half written file waits until it is whole, whatever part it shows") {
   for (std::size_t size = 0; size < kNew.size(); ++size) {
-    SettingsJudge judge = judgeOf(kOld);
-    const SettingsLook half = judge.onLook(kNew.substr(0, size), size % 2 == 0);
+    SettingsReloader judge = judgeOf(kOld);
+    const SettingsPollResult half = judge.onPoll(kNew.substr(0, size), size % 2 == 0);
     CHECK_FALSE(half.changed);
     CHECK(half.refused.empty());
-    CHECK(half.lookSoon);
-    CHECK(judge.onLook(kNew, false).lookSoon);
-    CHECK(judge.onLook(kNew, false).changed);
+    CHECK(half.pollSoon);
+    CHECK(judge.onPoll(kNew, false).pollSoon);
+    CHECK(judge.onPoll(kNew, false).changed);
   }
 }
 
@@ -93,43 +93,43 @@
   const std::string outside = settingsText(R"("a.host:1")");
   for (const std::string& bad : {std::string(), std::string("{"), outside, settingsText("")}) {
     INFO(bad);
-    SettingsJudge judge = judgeOf(kOld);
-    const SettingsLook look = lookTwice(judge, bad);
+    SettingsReloader judge = judgeOf(kOld);
+    const SettingsPollResult look = lookTwice(judge, bad);
     CHECK_FALSE(look.changed);
     CHECK_THAT(look.refused, Catch::Contains("refused") && Catch::Contains(kFile) &&
                                  Catch::Contains("stay in force"));
     CHECK(look.refused.find('\n') == std::string::npos);
     CHECK(judge.inForce().seeds.size() == 2);
     // Once: it is looked at each second.
-    const SettingsLook again = judge.onLook(bad, false);
+    const SettingsPollResult again = judge.onPoll(bad, false);
     CHECK((again.refused + again.told).empty());
     // Whoever asks is told again.
-    CHECK_FALSE(judge.onLook(bad, true).refused.empty());
+    CHECK_FALSE(judge.onPoll(bad, true).refused.empty());
     // The file as it was is no change.
-    const SettingsLook back = lookTwice(judge, kOld);
+    const SettingsPollResult back = lookTwice(judge, kOld);
     CHECK_FALSE(back.changed);
     CHECK(back.refused.empty());
     CHECK(lookTwice(judge, kNew).changed);
   }
-  SettingsJudge judge = judgeOf(kOld);
+  SettingsReloader judge = judgeOf(kOld);
   CHECK_THAT(lookTwice(judge, outside).refused,
              Catch::Contains("'seeds'") && Catch::Contains("give ip:port"));
 }
 
 TEST_CASE("settings: a file that is gone is told once, and read again when it is back") {
-  SettingsJudge judge = judgeOf(kOld);
-  const SettingsLook look = lookTwice(judge, std::nullopt);
+  SettingsReloader judge = judgeOf(kOld);
+  const SettingsPollResult look = lookTwice(judge, std::nullopt);
   CHECK_FALSE(look.changed);
   CHECK_THAT(look.refused, Catch::Contains("can't be read") && Catch::Contains("stay in force"));
-  CHECK(judge.onLook(std::nullopt, false).refused.empty());
+  CHECK(judge.onPoll(std::nullopt, false).refused.empty());
   CHECK(lookTwice(judge, kNew).changed);
 }
 
 TEST_CASE("settings: what only a restart can change is named once, and the rest is taken up") {
-  SettingsJudge judge = judgeOf(kOld);
+  SettingsReloader judge = judgeOf(kOld);
   const std::string text =
       settingsText(R"("10.0.0.9:1")", R"(,"zone":"b","fresh_limit_ms":900,"grace_ms":4000)");
-  const SettingsLook look = lookTwice(judge, text);
+  const SettingsPollResult look = lookTwice(judge, text);
   REQUIRE(look.changed);
   CHECK_THAT(look.told,
              Catch::Contains("zone, fresh_limit_ms") && Catch::Contains("restart this daemon"));
@@ -141,7 +141,7 @@
   const std::string moved = R"({"cohort":"10.0.0.1:9","operators":"10.0.0.1:8",)"
                             R"("callers":"10.0.0.1:7","role":"agent","platform":"10.0.9.2:1",)"
                             R"("seeds":["10.0.0.9:1"]})";
-  const SettingsLook other = lookTwice(judge, moved);
+  const SettingsPollResult other = lookTwice(judge, moved);
   CHECK_THAT(other.told, Catch::Contains("role, cohort, operators, callers"));
   CHECK(other.changed->role == "both");
   CHECK(other.changed->peer == Address{"10.0.0.1:1"});
@@ -157,8 +157,8 @@
   const std::string old = text("10.1.0.1:8", "bootstrap=true\n");
   const auto settings = platform::readSettings(old);
   REQUIRE(settings.ok());
-  SettingsJudge judge({kFile, old, platform::readSettings}, *settings);
-  const SettingsLook look =
+  SettingsReloader judge({kFile, old, platform::readSettings}, *settings);
+  const SettingsPollResult look =
       lookTwice(judge, text("10.1.0.2:8,10.1.0.3:8", "bootstrap=false\nfield.unknown=1\n"));
   REQUIRE(look.changed);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.1.0.2:7000"}, {"10.1.0.3:7000"}});
@@ -178,7 +178,7 @@
   SettingsWatch watch(source, *settings,
                       [&](const Settings& changed) { taken.set_value(changed); });
   file.write(kNew);
-  if (signalled) watch.onHup();
+  if (signalled) watch.requestReload();
   auto changed = taken.get_future();
   REQUIRE(changed.wait_for(20s) == std::future_status::ready);
   CHECK(changed.get().seeds.back() == Address{"10.0.0.3:1"});
