--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -9,9 +9,9 @@
 namespace quayrill {
 
 namespace {
-constexpr std::chrono::seconds kOpeningDue{1};
-constexpr char kProbeRow[] = "probe";
-constexpr char kSumRow[] = "sum";  // of all others; synced with each batch
+constexpr std::chrono::seconds kOpenTimeout{1};
+constexpr char kProbeKey[] = "probe";
+constexpr char kChecksumKey[] = "sum";  // of all others; synced with each batch
 
 absl::Status damaged(const std::string& what) {
   return absl::DataLossError("data folder: " + what +
@@ -19,10 +19,10 @@
 }
 }  // namespace
 
-Disk::Disk(DiskSettings settings, ReadAnew readAnew)
-    : settings_(std::move(settings)), readAnew_(std::move(readAnew)) {
-  env_ = syncedFolderEnv(settings_.files.env ? settings_.files : systemFiles());
-  if (!settings_.dragFile.empty()) dragged_ = draggedEnv(settings_.dragFile, env_.get());
+Disk::Disk(DiskSettings settings, ReopenedCallback readAnew)
+    : settings_(std::move(settings)), onReopened_(std::move(readAnew)) {
+  env_ = syncedFolderEnv(settings_.files.env ? settings_.files : hostFileSystem());
+  if (!settings_.dragFile.empty()) dragged_ = slowSyncEnv(settings_.dragFile, env_.get());
 }
 
 Disk::~Disk() {
@@ -72,7 +72,7 @@
 absl::Status Disk::probe() {
   leveldb::WriteOptions synced;
   synced.sync = true;
-  const auto status = db_->Put(synced, kProbeRow, "");
+  const auto status = db_->Put(synced, kProbeKey, "");
   return status.ok() ? absl::OkStatus() : absl::UnavailableError(status.ToString());
 }
 
@@ -82,25 +82,25 @@
   options.fill_cache = false;
   rows_.clear();
   rowHashes_.clear();
-  rowSum_ = 0;
+  rowHashSum_ = 0;
   std::unique_ptr<leveldb::Iterator> row(db_->NewIterator(options));
   for (row->SeekToFirst(); row->Valid(); row->Next())
     rows_[row->key().ToString()] = row->value().ToString();
   if (row->status().IsCorruption()) return damaged(row->status().ToString());
   if (!row->status().ok()) return absl::UnavailableError(row->status().ToString());
-  rows_.erase(kProbeRow);
+  rows_.erase(kProbeKey);
   std::optional<std::string> sum;
-  if (auto kept = rows_.extract(kSumRow)) sum = std::move(kept.mapped());
-  for (const auto& [key, bytes] : rows_) countRow({key, bytes});
+  if (auto kept = rows_.extract(kChecksumKey)) sum = std::move(kept.mapped());
+  for (const auto& [key, bytes] : rows_) addRowHash({key, bytes});
   // A folder of an earlier build has no sum yet.
-  if (sum && *sum != std::to_string(rowSum_)) return damaged("rows are missing");
+  if (sum && *sum != std::to_string(rowHashSum_)) return damaged("rows are missing");
   return absl::OkStatus();
 }
 
-void Disk::countRow(const DiskWrite& write) {
+void Disk::addRowHash(const DiskWrite& write) {
   const std::uint64_t hash = mixHash(stableHash(write.key), stableHash(write.bytes));
   std::uint64_t& row = rowHashes_[write.key];
-  rowSum_ += hash - row;
+  rowHashSum_ += hash - row;
   row = hash;
 }
 
@@ -110,8 +110,8 @@
     work();
   });
   std::unique_lock lock(mutex_);
-  wake_.wait_for(lock, kOpeningDue, [this] { return firstOpening_.has_value(); });
-  openWaits_ = false;
+  wake_.wait_for(lock, kOpenTimeout, [this] { return firstOpening_.has_value(); });
+  isOpenWaiting_ = false;
   if (firstOpening_ && !firstOpening_->ok() && !absl::IsUnavailable(*firstOpening_))
     return *firstOpening_;
   return std::move(firstRows_);
@@ -124,7 +124,7 @@
   bool waits = false;
   {
     std::lock_guard lock(mutex_);
-    waits = openWaits_;
+    waits = isOpenWaiting_;
     firstOpening_ = status;
     if (waits) firstRows_ = rows;
   }
@@ -133,14 +133,14 @@
   if (waits || !status.ok()) return;
   error_ = absl::UnavailableError("the rows of a late opening are not taken yet");
   told_ = true;
-  readAnew_(*rows);
+  onReopened_(*rows);
 }
 
-void Disk::openAnew() {
-  nextOpening_ = BootClock::now() + settings_.retryEvery;
+void Disk::reopen() {
+  nextOpening_ = BootClock::now() + settings_.retryInterval;
   db_.reset();
   told_ = openFolder().ok();
-  if (told_) readAnew_(std::move(rows_));
+  if (told_) onReopened_(std::move(rows_));
 }
 
 void Disk::write(std::vector<DiskWrite> writes, Done done) {
@@ -164,12 +164,12 @@
   for (const Job& job : batch) {
     for (const DiskWrite& write : job.writes) {
       changes.Put(write.key, write.bytes);
-      countRow(write);
+      addRowHash(write);
       any = true;
     }
   }
   if (!any) return;
-  changes.Put(kSumRow, std::to_string(rowSum_));
+  changes.Put(kChecksumKey, std::to_string(rowHashSum_));
   leveldb::WriteOptions options;
   options.sync = true;
   const auto status = db_->Write(options, &changes);
@@ -187,7 +187,7 @@
       if (error_.ok() || told_)
         wake_.wait(lock, woken);
       else
-        wake_.wait_for(lock, settings_.retryEvery, woken);
+        wake_.wait_for(lock, settings_.retryInterval, woken);
       if (stopping_ && jobs_.empty()) return;
       // A batch ends before a mark, so that what came earlier fails and what comes later is kept.
       while (!jobs_.empty() && jobs_.front().done) {
@@ -201,7 +201,7 @@
       }
     }
     sync(batch);
-    if (!error_.ok() && !told_ && BootClock::now() >= nextOpening_) openAnew();
+    if (!error_.ok() && !told_ && BootClock::now() >= nextOpening_) reopen();
   }
 }
 
--- a/src/net/disk.h
+++ b/src/net/disk.h
@@ -27,14 +27,14 @@
 // Ours, in bytes: a log that has grown past it is turned into a table. LevelDB lets writes wait
 // when twelve tables are not compacted yet, so with batches of up to 1 MB the folder holds at most
 // about 13 tables and two logs of up to 2 MB each; and an opening has little to read.
-inline constexpr std::size_t kWriteBuffer = 1 << 20;
+inline constexpr std::size_t kWriteBufferBytes = 1 << 20;
 
 struct DiskSettings {
   std::string folder;
-  std::string dragFile;                        // "" but in runs with a slow disk
-  std::chrono::milliseconds retryEvery{1000};  // how often a defective disk is opened anew
-  FolderFiles files{};                         // none: the system's
-  std::size_t writeBuffer = kWriteBuffer;
+  std::string dragFile;                           // "" but in runs with a slow disk
+  std::chrono::milliseconds retryInterval{1000};  // how often a defective disk is opened anew
+  FileSystem files{};                             // none: the system's
+  std::size_t writeBuffer = kWriteBufferBytes;
 };
 
 class Disk {
@@ -42,8 +42,8 @@
   using Done = std::function<void(absl::Status)>;
   using Rows = std::map<std::string, std::string>;
   // Told on the disk's thread, each time that a defective folder was opened and read anew.
-  using ReadAnew = std::function<void(Rows)>;
-  Disk(DiskSettings settings, ReadAnew readAnew);
+  using ReopenedCallback = std::function<void(Rows)>;
+  Disk(DiskSettings settings, ReopenedCallback readAnew);
   ~Disk();
   // The rows kept; nothing where the folder can't be written now (full) or takes over a second
   // (stalled): the rows come by readAnew then. An error is for the operator: a folder that is
@@ -61,7 +61,7 @@
   };
   void work();
   void openFirst();
-  void openAnew();
+  void reopen();
   void sync(const std::deque<Job>& batch);
   void put(const std::deque<Job>& batch);
   absl::Status openFolder();
@@ -70,10 +70,10 @@
   // Reads all rows and checks them against the sum that was synced with the last of them.
   absl::Status readRows();
   // Adds a row's hash to the sum, in place of that of the row it replaces.
-  void countRow(const DiskWrite& write);
+  void addRowHash(const DiskWrite& write);
 
   DiskSettings settings_;
-  ReadAnew readAnew_;
+  ReopenedCallback onReopened_;
   std::unique_ptr<leveldb::Env> env_;
   std::unique_ptr<leveldb::Env> dragged_;  // null but in runs with a slow disk
   std::unique_ptr<leveldb::DB> db_;        // null while the folder can't be opened
@@ -84,11 +84,11 @@
   // What the first opening came to, and whether open() still waits for it.
   std::optional<absl::Status> firstOpening_;
   std::optional<Rows> firstRows_;
-  bool openWaits_ = true;
+  bool isOpenWaiting_ = true;
   // Of the disk's thread.
   Rows rows_;  // of the present opening, until they are handed over
   std::map<std::string, std::uint64_t> rowHashes_;
-  std::uint64_t rowSum_ = 0;
+  std::uint64_t rowHashSum_ = 0;
   // Once set, nothing is written until a resume; told_ says that the rows of
   // the present opening were handed over.
   absl::Status error_;
--- a/src/net/dragged_env.cpp
+++ b/src/net/dragged_env.cpp
@@ -7,9 +7,9 @@
 namespace quayrill {
 
 namespace {
-class DraggedFile : public leveldb::WritableFile {
+class SlowSyncFile : public leveldb::WritableFile {
  public:
-  DraggedFile(leveldb::WritableFile* file, const std::string& dragFile)
+  SlowSyncFile(leveldb::WritableFile* file, const std::string& dragFile)
       : file_(file), dragFile_(dragFile) {}
   leveldb::Status Append(const leveldb::Slice& bytes) override { return file_->Append(bytes); }
   leveldb::Status Close() override { return file_->Close(); }
@@ -26,9 +26,9 @@
   const std::string& dragFile_;
 };
 
-class DraggedEnv : public leveldb::EnvWrapper {
+class SlowSyncEnv : public leveldb::EnvWrapper {
  public:
-  DraggedEnv(std::string dragFile, leveldb::Env* target)
+  SlowSyncEnv(std::string dragFile, leveldb::Env* target)
       : leveldb::EnvWrapper(target), dragFile_(std::move(dragFile)) {}
   leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** made) override {
     return wrapped(target()->NewWritableFile(name, made), made);
@@ -40,15 +40,15 @@
 
  private:
   leveldb::Status wrapped(leveldb::Status status, leveldb::WritableFile** made) const {
-    if (status.ok()) *made = new DraggedFile(*made, dragFile_);
+    if (status.ok()) *made = new SlowSyncFile(*made, dragFile_);
     return status;
   }
   std::string dragFile_;
 };
 }  // namespace
 
-std::unique_ptr<leveldb::Env> draggedEnv(std::string dragFile, leveldb::Env* target) {
-  return std::make_unique<DraggedEnv>(std::move(dragFile), target);
+std::unique_ptr<leveldb::Env> slowSyncEnv(std::string dragFile, leveldb::Env* target) {
+  return std::make_unique<SlowSyncEnv>(std::move(dragFile), target);
 }
 
 }  // namespace quayrill
--- a/src/net/synced_folder_env.cpp
+++ b/src/net/synced_folder_env.cpp
@@ -32,7 +32,7 @@
 
 class SyncedFolderEnv : public leveldb::EnvWrapper {
  public:
-  explicit SyncedFolderEnv(FolderFiles files)
+  explicit SyncedFolderEnv(FileSystem files)
       : leveldb::EnvWrapper(files.env), syncFolder_(std::move(files.syncFolder)) {}
 
   leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** made) override {
@@ -60,9 +60,9 @@
 };
 }  // namespace
 
-FolderFiles systemFiles() { return {leveldb::Env::Default(), syncSystemFolder}; }
+FileSystem hostFileSystem() { return {leveldb::Env::Default(), syncSystemFolder}; }
 
-std::unique_ptr<leveldb::Env> syncedFolderEnv(FolderFiles files) {
+std::unique_ptr<leveldb::Env> syncedFolderEnv(FileSystem files) {
   return std::make_unique<SyncedFolderEnv>(std::move(files));
 }
 
--- a/src/net/synced_folder_env.h
+++ b/src/net/synced_folder_env.h
@@ -12,17 +12,17 @@
 namespace quayrill {
 
 // Files, and the sync of a folder by its path, which LevelDB's own interface lacks.
-struct FolderFiles {
+struct FileSystem {
   leveldb::Env* env = nullptr;
   std::function<leveldb::Status(const std::string&)> syncFolder;
 };
 
-FolderFiles systemFiles();
+FileSystem hostFileSystem();
 
 // Syncs a folder when a log, a table or a folder was made in it, and when a file was renamed in it,
 // before the call returns. LevelDB syncs the folder before the manifest that names a table, but
 // after it has written there, and what was written may last without a sync. A removal that is taken
 // back does no harm: the manifest no longer names the file.
-std::unique_ptr<leveldb::Env> syncedFolderEnv(FolderFiles files);
+std::unique_ptr<leveldb::Env> syncedFolderEnv(FileSystem files);
 
 }  // namespace quayrill
--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -69,14 +69,14 @@
   std::shared_ptr<PowerLossEnv::File> file_;
 };
 
-FolderFiles PowerLossEnv::files() {
+FileSystem PowerLossEnv::files() {
   return {this, [this](const std::string&) {
             std::lock_guard lock(mutex_);
             return syncFolder();
           }};
 }
 
-FolderFiles PowerLossEnv::unsyncedFiles() {
+FileSystem PowerLossEnv::unsyncedFiles() {
   return {this, [](const std::string&) { return Status::OK(); }};
 }
 
--- a/tests/power_loss_env.h
+++ b/tests/power_loss_env.h
@@ -22,8 +22,8 @@
  public:
   PowerLossEnv() : leveldb::EnvWrapper(leveldb::Env::Default()) {}
 
-  FolderFiles files();          // with folder syncs
-  FolderFiles unsyncedFiles();  // a planted defect: folder syncs do nothing
+  FileSystem files();          // with folder syncs
+  FileSystem unsyncedFiles();  // a planted defect: folder syncs do nothing
 
   // A full disk refuses every write; syncs and names that are removed still work.
   void setFull(bool full);
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -43,7 +43,7 @@
 // One life of a replica and its disk, until its changes are made or the power goes.
 class Life {
  public:
-  Life(PowerLossEnv& env, FolderFiles files, Acknowledged* acknowledged)
+  Life(PowerLossEnv& env, FileSystem files, Acknowledged* acknowledged)
       : env_(env),
         acknowledged_(acknowledged),
         replica_(StoreId{++storesMade}),
