--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -46,7 +46,7 @@
   const Tcp::endpoint endpoint = endpointOf(call.to);
   co_await connection.async_connect(endpoint, into(code));
   if (code) co_return absl::UnavailableError("connect: " + code.message());
-  if (call.sendBefore && BootClock::now() > *call.sendBefore)
+  if (call.sendDeadline && BootClock::now() > *call.sendDeadline)
     co_return absl::DeadlineExceededError("connect: it took too long to send after it");
   HttpRequest request(call.verb, call.target, 11);
   request.set(http::field::host, call.to.value);
@@ -141,7 +141,7 @@
       const bool readable = co_await waitReadable(connection.socket());
       if (!readable) co_return;
     }
-    connection.expires_after(settings_.readDue);
+    connection.expires_after(settings_.readTimeout);
     co_await http::async_read(connection, buffer, parser, into(code));
     if (code == http::error::end_of_stream) co_return;
     if (code) {
@@ -162,7 +162,7 @@
     response->version(11);
     response->keep_alive(keepAlive && !stopping_);
     response->prepare_payload();
-    connection.expires_after(settings_.readDue);
+    connection.expires_after(settings_.readTimeout);
     co_await http::async_write(connection, *response, into(code));
     if (code || !response->keep_alive()) {
       connection.socket().shutdown(Tcp::socket::shutdown_send, code);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -26,7 +26,7 @@
   std::size_t bodyLimit = 4 << 20;
   Address from;  // local address to call from; "" lets the system choose
   // Nothing is sent later than this, also where the process stood still while it connected.
-  std::optional<Instant> sendBefore{};
+  std::optional<Instant> sendDeadline{};
 };
 
 awaitable<absl::StatusOr<HttpResponse>> httpCall(HttpCall call);
@@ -41,7 +41,7 @@
   std::size_t bodyLimit = 1 << 20;
   std::size_t headerLimit = 16 << 10;
   std::size_t connectionLimit = 4096;
-  Span readDue = std::chrono::seconds(10);
+  Span readTimeout = std::chrono::seconds(10);
   Span idleDue = std::chrono::seconds(60);
 };
 
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -56,7 +56,7 @@
                                      Fence fence, Span due) {
   HttpCall call = callTo(server, http::verb::post, "/weights", due);
   call.from = from;
-  call.sendBefore = BootClock::now() + due;
+  call.sendDeadline = BootClock::now() + due;
   const auto dueMs = std::chrono::duration_cast<std::chrono::milliseconds>(due).count();
   call.body = Json{{"weights", weights.value}, {"fence", fence.value}, {"due_ms", dueMs}}.dump();
   const auto response = co_await httpCall(std::move(call));
@@ -140,9 +140,10 @@
   }
 }
 
-awaitable<absl::StatusOr<std::size_t>> readKept(Address store, Address from, ModelName model,
-                                                CacheSalt salt, WeightsVersion weights,
-                                                PromptPrefix prefix, Span due) {
+awaitable<absl::StatusOr<std::size_t>> readStoredPrefixTokens(Address store, Address from,
+                                                              ModelName model, CacheSalt salt,
+                                                              WeightsVersion weights,
+                                                              PromptPrefix prefix, Span due) {
   HttpCall call = callTo(store, http::verb::post, "/kept", due);
   call.from = from;
   call.body = Json{{"model", model.value},
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -51,8 +51,9 @@
                                                                  Span due);
 
 // GET /kept of the store: how many tokens of the prefix it keeps under that salt and weights.
-awaitable<absl::StatusOr<std::size_t>> readKept(Address store, Address from, ModelName model,
-                                                CacheSalt salt, WeightsVersion weights,
-                                                PromptPrefix prefix, Span due);
+awaitable<absl::StatusOr<std::size_t>> readStoredPrefixTokens(Address store, Address from,
+                                                              ModelName model, CacheSalt salt,
+                                                              WeightsVersion weights,
+                                                              PromptPrefix prefix, Span due);
 
 }  // namespace quayrill
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 constexpr std::size_t kQueueLimit = 256;
-constexpr std::size_t kLaneLimit = 1024;
+constexpr std::size_t kPeerLimit = 1024;
 // Ours: frames that wait for one daemon, and for all: a slow link must not fill the memory.
-constexpr std::size_t kLaneBytes = 2 << 20, kAllBytes = 48 << 20;
+constexpr std::size_t kQueueByteLimit = 2 << 20, kTotalByteLimit = 48 << 20;
 constexpr Span kConnectDue = 500ms;  // a dropped opening packet is sent again only after a second
 constexpr int kUserTimeoutMs = 2000;
 
@@ -77,19 +77,19 @@
     asio::post(io_, [this, envelope] { receiver_(envelope); });
     return;
   }
-  auto& lane = lanes_[envelope.to];
+  auto& lane = queues_[envelope.to];
   if (!lane) {
-    if (lanes_.size() > kLaneLimit) {
-      lanes_.erase(envelope.to);  // it was made just now and holds nothing
+    if (queues_.size() > kPeerLimit) {
+      queues_.erase(envelope.to);  // it was made just now and holds nothing
       ++dropped_;
       return;
     }
-    lane = std::make_shared<Lane>(io_);
+    lane = std::make_shared<SendQueue>(io_);
   }
   std::string frame = framed(encodeEnvelope(envelope));
   const auto isOver = [&] {
-    return lane->frames.size() >= kQueueLimit || lane->bytes + frame.size() > kLaneBytes ||
-           bytes_ + frame.size() > kAllBytes;
+    return lane->frames.size() >= kQueueLimit || lane->bytes + frame.size() > kQueueByteLimit ||
+           bytes_ + frame.size() > kTotalByteLimit;
   };
   while (!lane->frames.empty() && isOver()) {
     takeOldest(*lane);  // the least worth sending
@@ -105,7 +105,7 @@
   }
 }
 
-std::string PeerLink::takeOldest(Lane& lane) {
+std::string PeerLink::takeOldest(SendQueue& lane) {
   std::string frame = std::move(lane.frames.front());
   lane.frames.pop_front();
   lane.bytes -= frame.size();
@@ -113,12 +113,12 @@
   return frame;
 }
 
-void PeerLink::clear(Lane& lane) {
+void PeerLink::clear(SendQueue& lane) {
   dropped_ += lane.frames.size();
   while (!lane.frames.empty()) takeOldest(lane);
 }
 
-awaitable<void> PeerLink::drain(Address to, std::shared_ptr<Lane> lane) {
+awaitable<void> PeerLink::drain(Address to, std::shared_ptr<SendQueue> lane) {
   Connection connection(io_);
   ErrorCode code;
   connection.expires_after(kConnectDue);
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -20,29 +20,29 @@
   absl::Status start();
   void send(const Envelope& envelope);
   std::uint64_t dropped() const { return dropped_; }
-  std::size_t bytesWaiting() const { return bytes_; }
+  std::size_t queuedBytes() const { return bytes_; }
 
  private:
-  // Frames wait here for one connection. Past kQueueLimit of them, or kLaneBytes, the oldest are
-  // dropped; one frame may always wait.
-  struct Lane {
+  // Frames wait here for one connection. Past kQueueLimit of them, or kQueueByteLimit, the oldest
+  // are dropped; one frame may always wait.
+  struct SendQueue {
     std::deque<std::string> frames;
     std::size_t bytes = 0;  // of `frames`
     bool running = false;
     asio::steady_timer wake;
-    explicit Lane(asio::io_context& io) : wake(io) {}
+    explicit SendQueue(asio::io_context& io) : wake(io) {}
   };
   awaitable<void> accept();
   awaitable<void> receive(Tcp::socket socket);
-  std::string takeOldest(Lane& lane);
-  void clear(Lane& lane);
-  awaitable<void> drain(Address to, std::shared_ptr<Lane> lane);
+  std::string takeOldest(SendQueue& lane);
+  void clear(SendQueue& lane);
+  awaitable<void> drain(Address to, std::shared_ptr<SendQueue> lane);
 
   asio::io_context& io_;
   Address self_, via_;
   Receiver receiver_;
   Tcp::acceptor acceptor_;
-  std::map<Address, std::shared_ptr<Lane>> lanes_;
+  std::map<Address, std::shared_ptr<SendQueue>> queues_;
   std::size_t bytes_ = 0;  // of all lanes' frames
   std::uint64_t dropped_ = 0;
 };
--- a/src/net/request_sender.cpp
+++ b/src/net/request_sender.cpp
@@ -5,11 +5,11 @@
 namespace quayrill {
 
 RequestSender::RequestSender(Tcp::socket& socket, std::string head, std::string_view body,
-                             std::function<bool()> mayGoOn)
+                             std::function<bool()> mayContinue)
     : socket_(socket),
       head_(std::move(head)),
       body_(body),
-      mayGoOn_(std::move(mayGoOn)),
+      mayContinue_(std::move(mayContinue)),
       wake_(socket.get_executor()) {}
 
 void RequestSender::begin() {
@@ -21,7 +21,7 @@
 
 // One call of the system, with nothing awaited between the question and the bytes.
 void RequestSender::sendPiece() {
-  if (!mayGoOn_()) {
+  if (!mayContinue_()) {
     code_ = asio::error::operation_aborted;
     return;
   }
--- a/src/net/request_sender.h
+++ b/src/net/request_sender.h
@@ -12,16 +12,16 @@
 
 class RequestSender {
  public:
-  // `socket` doesn't block; it and `body` outlive this. `mayGoOn` is asked before each piece.
+  // `socket` doesn't block; it and `body` outlive this. `mayContinue` is asked before each piece.
   RequestSender(Tcp::socket& socket, std::string head, std::string_view body,
-                std::function<bool()> mayGoOn);
+                std::function<bool()> mayContinue);
   // Sends what the socket takes at once; the rest goes by itself as room comes.
   void begin();
   // All bytes were handed to the system. Only then may another request follow on the connection.
   bool isWhole() const { return sent_ == head_.size() + body_.size(); }
   // No byte left: the server can't know of the request.
-  bool isUntouched() const { return sent_ == 0; }
-  bool isEnded() const { return !isRunning_; }
+  bool hasSentNothing() const { return sent_ == 0; }
+  bool hasStopped() const { return !isRunning_; }
   const ErrorCode& code() const { return code_; }
   // Returns once nothing is under way any more. Where it isn't whole, close the socket first.
   awaitable<void> ended();
@@ -33,7 +33,7 @@
   Tcp::socket& socket_;
   const std::string head_;
   const std::string_view body_;
-  const std::function<bool()> mayGoOn_;
+  const std::function<bool()> mayContinue_;
   std::size_t sent_ = 0;  // bytes of head and body
   bool isRunning_ = false;
   ErrorCode code_;  // why it stopped early
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -183,7 +183,7 @@
     return mayStart();
   });
   sender.begin();
-  if (sender.isUntouched() && sender.isEnded())
+  if (sender.hasSentNothing() && sender.hasStopped())
     co_return DeliveryResult{DeliveryEnd::NeverSent, "no longer confirmed at the point of use"};
   const DeliveryResult result = co_await passBack(delivery, server, caller, begun);
   if (!sender.isWhole()) {
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -222,7 +222,8 @@
                         state->identity == placed.source->identity;
       co_return same ? placed.source->matchedTokens : 0;
     }
-    const auto kept = co_await readKept(source, settings_.callers, job.policy.model, job.salt,
+    const auto kept =
+        co_await readStoredPrefixTokens(source, settings_.callers, job.policy.model, job.salt,
                                         server.weights, job.prefix, kFetchDue);
     co_return kept.ok() ? *kept : 0;
   };
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -119,7 +119,7 @@
                        });
   sender.begin();
   TryResult result;
-  if (sender.isUntouched() && sender.isEnded())
+  if (sender.hasSentNothing() && sender.hasStopped())
     result = {TryEnd::NeverSent, "send: " + sender.code().message()};
   else if (BootClock::now() - attempt.sentAt >= kStoodStill &&
            !whyNot(*caller, job, server, BootClock::now()).empty())
--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -19,22 +19,22 @@
   asio::io_context io;  // never run: nothing leaves
   PeerLink link(io, Address{"127.9.9.1:7100"}, Address{}, [](const Envelope&) {});
   for (int i = 0; i < 100; ++i) link.send(bodyFor("127.9.9.2:7100", 200000));
-  CHECK(link.bytesWaiting() > kMegabyte);
-  CHECK(link.bytesWaiting() <= 2 * kMegabyte);
+  CHECK(link.queuedBytes() > kMegabyte);
+  CHECK(link.queuedBytes() <= 2 * kMegabyte);
   CHECK(link.dropped() > 80);
   for (int daemon = 0; daemon < 100; ++daemon) {
     const std::string to = "127.9.8." + std::to_string(daemon + 1) + ":7100";
     for (int i = 0; i < 10; ++i) link.send(bodyFor(to, 200000));
   }
-  CHECK(link.bytesWaiting() > 40 * kMegabyte);
+  CHECK(link.queuedBytes() > 40 * kMegabyte);
   // Past the bound over all, one frame for each daemon may still wait.
-  CHECK(link.bytesWaiting() <= 48 * kMegabyte + 100 * 201000);
+  CHECK(link.queuedBytes() <= 48 * kMegabyte + 100 * 201000);
 }
 
 TEST_CASE("peer link: one frame may wait whatever its size") {
   asio::io_context io;
   PeerLink link(io, Address{"127.9.9.1:7100"}, Address{}, [](const Envelope&) {});
   link.send(bodyFor("127.9.9.2:7100", 3 * kMegabyte));
-  CHECK(link.bytesWaiting() > 3 * kMegabyte);
+  CHECK(link.queuedBytes() > 3 * kMegabyte);
   CHECK(link.dropped() == 0);
 }
--- a/tests/request_sender_tests.cpp
+++ b/tests/request_sender_tests.cpp
@@ -37,7 +37,7 @@
                    [](const ErrorCode&, std::size_t) {});
   ends.io.run();
   CHECK(sender.isWhole());
-  CHECK(sender.isEnded());
+  CHECK(sender.hasStopped());
   CHECK(bytes == kHead + body);
 }
 
@@ -45,8 +45,8 @@
   Ends ends;
   RequestSender sender(ends.near, kHead, "{}", [] { return false; });
   sender.begin();
-  CHECK(sender.isUntouched());
-  CHECK(sender.isEnded());
+  CHECK(sender.hasSentNothing());
+  CHECK(sender.hasStopped());
   ends.near.close();
   CHECK(ends.readAll().empty());
 }
@@ -54,11 +54,11 @@
 TEST_CASE("request sender: a body stops where the request lapses, and its connection ends") {
   Ends ends;
   const std::string body(20 << 20, 'b');
-  bool mayGoOn = true;
-  RequestSender sender(ends.near, kHead, body, [&] { return mayGoOn; });
+  bool mayContinue = true;
+  RequestSender sender(ends.near, kHead, body, [&] { return mayContinue; });
   sender.begin();
-  REQUIRE_FALSE(sender.isEnded());
-  mayGoOn = false;  // as for a process that stood still with the rest in hand
+  REQUIRE_FALSE(sender.hasStopped());
+  mayContinue = false;  // as for a process that stood still with the rest in hand
   std::string bytes;
   asio::async_read(ends.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
   bool hasEnded = false;
