--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,7 +21,7 @@
 // grace.
 void leave(Proxy& plane, const Settings& settings) {
   plane.beginLeaving();
-  const Span grace = std::max<Span>(settings.grace, plane.longestDue() + 2s);
+  const Span grace = std::max<Span>(settings.grace, plane.longestRequestTimeout() + 2s);
   const auto graceEnd = BootClock::now() + grace;
   std::this_thread::sleep_for(std::min<std::chrono::milliseconds>(settings.grace / 2, 3000ms));
   plane.stopAccepting();
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr std::size_t kLineLimit = 64 << 10;
-constexpr Span kCallerDue = 10s;  // a caller who takes no bytes for this long has left
+constexpr Span kCallerTimeout = 10s;  // a caller who takes no bytes for this long has left
 
 struct Stream {
   std::string held;          // bytes after the last whole line
@@ -61,7 +61,7 @@
 
 awaitable<bool> sendChunk(Connection& caller, const std::string& bytes) {
   ErrorCode code;
-  caller.expires_after(kCallerDue);
+  caller.expires_after(kCallerTimeout);
   co_await asio::async_write(caller, http::make_chunk(asio::buffer(bytes)), into(code));
   co_return !code;
 }
@@ -70,11 +70,12 @@
                                    Instant begun) {
   ErrorCode code;
   const auto afterSend = [&](const std::string& what) {
-    const bool late = code == beast::error::timeout || BootClock::now() >= delivery.firstPieceDue;
-    return DeliveryResult{late ? DeliveryEnd::DuePassed : DeliveryEnd::Unknown,
+    const bool late =
+        code == beast::error::timeout || BootClock::now() >= delivery.firstPieceDeadline;
+    return DeliveryResult{late ? DeliveryOutcome::DuePassed : DeliveryOutcome::Unknown,
                           what + ": " + code.message()};
   };
-  server.expires_after(left(delivery.firstPieceDue));
+  server.expires_after(left(delivery.firstPieceDeadline));
   beast::flat_buffer buffer;
   std::optional<http::response_parser<http::buffer_body>> answered;
   do {
@@ -92,12 +93,13 @@
     const auto id = head.find(wire::kRequestId);
     const bool isOurs = id == head.end() || id->value() == delivery.request.value;
     const bool notRun = isOurs && head[wire::kNotRun] == "true";
-    co_return DeliveryResult{notRun ? DeliveryEnd::NotRun : DeliveryEnd::Unknown,
+    co_return DeliveryResult{notRun ? DeliveryOutcome::NotRun : DeliveryOutcome::Unknown,
                              "the server answered " + std::to_string(head.result_int())};
   }
   if (head[wire::kRequestId] != delivery.request.value ||
       head[wire::kWeights] != delivery.server.weights.value)
-    co_return DeliveryResult{DeliveryEnd::Unknown, "the answer names another request or weights"};
+    co_return DeliveryResult{DeliveryOutcome::Unknown,
+                             "the answer names another request or weights"};
 
   Stream stream;
   DeliveryResult result;
@@ -108,7 +110,7 @@
     parser.get().body().size = sizeof block;
     // Nothing more is read from the server until the caller has taken what came before.
     server.expires_after(headSent ? std::max<Span>(left(delivery.due), 5s)
-                                  : left(delivery.firstPieceDue));
+                                  : left(delivery.firstPieceDeadline));
     co_await http::async_read_some(server, buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
     if (code) break;
@@ -123,17 +125,17 @@
       answer.set("Quayrill-Outcome", "done");
       answer.set(http::field::transfer_encoding, "chunked");
       http::response_serializer<http::empty_body> serializer(answer);
-      caller.expires_after(kCallerDue);
+      caller.expires_after(kCallerTimeout);
       ErrorCode callerCode;
       co_await http::async_write_header(caller, serializer, into(callerCode));
       headSent = true;
       result.firstPieceAfter = BootClock::now() - begun;
-      if (callerCode) co_return DeliveryResult{DeliveryEnd::CallerGone, callerCode.message()};
+      if (callerCode) co_return DeliveryResult{DeliveryOutcome::CallerGone, callerCode.message()};
     }
     const bool taken = co_await sendChunk(caller, lines);
     result.pieces = stream.pieces;
     if (!taken) {
-      result.end = DeliveryEnd::CallerGone;
+      result.end = DeliveryOutcome::CallerGone;
       co_return result;
     }
   }
@@ -141,22 +143,22 @@
                      !stream.endMark.empty() && stream.markPieces == stream.pieces;
   if (!headSent) {
     if (code) co_return afterSend("answer");
-    co_return DeliveryResult{DeliveryEnd::Unknown, "an answer with no piece"};
+    co_return DeliveryResult{DeliveryOutcome::Unknown, "an answer with no piece"};
   }
   if (!whole) {
-    result.end = DeliveryEnd::Cut;
+    result.end = DeliveryOutcome::Cut;
     result.detail = code ? code.message() : "no end mark, or one that names other pieces";
     co_return result;
   }
   const bool marked = co_await sendChunk(caller, stream.endMark);
-  caller.expires_after(kCallerDue);
+  caller.expires_after(kCallerTimeout);
   if (marked) co_await asio::async_write(caller, http::make_chunk_last(), into(code));
-  result.end = marked && !code ? DeliveryEnd::Done : DeliveryEnd::CallerGone;
+  result.end = marked && !code ? DeliveryOutcome::Done : DeliveryOutcome::CallerGone;
   co_return result;
 }
 }  // namespace
 
-const char* deliveryEndName(DeliveryEnd end) {
+const char* deliveryOutcomeName(DeliveryOutcome end) {
   static constexpr const char* kNames[] = {"never sent", "not run", "unknown",    "due passed",
                                            "done",       "cut",     "caller gone"};
   return kNames[static_cast<std::size_t>(end)];
@@ -167,13 +169,13 @@
   const Instant begun = BootClock::now();
   Connection server(co_await asio::this_coro::executor);
   ErrorCode code;
-  server.expires_after(std::min<Span>(left(delivery.firstPieceDue), 1s));
+  server.expires_after(std::min<Span>(left(delivery.firstPieceDeadline), 1s));
   const Tcp::endpoint endpoint = endpointOf(Address{delivery.server.name.value});
   co_await server.async_connect(endpoint, into(code));
-  if (code) co_return DeliveryResult{DeliveryEnd::NeverSent, "connect: " + code.message()};
+  if (code) co_return DeliveryResult{DeliveryOutcome::NeverSent, "connect: " + code.message()};
   server.socket().non_blocking(true, code);
   if (BootClock::now() >= delivery.due)
-    co_return DeliveryResult{DeliveryEnd::NeverSent, "the due passed before anything left"};
+    co_return DeliveryResult{DeliveryOutcome::NeverSent, "the due passed before anything left"};
 
   bool isAsked = false;
   RequestSender sender(server.socket(), requestHead(delivery), delivery.body, [&] {
@@ -184,7 +186,7 @@
   });
   sender.begin();
   if (sender.hasSentNothing() && sender.hasStopped())
-    co_return DeliveryResult{DeliveryEnd::NeverSent, "no longer confirmed at the point of use"};
+    co_return DeliveryResult{DeliveryOutcome::NeverSent, "no longer confirmed at the point of use"};
   const DeliveryResult result = co_await passBack(delivery, server, caller, begun);
   if (!sender.isWhole()) {
     server.close();
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -17,10 +17,10 @@
   Instant due;
   // By when the first piece must have come; never after `due`. Past it the delivery ends as
   // DuePassed, and whether it ran is not known.
-  Instant firstPieceDue;
+  Instant firstPieceDeadline;
 };
 
-enum class DeliveryEnd {
+enum class DeliveryOutcome {
   NeverSent,   // no byte left for the server
   NotRun,      // the server's own reply says that it did not run it
   Unknown,     // a byte may have reached the server, nothing has reached the caller
@@ -31,7 +31,7 @@
 };
 
 struct DeliveryResult {
-  DeliveryEnd end{};
+  DeliveryOutcome end{};
   std::string detail;
   std::uint64_t pieces = 0;
   Span firstPieceAfter{};
@@ -41,6 +41,6 @@
 awaitable<DeliveryResult> deliver(Delivery delivery, Connection& caller,
                                   std::function<bool()> mayStart);
 
-const char* deliveryEndName(DeliveryEnd end);
+const char* deliveryOutcomeName(DeliveryOutcome end);
 
 }  // namespace quayrill
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -32,7 +32,7 @@
       placement_(kQueueLimit, placementSettings(settings_)) {
   std::random_device entropy;
   // The address leads `quayrillctl explain` to the daemon that knows the request.
-  idStem_ = settings_.callers.value + "/" + std::to_string(entropy()) + "/";
+  idPrefix_ = settings_.callers.value + "/" + std::to_string(entropy()) + "/";
 }
 
 Proxy::~Proxy() { stop(); }
@@ -47,7 +47,7 @@
   if (auto status = callers_->start(); !status.ok()) return status;
   // A connection's timer and its reads must never run at once on two threads: each chain has a
   // strand.
-  asio::co_spawn(asio::make_strand(io_), feedLoop(), asio::detached);
+  asio::co_spawn(asio::make_strand(io_), snapshotLoop(), asio::detached);
   asio::co_spawn(asio::make_strand(io_), eventLoop(), asio::detached);
   for (std::size_t i = 0; i < settings_.trafficThreads; ++i)
     threads_.emplace_back([this] { io_.run(); });
@@ -82,7 +82,7 @@
   return false;
 }
 
-awaitable<void> Proxy::feedLoop() {
+awaitable<void> Proxy::snapshotLoop() {
   for (;;) {
     const auto before = view();
     HttpCall call;
@@ -138,16 +138,16 @@
 
 namespace {
 // Spread over a few seconds, so that those turned away together don't come back together.
-void sayWhen(HttpResponse* response) {
+void setRetryAfter(HttpResponse* response) {
   thread_local std::mt19937 random{std::random_device{}()};
   response->set(http::field::retry_after, std::to_string(1 + random() % 3));
 }
 }  // namespace
 
-HttpResponse Proxy::turnAway(ErrorKind kind, const std::string& why, const RequestId& id) {
+HttpResponse Proxy::reject(ErrorKind kind, const std::string& why, const RequestId& id) {
   ++counters_.turnedAway;
   HttpResponse response = errorResponse({kind, why});
-  sayWhen(&response);
+  setRetryAfter(&response);
   response.set("Quayrill-Outcome", "turned-away");
   response.set("Quayrill-Request-Id", id.value);
   return response;
@@ -158,14 +158,14 @@
 HttpResponse Proxy::unknown(ErrorKind kind, const std::string& why, const Job& job) {
   ++counters_.unknown;
   HttpResponse response = errorResponse({kind, why});
-  if (job.policy.repeatable) sayWhen(&response);
+  if (job.policy.repeatable) setRetryAfter(&response);
   response.set("Quayrill-Outcome", "unknown");
   response.set("Quayrill-May-Repeat", job.policy.repeatable ? "yes" : "no");
   response.set("Quayrill-Request-Id", job.id.value);
   return response;
 }
 
-Span Proxy::longestDue() const {
+Span Proxy::longestRequestTimeout() const {
   Span longest{};
   const auto seen = view();
   if (!seen->configuration) return longest;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -24,7 +24,7 @@
   void beginLeaving() { leaving_ = true; }
   void stopAccepting() { callers_->stopAccepting(); }
   // The longest that a request accepted now may last.
-  Span longestDue() const;
+  Span longestRequestTimeout() const;
   std::size_t openConnections() const { return callers_->connections(); }
   void stop();
 
@@ -52,7 +52,7 @@
   bool isFresh(const ProxyView& view, Instant now) const;
   bool mayRun(const Job& job, const ServerState& server) const;
 
-  awaitable<void> feedLoop();
+  awaitable<void> snapshotLoop();
   awaitable<void> eventLoop();
   awaitable<void> pullEvents(ServerName server);
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
@@ -60,12 +60,12 @@
   std::optional<Error> intake(const HttpRequest& request, const ProxyView& now, Job* job);
   awaitable<std::optional<HttpResponse>> run(Connection& connection, const Job& job, Trace* trace);
   // safe == false: the chosen server may hold cache of doubtful weights, so nothing is sent to it.
-  struct Fetched {
+  struct FetchResult {
     std::string text = "none";
     bool safe = true;
   };
-  awaitable<Fetched> fetch(const Job& job, const Placed& placed);
-  HttpResponse turnAway(ErrorKind kind, const std::string& why, const RequestId& id);
+  awaitable<FetchResult> fetch(const Job& job, const Placed& placed);
+  HttpResponse reject(ErrorKind kind, const std::string& why, const RequestId& id);
   HttpResponse unknown(ErrorKind kind, const std::string& why, const Job& job);
   void record(const Job& job, const Trace& trace);
   HttpResponse readDecisions(const HttpRequest& request) const;
@@ -73,7 +73,7 @@
 
   Settings settings_;
   Dialect dialect_;
-  std::string idStem_;
+  std::string idPrefix_;
   std::atomic<std::uint64_t> idCounter_{0};
   mutable std::mutex viewMutex_;
   std::shared_ptr<const ProxyView> view_;
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -10,14 +10,14 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kFetchDue = 300ms;        // ours: past this, prefill is the better bet
+constexpr Span kFetchTimeout = 300ms;    // ours: past this, prefill is the better bet
 constexpr std::size_t kFetchGain = 256;  // ours: fewer tokens than this are not worth the calls
 constexpr Span kBeginsWithin = 2s;       // ours: from a request's sending to its first piece
 
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
-Instant firstPieceDueOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
-                        Instant due) {
+Instant firstPieceDeadlineOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
+                             Instant due) {
   if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain) return due;
   const Instant now = BootClock::now();
   return now + (due - now) / 2;
@@ -39,12 +39,12 @@
   ++counters_.requests;
   Job job;
   job.begun = BootClock::now();
-  job.id = RequestId{idStem_ + std::to_string(++idCounter_)};
+  job.id = RequestId{idPrefix_ + std::to_string(++idCounter_)};
   const auto seen = view();
   if (!isFresh(*seen, job.begun)) {
     ++counters_.unconfirmed;
-    co_return turnAway(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
-                       job.id);
+    co_return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
+                     job.id);
   }
   if (const auto error = intake(request, *seen, &job)) {
     ++counters_.badInput;
@@ -67,7 +67,7 @@
   if (!entered || !entered->isIn) {
     trace.outcome = "turned away at admission";
     response =
-        turnAway(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
+        reject(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
   } else {
     AtEnd exit([this, name = job.tenant, policy = job.policyName] {
       admission_.mustPost([=](Admission& admission) { admission.leave(name, policy); });
@@ -121,13 +121,13 @@
       if (!paid || !*paid) break;
       ++counters_.extraTries;
     }
-    const Fetched fetched = co_await fetch(job, placed);
+    const FetchResult fetched = co_await fetch(job, placed);
 
-    const Instant firstPieceDue =
-        std::min(firstPieceDueOf(job.policy, job.entered, attempt, job.due),
+    const Instant firstPieceDeadline =
+        std::min(firstPieceDeadlineOf(job.policy, job.entered, attempt, job.due),
                  view()->usableUntil(placed.chosenServer, settings_.rolloutDue));
     Delivery delivery{job.id,  placed.chosenServer, job.salt, formatPrefix(job.prefix), job.body,
-                      job.due, firstPieceDue};
+                      job.due, firstPieceDeadline};
     const std::function<bool()> mayStart = [this, &job, &placed, wasSent] {
       if (!mayRun(job, placed.chosenServer)) return false;
       if (!wasSent)
@@ -136,10 +136,11 @@
         });
       return true;
     };
-    DeliveryResult result{DeliveryEnd::NeverSent, "a fetch left cache of doubtful weights there"};
+    DeliveryResult result{DeliveryOutcome::NeverSent,
+                          "a fetch left cache of doubtful weights there"};
     if (fetched.safe) result = co_await deliver(std::move(delivery), connection, mayStart);
-    wasSent = wasSent || result.end != DeliveryEnd::NeverSent;
-    ran = result.end != DeliveryEnd::NeverSent && result.end != DeliveryEnd::NotRun;
+    wasSent = wasSent || result.end != DeliveryOutcome::NeverSent;
+    ran = result.end != DeliveryOutcome::NeverSent && result.end != DeliveryOutcome::NotRun;
     trace->tries.push_back(
         {{"server", placed.chosenServer.name.value},
          {"weights", placed.chosenServer.weights.value},
@@ -147,32 +148,32 @@
          {"matched_tokens", placed.matchedTokens},
          {"prompt_tokens", placed.promptTokens},
          {"fetch", fetched.text},
-         {"end", deliveryEndName(result.end)},
+         {"end", deliveryOutcomeName(result.end)},
          {"detail", result.detail},
          {"pieces", result.pieces},
          {"first_piece_us",
           std::chrono::duration_cast<std::chrono::microseconds>(result.firstPieceAfter).count()},
          {"candidates", candidatesJson(placed.candidates)}});
-    trace->outcome = deliveryEndName(result.end);
+    trace->outcome = deliveryOutcomeName(result.end);
     lastDetail = result.detail;
     switch (result.end) {
-      case DeliveryEnd::Done:
+      case DeliveryOutcome::Done:
         ++counters_.done;
         co_return std::nullopt;
-      case DeliveryEnd::Cut:
+      case DeliveryOutcome::Cut:
         ++counters_.cut;
         co_return std::nullopt;
-      case DeliveryEnd::CallerGone:
+      case DeliveryOutcome::CallerGone:
         ++counters_.callerGone;
         co_return std::nullopt;
-      case DeliveryEnd::NeverSent:
-      case DeliveryEnd::NotRun:
+      case DeliveryOutcome::NeverSent:
+      case DeliveryOutcome::NotRun:
         break;
-      case DeliveryEnd::DuePassed:
+      case DeliveryOutcome::DuePassed:
         mayHaveRun = true;
         late = BootClock::now() >= job.due;
         break;
-      case DeliveryEnd::Unknown:
+      case DeliveryOutcome::Unknown:
         mayHaveRun = true;
         break;
     }
@@ -187,13 +188,13 @@
     co_return unknown(kind, "the request may have run (" + lastDetail + ")", job);
   }
   trace->outcome = "turned away";
-  co_return turnAway(ErrorKind::TurnedAway, late ? "the due passed before it ran" : lastDetail,
-                     job.id);
+  co_return reject(ErrorKind::TurnedAway, late ? "the due passed before it ran" : lastDetail,
+                   job.id);
 }
 
 // Has the chosen server pull what it lacks, where that is cheaper than prefill. Neither end of a
 // pull checks weights, so the source is checked before and after, and a doubt drops what came.
-awaitable<Proxy::Fetched> Proxy::fetch(const Job& job, const Placed& placed) {
+awaitable<Proxy::FetchResult> Proxy::fetch(const Job& job, const Placed& placed) {
   const ServerState& server = placed.chosenServer;
   const Address chosenAddress{server.name.value};
   Address source;
@@ -211,38 +212,38 @@
   const bool steady =
       named != seen->configuration->weights.end() && named->second == server.weights;
   if (!settings_.fetch || !steady || source.value.empty() ||
-      job.due - BootClock::now() < 2 * kFetchDue)
-    co_return Fetched{};
+      job.due - BootClock::now() < 2 * kFetchTimeout)
+    co_return FetchResult{};
   // How many tokens the source is seen to hold under the request's weights; 0 where in doubt. A
   // store keeps blocks of several weights side by side: only the part it vouches for is pulled.
   const auto heldBySource = [&]() -> awaitable<std::size_t> {
     if (placed.source) {
-      const auto state = co_await readServer(source, kFetchDue);
+      const auto state = co_await readServer(source, kFetchTimeout);
       const bool same = state.ok() && state->healthy && state->weights == server.weights &&
                         state->identity == placed.source->identity;
       co_return same ? placed.source->matchedTokens : 0;
     }
     const auto kept =
         co_await readStoredPrefixTokens(source, settings_.callers, job.policy.model, job.salt,
-                                        server.weights, job.prefix, kFetchDue);
+                                        server.weights, job.prefix, kFetchTimeout);
     co_return kept.ok() ? *kept : 0;
   };
   const std::size_t before = co_await heldBySource();
   if (before < placed.matchedTokens + kFetchGain)
-    co_return Fetched{from + ": not there under these weights", true};
+    co_return FetchResult{from + ": not there under these weights", true};
   ++counters_.fetches;
   const auto pulled = co_await pullPrefix(chosenAddress, source, job.policy.model, job.salt,
-                                          server.weights, job.prefix, before, kFetchDue);
+                                          server.weights, job.prefix, before, kFetchTimeout);
   const std::size_t after = co_await heldBySource();
-  const auto target = co_await readServer(chosenAddress, kFetchDue);
+  const auto target = co_await readServer(chosenAddress, kFetchTimeout);
   const bool sameTarget =
       target.ok() && target->identity == server.identity && target->weights == server.weights;
-  if (pulled.ok() && after >= before && sameTarget) co_return Fetched{from + ": fetched", true};
+  if (pulled.ok() && after >= before && sameTarget) co_return FetchResult{from + ": fetched", true};
   ++counters_.fetchErrors;
-  const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchDue);
+  const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchTimeout);
   // A pull that failed here may still land there until its own due has passed.
   const bool safe = pulled.ok() && dropped.ok();
-  co_return Fetched{from + (safe ? ": dropped, a check failed" : ": failed"), safe};
+  co_return FetchResult{from + (safe ? ": dropped, a check failed" : ": failed"), safe};
 }
 
 void Proxy::record(const Job& job, const Trace& trace) {
--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -97,26 +97,26 @@
 void judge(const Scripted& script, std::size_t cut, Break breaks, const Played& played) {
   const auto fails = [&](const std::string& why) {
     FAIL_CHECK(script.name << ", " << breakName(breaks) << " at " << cut << ": " << why << " ("
-                           << deliveryEndName(played.result.end) << ", " << played.result.detail
+                           << deliveryOutcomeName(played.result.end) << ", " << played.result.detail
                            << ", body '" << played.seen.body << "')");
   };
-  const DeliveryEnd end = played.result.end;
+  const DeliveryOutcome end = played.result.end;
   const ReadAnswer& seen = played.seen;
   const std::string all = kPieces + kMark;
   const bool isWholeScript = breaks == Break::Not || cut == script.bytes.size();
-  if (script.hasRun && (end == DeliveryEnd::NotRun || end == DeliveryEnd::NeverSent))
+  if (script.hasRun && (end == DeliveryOutcome::NotRun || end == DeliveryOutcome::NeverSent))
     fails("'not run' was said of what ran");
-  if (!script.hasRun && breaks == Break::Not && end != DeliveryEnd::NotRun)
+  if (!script.hasRun && breaks == Break::Not && end != DeliveryOutcome::NotRun)
     fails("'not run' was lost");
-  if ((end == DeliveryEnd::Done) != (seen.isWhole && seen.status == 200))
+  if ((end == DeliveryOutcome::Done) != (seen.isWhole && seen.status == 200))
     fails("its end and what the caller sees differ");
-  if (end == DeliveryEnd::Done && (!script.isSuccess || seen.body != all))
+  if (end == DeliveryOutcome::Done && (!script.isSuccess || seen.body != all))
     fails("a cut looks complete");
   // Garbage inside of a body is the server's own bytes; in front of it stands what was sent.
   const std::string own = seen.body.substr(0, seen.body.find(kGarbage[0]));
   if (all.rfind(own, 0) != 0) fails("the caller got other bytes");
   if (!seen.body.empty() && seen.body.back() != '\n') fails("part of a piece");
-  if (script.isSuccess && isWholeScript && breaks != Break::Garbles && end != DeliveryEnd::Done)
+  if (script.isSuccess && isWholeScript && breaks != Break::Garbles && end != DeliveryOutcome::Done)
     fails("a whole answer did not come through");
   if (seen.surplus > 0) fails("bytes behind the answer");
 }
@@ -141,12 +141,14 @@
   const Scripted whole = answers()[0];
   Scripted early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
-  CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.end == DeliveryEnd::Done);
+  CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.end ==
+        DeliveryOutcome::Done);
   Scripted other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
-  CHECK(play(io, server, other, other.bytes.size(), Break::Not).result.end == DeliveryEnd::Unknown);
+  CHECK(play(io, server, other, other.bytes.size(), Break::Not).result.end ==
+        DeliveryOutcome::Unknown);
 }
 
 TEST_CASE("deliver: an answer that comes before the body is in goes back at once") {
@@ -182,6 +184,6 @@
       },
       asio::detached);
   io.run();
-  CHECK(result.end == DeliveryEnd::Done);
+  CHECK(result.end == DeliveryOutcome::Done);
   CHECK(late < (20 << 20));
 }
--- a/tests/deliver_stage.h
+++ b/tests/deliver_stage.h
@@ -30,7 +30,7 @@
   delivery.server.name = ServerName{"127.0.0.1:" + std::to_string(server.local_endpoint().port())};
   delivery.server.weights = WeightsVersion{"w1"};
   delivery.body = std::move(body);
-  delivery.due = delivery.firstPieceDue = BootClock::now() + due;
+  delivery.due = delivery.firstPieceDeadline = BootClock::now() + due;
   return delivery;
 }
 
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -91,7 +91,7 @@
 TEST_CASE("deliver: a whole answer passes through and closes with the server's end mark") {
   const auto played = play({kHead + chunk("{\"piece\":0}\n") + chunk("{\"piece\":1}\n{\"pie") +
                             chunk("ce\":2}\n") + mark(3) + "0\r\n\r\n"});
-  CHECK(played.result.end == DeliveryEnd::Done);
+  CHECK(played.result.end == DeliveryOutcome::Done);
   CHECK(played.result.pieces == 3);
   CHECK(looksComplete(played));
   CHECK(played.seenByCaller.find("Quayrill-Outcome: done") != std::string::npos);
@@ -109,28 +109,28 @@
            kHead + piece + chunk("{\"pie") + "0\r\n\r\n",  // half a line
        }) {
     const auto played = play({script});
-    CHECK(played.result.end == DeliveryEnd::Cut);
+    CHECK(played.result.end == DeliveryOutcome::Cut);
     CHECK_FALSE(looksComplete(played));
     CHECK(played.seenByCaller.find("\"end\"") == std::string::npos);
   }
 }
 
 TEST_CASE("deliver: what never left, what did not run, and what nobody knows are told apart") {
-  CHECK(play({"", false, false}).result.end == DeliveryEnd::NeverSent);
+  CHECK(play({"", false, false}).result.end == DeliveryOutcome::NeverSent);
   const auto stopped = play({"", false, true, false});
-  CHECK(stopped.result.end == DeliveryEnd::NeverSent);
+  CHECK(stopped.result.end == DeliveryOutcome::NeverSent);
   CHECK(stopped.seenByServer.empty());
   CHECK(play({"HTTP/1.1 503 Busy\r\nQuayrill-Not-Run: true\r\nContent-Length: 2\r\n\r\nno"})
-            .result.end == DeliveryEnd::NotRun);
+            .result.end == DeliveryOutcome::NotRun);
   CHECK(play({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.end ==
-        DeliveryEnd::Unknown);
-  CHECK(play({""}).result.end == DeliveryEnd::Unknown);
-  CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.end == DeliveryEnd::Unknown);
-  CHECK(play({kHead + "0\r\n\r\n"}).result.end == DeliveryEnd::Unknown);
+        DeliveryOutcome::Unknown);
+  CHECK(play({""}).result.end == DeliveryOutcome::Unknown);
+  CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.end == DeliveryOutcome::Unknown);
+  CHECK(play({kHead + "0\r\n\r\n"}).result.end == DeliveryOutcome::Unknown);
   Play silent;
   silent.hang = true;
   silent.due = 50ms;
-  CHECK(play(silent).result.end == DeliveryEnd::DuePassed);
+  CHECK(play(silent).result.end == DeliveryOutcome::DuePassed);
 }
 
 TEST_CASE("deliver: an answer that names another request or other weights reaches no caller") {
@@ -139,7 +139,7 @@
         std::string("Quayrill-Request-Id: r1\r\nQuayrill-Weights: w0\r\n"), std::string()}) {
     const auto played = play({"HTTP/1.1 200 OK\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n" +
                               chunk("{\"piece\":0}\n") + mark(1) + "0\r\n\r\n"});
-    CHECK(played.result.end == DeliveryEnd::Unknown);
+    CHECK(played.result.end == DeliveryOutcome::Unknown);
     CHECK(played.seenByCaller.empty());
   }
 }
