--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -70,7 +70,7 @@
   std::thread control;
   if (settings.role != "proxy") {
     agent = std::make_unique<Agent>(settings, dialect);
-    if (settings.role == "both" && dialect.relayNames) {
+    if (settings.role == "both" && dialect.relayHeaderNames) {
       relay = std::make_unique<Relay>(settings, dialect);
       relay->setReporter(
           [&agent](PlaneReport report) { agent->takePlaneReport(std::move(report)); });
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -1,7 +1,7 @@
 #pragma once
 // What a deployment's surroundings speak: how configurations are written, how servers are listed
 // and ordered, what operators call. Formats and calls only; every decision stays with the product.
-// `ownDialect()` is the product's own.
+// `nativeDialect()` is the product's own.
 #include <absl/status/statusor.h>
 
 #include <functional>
@@ -32,7 +32,7 @@
 };
 
 // How the parts that a server or store keeps are asked for, on a kept connection.
-struct PartEventCalls {
+struct PartEventProtocol {
   std::function<std::string(std::uint64_t since)> target;
   std::function<absl::StatusOr<PartEvents>(const std::string& body)> parse;
 };
@@ -40,9 +40,9 @@
 struct Dialect {
   // Requests are relayed by the configuration's routes, unchanged, under these names; empty: the
   // product's own calls.
-  std::optional<HeaderNames> relayNames;
+  std::optional<HeaderNames> relayHeaderNames;
   // Empty: parts are not asked for.
-  std::optional<PartEventCalls> partEvents;
+  std::optional<PartEventProtocol> partEvents;
   // The register's body to a configuration; the message starts with the path of the offending
   // field.
   std::function<absl::StatusOr<Configuration>(const std::string& body)> readConfiguration;
@@ -65,6 +65,6 @@
       operatorCall;
 };
 
-Dialect ownDialect();
+Dialect nativeDialect();
 
 }  // namespace quayrill
--- a/src/dialect/own.cpp
+++ b/src/dialect/own.cpp
@@ -5,33 +5,34 @@
 namespace quayrill {
 
 namespace {
-awaitable<absl::StatusOr<std::vector<ListRow>>> readOwnList(Address platform, Address from,
-                                                            Span due, std::size_t* calls) {
+awaitable<absl::StatusOr<std::vector<ListRow>>> readNativeList(Address platform, Address from,
+                                                               Span due, std::size_t* calls) {
   ++*calls;
   co_return co_await readPlatformList(platform, from, due);
 }
 
-awaitable<absl::StatusOr<WeightsReport>> readOwnWeights(Address server, Address, ModelName model,
-                                                        Span due) {
+awaitable<absl::StatusOr<WeightsReport>> readNativeWeights(Address server, Address, ModelName model,
+                                                           Span due) {
   const auto state = co_await readServer(server, due);
   if (!state.ok()) co_return state.status();
   co_return WeightsReport{model, state->weights, false};
 }
 
-awaitable<OrderAnswer> orderOwnWeights(Address server, Address from, ServerIdentity, ModelName,
-                                       WeightsVersion weights, std::string, Fence fence, Span due) {
+awaitable<OrderAnswer> orderNativeWeights(Address server, Address from, ServerIdentity, ModelName,
+                                          WeightsVersion weights, std::string, Fence fence,
+                                          Span due) {
   const auto status = co_await orderWeights(server, from, weights, fence, due);
   co_return status.ok() ? OrderAnswer::Taken : OrderAnswer::Unclear;
 }
 }  // namespace
 
-Dialect ownDialect() {
+Dialect nativeDialect() {
   Dialect dialect;
   dialect.readConfiguration = parseConfiguration;
-  dialect.readList = readOwnList;
+  dialect.readList = readNativeList;
   dialect.readServer = readServer;
-  dialect.readWeights = readOwnWeights;
-  dialect.orderWeights = orderOwnWeights;
+  dialect.readWeights = readNativeWeights;
+  dialect.orderWeights = orderNativeWeights;
   return dialect;
 }
 
--- a/src/operator/fleet_tables.cpp
+++ b/src/operator/fleet_tables.cpp
@@ -112,7 +112,7 @@
 }
 }  // namespace
 
-absl::StatusOr<TableText> queryFleet(const std::string& sql, const ReadPath& read) {
+absl::StatusOr<QueryResult> queryFleet(const std::string& sql, const PathReader& read) {
   sqlite3* opened = nullptr;
   if (sqlite3_open(":memory:", &opened) != SQLITE_OK)
     return absl::ResourceExhaustedError("no memory for the tables: free some");
@@ -145,7 +145,7 @@
   const Statement statement(made);
   if (std::string(rest).find_first_not_of(" ;\n\t") != std::string::npos)
     return absl::InvalidArgumentError("more than one statement: give one SELECT over" + tables);
-  TableText text;
+  QueryResult text;
   for (int i = 0; i < sqlite3_column_count(made); ++i)
     text.columns.emplace_back(sqlite3_column_name(made, i));
   int step = 0;
--- a/src/operator/fleet_tables.h
+++ b/src/operator/fleet_tables.h
@@ -9,14 +9,14 @@
 
 namespace quayrill {
 
-struct TableText {
+struct QueryResult {
   std::vector<std::string> columns;
   std::vector<nlohmann::json> rows;  // each an array, one value a column
 };
 
 // `read` answers a path of the operator API with its JSON; a table is read only where the query
 // names it. Nothing but reading is allowed; a error names the remedy.
-using ReadPath = std::function<absl::StatusOr<nlohmann::json>(const std::string& path)>;
-absl::StatusOr<TableText> queryFleet(const std::string& sql, const ReadPath& read);
+using PathReader = std::function<absl::StatusOr<nlohmann::json>(const std::string& path)>;
+absl::StatusOr<QueryResult> queryFleet(const std::string& sql, const PathReader& read);
 
 }  // namespace quayrill
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -87,5 +87,5 @@
   }
   if (flags["--check"].asBool()) return 0;
 
-  return quayrill::runDaemon(*settings, quayrill::ownDialect(), argv[0], std::move(source));
+  return quayrill::runDaemon(*settings, quayrill::nativeDialect(), argv[0], std::move(source));
 }
--- a/src/relay/front.cpp
+++ b/src/relay/front.cpp
@@ -33,7 +33,7 @@
 Relay::Relay(Settings settings, Dialect dialect)
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
-      names_(dialect_.relayNames.value()),
+      names_(dialect_.relayHeaderNames.value()),
       callers_(io_),
       placement_(placementSettings(settings_)),
       budgets_(settings_.extraShare, settings_.extraWindow),
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -128,7 +128,7 @@
     settings.operators = agentSettings.listen;
     settings.callers = callers;
     settings.zone = "z";
-    proxy = std::make_unique<Proxy>(settings, ownDialect());
+    proxy = std::make_unique<Proxy>(settings, nativeDialect());
     REQUIRE(proxy->start().ok());
     waitReady(200);
   }
--- a/tests/query_tests.cpp
+++ b/tests/query_tests.cpp
@@ -9,7 +9,7 @@
 namespace {
 struct Script {
   std::vector<std::string> asked;
-  absl::StatusOr<TableText> query(const std::string& sql) {
+  absl::StatusOr<QueryResult> query(const std::string& sql) {
     return queryFleet(sql, [this](const std::string& path) -> absl::StatusOr<Json> {
       asked.push_back(path);
       if (path == "/q/members")
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -81,8 +81,8 @@
     settings.trafficThreads = 1;
     settings.extraShare = extraShare;
     settings.grace = grace;
-    Dialect dialect = ownDialect();
-    dialect.relayNames = relayTestNames();
+    Dialect dialect = nativeDialect();
+    dialect.relayHeaderNames = relayTestNames();
     dialect.readConfiguration = [this](const std::string&) -> absl::StatusOr<Configuration> {
       whileReading();
       return configuration;
