--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -36,7 +36,7 @@
 awaitable<absl::StatusOr<HttpResponse>> httpCall(HttpCall call) {
   Connection connection(co_await asio::this_coro::executor);
   // One expiry for everything below: it is never pushed back, so a dripping peer can't stretch it.
-  connection.expires_after(call.due);
+  connection.expires_after(call.timeout);
   ErrorCode code;
   if (!call.from.value.empty()) {
     connection.socket().open(Tcp::v4(), code);
@@ -103,9 +103,9 @@
 
 // Waits for the next request's first byte, in short steps so that a stop is seen.
 awaitable<bool> HttpServer::waitReadable(Tcp::socket& socket) {
-  const Instant idleDue = BootClock::now() + settings_.idleDue;
+  const Instant idleTimeout = BootClock::now() + settings_.idleTimeout;
   asio::steady_timer step(co_await asio::this_coro::executor);
-  while (!stopping_ && BootClock::now() < idleDue) {
+  while (!stopping_ && BootClock::now() < idleTimeout) {
     step.expires_after(250ms);
     step.async_wait([&socket](const ErrorCode& ended) {
       ErrorCode ignored;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -22,7 +22,7 @@
   std::string target;
   std::string body;
   std::map<std::string, std::string> headers;
-  Span due = std::chrono::seconds(1);  // for the whole call, connecting included
+  Span timeout = std::chrono::seconds(1);  // for the whole call, connecting included
   std::size_t bodyLimit = 4 << 20;
   Address from;  // local address to call from; "" lets the system choose
   // Nothing is sent later than this, also where the process stood still while it connected.
@@ -42,7 +42,7 @@
   std::size_t headerLimit = 16 << 10;
   std::size_t connectionLimit = 4096;
   Span readTimeout = std::chrono::seconds(10);
-  Span idleDue = std::chrono::seconds(60);
+  Span idleTimeout = std::chrono::seconds(60);
 };
 
 class HttpServer {
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -14,12 +14,12 @@
   return json;
 }
 
-HttpCall callTo(const Address& to, http::verb verb, std::string target, Span due) {
+HttpCall callTo(const Address& to, http::verb verb, std::string target, Span timeout) {
   HttpCall call;
   call.to = to;
   call.verb = verb;
   call.target = std::move(target);
-  call.due = due;
+  call.timeout = timeout;
   return call;
 }
 
@@ -28,8 +28,8 @@
 }
 }  // namespace
 
-awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span due) {
-  HttpCall call = callTo(server, http::verb::get, "/burden", due);
+awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span timeout) {
+  HttpCall call = callTo(server, http::verb::get, "/burden", timeout);
   const Instant askedAt = BootClock::now();
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
@@ -53,19 +53,21 @@
 }
 
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
-                                     Fence fence, Span due) {
-  HttpCall call = callTo(server, http::verb::post, "/weights", due);
+                                     Fence fence, Span timeout) {
+  HttpCall call = callTo(server, http::verb::post, "/weights", timeout);
   call.from = from;
-  call.sendDeadline = BootClock::now() + due;
-  const auto dueMs = std::chrono::duration_cast<std::chrono::milliseconds>(due).count();
-  call.body = Json{{"weights", weights.value}, {"fence", fence.value}, {"due_ms", dueMs}}.dump();
+  call.sendDeadline = BootClock::now() + timeout;
+  const auto timeoutMs = std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count();
+  call.body =
+      Json{{"weights", weights.value}, {"fence", fence.value}, {"due_ms", timeoutMs}}.dump();
   const auto response = co_await httpCall(std::move(call));
   co_return statusOf(response);
 }
 
 awaitable<absl::StatusOr<CacheEvents>> readCacheEvents(Address server, std::uint64_t since,
-                                                       Span due) {
-  HttpCall call = callTo(server, http::verb::get, "/kv-events?since=" + std::to_string(since), due);
+                                                       Span timeout) {
+  HttpCall call =
+      callTo(server, http::verb::get, "/kv-events?since=" + std::to_string(since), timeout);
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
   if (!json.ok()) co_return json.status();
@@ -92,22 +94,24 @@
 
 awaitable<absl::Status> pullPrefix(Address server, Address source, ModelName model, CacheSalt salt,
                                    WeightsVersion weights, PromptPrefix prefix, std::size_t tokens,
-                                   Span due) {
-  HttpCall call = callTo(server, http::verb::post, "/kv-pull", due);
-  call.body = Json{{"source", source.value},
-                   {"model", model.value},
-                   {"salt", salt.value},
-                   {"weights", weights.value},
-                   {"prefix", formatPrefix(prefix)},
-                   {"tokens", tokens},
-                   {"due_ms", std::chrono::duration_cast<std::chrono::milliseconds>(due).count()}}
-                  .dump();
+                                   Span timeout) {
+  HttpCall call = callTo(server, http::verb::post, "/kv-pull", timeout);
+  call.body =
+      Json{{"source", source.value},
+           {"model", model.value},
+           {"salt", salt.value},
+           {"weights", weights.value},
+           {"prefix", formatPrefix(prefix)},
+           {"tokens", tokens},
+           {"due_ms", std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count()}}
+          .dump();
   const auto response = co_await httpCall(std::move(call));
   co_return statusOf(response);
 }
 
-awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix, Span due) {
-  HttpCall call = callTo(server, http::verb::post, "/kv-drop", due);
+awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix,
+                                   Span timeout) {
+  HttpCall call = callTo(server, http::verb::post, "/kv-drop", timeout);
   call.body = Json{{"salt", salt.value}, {"prefix", formatPrefix(prefix)}}.dump();
   const auto response = co_await httpCall(std::move(call));
   co_return statusOf(response);
@@ -122,8 +126,8 @@
 }
 
 awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
-                                                                 Span due) {
-  HttpCall call = callTo(platform, http::verb::get, "/servers", due);
+                                                                 Span timeout) {
+  HttpCall call = callTo(platform, http::verb::get, "/servers", timeout);
   call.from = from;
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
@@ -143,8 +147,8 @@
 awaitable<absl::StatusOr<std::size_t>> readStoredPrefixTokens(Address store, Address from,
                                                               ModelName model, CacheSalt salt,
                                                               WeightsVersion weights,
-                                                              PromptPrefix prefix, Span due) {
-  HttpCall call = callTo(store, http::verb::post, "/kept", due);
+                                                              PromptPrefix prefix, Span timeout) {
+  HttpCall call = callTo(store, http::verb::post, "/kept", timeout);
   call.from = from;
   call.body = Json{{"model", model.value},
                    {"salt", salt.value},
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -20,11 +20,11 @@
 }  // namespace wire
 
 // GET /burden. Name, zone and leaving come from the platform's list, not from here.
-awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span due);
+awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span timeout);
 
 // POST /weights: switch to `weights`. Servers turn away orders with a fence below the highest seen.
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
-                                     Fence fence, Span due);
+                                     Fence fence, Span timeout);
 
 // GET /kv-events?since=N
 struct CacheEvents {
@@ -33,27 +33,28 @@
   std::vector<CacheEvent> events;
 };
 awaitable<absl::StatusOr<CacheEvents>> readCacheEvents(Address server, std::uint64_t since,
-                                                       Span due);
+                                                       Span timeout);
 
 // POST /kv-pull: have `server` pull the first `tokens` of a prefix from a peer or the store.
 // Neither end checks weights, so no more may be asked for than was seen to be there under these.
 awaitable<absl::Status> pullPrefix(Address server, Address source, ModelName model, CacheSalt salt,
                                    WeightsVersion weights, PromptPrefix prefix, std::size_t tokens,
-                                   Span due);
+                                   Span timeout);
 // POST /kv-drop: forget what was pulled under this prefix.
-awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix, Span due);
+awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix,
+                                   Span timeout);
 
 // True for a stream's last line, the server's own end mark. `pieces` is what it says it sent.
 bool isEndMark(const std::string& line, std::uint64_t* pieces);
 
 // GET /servers of the platform, from this machine's own address.
 awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
-                                                                 Span due);
+                                                                 Span timeout);
 
 // GET /kept of the store: how many tokens of the prefix it keeps under that salt and weights.
 awaitable<absl::StatusOr<std::size_t>> readStoredPrefixTokens(Address store, Address from,
                                                               ModelName model, CacheSalt salt,
                                                               WeightsVersion weights,
-                                                              PromptPrefix prefix, Span due);
+                                                              PromptPrefix prefix, Span timeout);
 
 }  // namespace quayrill
