--- a/src/fleet/callers.cpp
+++ b/src/fleet/callers.cpp
@@ -68,7 +68,7 @@
     HttpCall call;
     call.to = daemons_[daemon].callers;
     call.target = "/readyz";
-    call.due = 500ms;
+    call.timeout = 500ms;
     const Instant askedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
     daemons_[daemon].ready = response.ok() && response->result_int() == 200;
--- a/src/fleet/site.cpp
+++ b/src/fleet/site.cpp
@@ -56,7 +56,7 @@
   call.verb = verb;
   call.target = std::move(target);
   call.body = std::move(body);
-  call.due = verb == http::verb::get ? 500ms : 6s;
+  call.timeout = verb == http::verb::get ? 500ms : 6s;
   const auto response = co_await httpCall(std::move(call));
   if (!response.ok()) co_return response.status();
   if (response->result_int() != 200)
--- a/src/fleet/site_operators.cpp
+++ b/src/fleet/site_operators.cpp
@@ -18,7 +18,7 @@
   HttpCall call;
   call.to = callers;
   call.target = "/readyz";
-  call.due = 300ms;
+  call.timeout = 300ms;
   const auto response = co_await httpCall(std::move(call));
   if (!response.ok() || response->result_int() != 200) co_return std::nullopt;
   const std::string version((*response)["Quayrill-Spec-Version"]);
@@ -142,7 +142,7 @@
     Json patch{{"ways", {{row.way, policy}}}};
     if (i % 7 == 6) patch["ways"][std::string(2 << 20, 'x')] = policy;  // over every limit
     call.body = patch.dump();
-    call.due = 8s;
+    call.timeout = 8s;
     row.begun = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
     row.ended = BootClock::now();
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -242,7 +242,7 @@
   call.verb = http::verb::post;
   call.target = "/kv-read";
   call.body = request.body();
-  call.due = due - BootClock::now();
+  call.timeout = due - BootClock::now();
   const auto response = co_await httpCall(std::move(call));
   if (!response.ok() || response->result_int() != 200) co_return textResponse(502, "no source\n");
   const Json blocks = Json::parse(response->body(), nullptr, false);
@@ -264,7 +264,7 @@
   call.verb = http::verb::post;
   call.target = "/keep";
   call.body = Json{{"salt", salt}, {"weights", weights}, {"prefix", prefix}}.dump();
-  call.due = 500ms;
+  call.timeout = 500ms;
   (void)co_await httpCall(std::move(call));
 }
 
--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -67,7 +67,7 @@
   asked.verb = verb;
   asked.target = target;
   asked.body = std::move(body);
-  asked.due = 8s;
+  asked.timeout = 8s;
   asio::co_spawn(
       io, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
   io.run();
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -88,7 +88,7 @@
     HttpCall call;
     call.to = settings_.operators;
     call.target = "/q/feed?spec=" + std::to_string(before->configurationVersion);
-    call.due = 800ms;
+    call.timeout = 800ms;
     const Instant askedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
     Snapshot told;
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -145,7 +145,7 @@
     asio::io_context own;
     absl::StatusOr<HttpResponse> response = absl::UnknownError("");
     asked.to = callers;
-    asked.due = 5s;
+    asked.timeout = 5s;
     asio::co_spawn(
         own, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
     own.run();
