--- a/src/net/request_sender.cpp
+++ b/src/net/request_sender.cpp
@@ -14,7 +14,7 @@
 
 void RequestSender::begin() {
   sendPiece();
-  if (code_ || isWhole()) return;
+  if (code_ || isComplete()) return;
   isRunning_ = true;
   asio::co_spawn(socket_.get_executor(), sendRest(), asio::detached);
 }
@@ -36,7 +36,7 @@
 }
 
 awaitable<void> RequestSender::sendRest() {
-  while (!code_ && !isWhole()) {
+  while (!code_ && !isComplete()) {
     ErrorCode code;
     co_await socket_.async_wait(Tcp::socket::wait_write, into(code));
     if (code) {
@@ -51,7 +51,7 @@
   wake_.cancel();
 }
 
-awaitable<void> RequestSender::ended() {
+awaitable<void> RequestSender::waitUntilStopped() {
   while (isRunning_) {
     wake_.expires_at(std::chrono::steady_clock::time_point::max());
     ErrorCode code;
--- a/src/net/request_sender.h
+++ b/src/net/request_sender.h
@@ -18,13 +18,13 @@
   // Sends what the socket takes at once; the rest goes by itself as room comes.
   void begin();
   // All bytes were handed to the system. Only then may another request follow on the connection.
-  bool isWhole() const { return sent_ == head_.size() + body_.size(); }
+  bool isComplete() const { return sent_ == head_.size() + body_.size(); }
   // No byte left: the server can't know of the request.
   bool hasSentNothing() const { return sent_ == 0; }
   bool hasStopped() const { return !isRunning_; }
   const ErrorCode& code() const { return code_; }
   // Returns once nothing is under way any more. Where it isn't whole, close the socket first.
-  awaitable<void> ended();
+  awaitable<void> waitUntilStopped();
 
  private:
   void sendPiece();
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -188,9 +188,9 @@
   if (sender.hasSentNothing() && sender.hasStopped())
     co_return DeliveryResult{DeliveryOutcome::NeverSent, "no longer confirmed at the point of use"};
   const DeliveryResult result = co_await passBack(delivery, server, caller, begun);
-  if (!sender.isWhole()) {
+  if (!sender.isComplete()) {
     server.close();
-    co_await sender.ended();
+    co_await sender.waitUntilStopped();
   }
   co_return result;
 }
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -126,10 +126,10 @@
     result = {TryEnd::Unknown, "stood still while it was sent"};
   else
     result = co_await readAnswer(attempt);
-  if (!sender.isWhole()) {
+  if (!sender.isComplete()) {
     ErrorCode ignored;
     socket.close(ignored);
-    co_await sender.ended();
+    co_await sender.waitUntilStopped();
   }
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
@@ -141,7 +141,7 @@
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
-  if (sender.isWhole()) keepConnection(attempt, result);
+  if (sender.isComplete()) keepConnection(attempt, result);
   co_return result;
 }
 
--- a/tests/request_sender_tests.cpp
+++ b/tests/request_sender_tests.cpp
@@ -30,13 +30,13 @@
   const std::string body(20 << 20, 'b');
   RequestSender sender(ends.near, kHead, body, [] { return true; });
   sender.begin();
-  CHECK_FALSE(sender.isWhole());  // more than the system holds
+  CHECK_FALSE(sender.isComplete());  // more than the system holds
   std::string bytes;
   asio::async_read(ends.far, asio::dynamic_buffer(bytes),
                    asio::transfer_exactly(kHead.size() + body.size()),
                    [](const ErrorCode&, std::size_t) {});
   ends.io.run();
-  CHECK(sender.isWhole());
+  CHECK(sender.isComplete());
   CHECK(sender.hasStopped());
   CHECK(bytes == kHead + body);
 }
@@ -65,14 +65,14 @@
   asio::co_spawn(
       ends.io,
       [&]() -> asio::awaitable<void> {
-        co_await sender.ended();
+        co_await sender.waitUntilStopped();
         hasEnded = true;
       },
       asio::detached);
   ends.io.run();
   CHECK(hasEnded);
   CHECK_FALSE(ends.near.is_open());
-  CHECK_FALSE(sender.isWhole());
+  CHECK_FALSE(sender.isComplete());
   CHECK(bytes.size() < kHead.size() + body.size());
   CHECK(bytes.rfind(kHead, 0) == 0);
 }
