--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -136,7 +136,7 @@
   asked_ = false;
   if (known && text == appliedText_) {
     SettingsPollResult look;
-    look.told = "settings file '" + source_.file + "' is unchanged";
+    look.notice = "settings file '" + source_.file + "' is unchanged";
     return look;
   }
   return judge(text);
@@ -147,20 +147,20 @@
   const std::string named = "settings file '" + source_.file + "' ";
   const std::string old = ": the settings read before stay in force";
   if (!text) {
-    look.refused = named + "can't be read: put it back" + old;
+    look.error = named + "can't be read: put it back" + old;
     return look;
   }
   const auto read = source_.read(*text);
   if (!read.ok()) {
-    look.refused = named + "is refused, " + std::string(read.status().message()) + old;
+    look.error = named + "is refused, " + std::string(read.status().message()) + old;
     return look;
   }
   appliedText_ = *text;
   const std::vector<std::string> waiting = settingsNeedingRestart(inForce_, *read);
   Settings taken = withLiveSettings(inForce_, *read);
-  look.told = named + "is read anew, seeds " + joined(taken.seeds);
+  look.notice = named + "is read anew, seeds " + joined(taken.seeds);
   if (!waiting.empty())
-    look.told += "; not taken up before you restart this daemon: " + joined(waiting);
+    look.notice += "; not taken up before you restart this daemon: " + joined(waiting);
   if (differsLive(inForce_, taken)) look.changed = taken;
   inForce_ = std::move(taken);
   return look;
@@ -206,8 +206,8 @@
       continue;
     }
     const SettingsPollResult look = judge_.onPoll(readSettingsFile(file_), asked);
-    if (!look.refused.empty()) LOG(ERROR) << look.refused;
-    if (!look.told.empty()) LOG(INFO) << look.told;
+    if (!look.error.empty()) LOG(ERROR) << look.error;
+    if (!look.notice.empty()) LOG(INFO) << look.notice;
     if (look.changed) applyCallback_(*look.changed);
     span = look.pollSoon ? kSettleInterval : kPollInterval;
   }
--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -44,8 +44,8 @@
 // What came of one look at the file.
 struct SettingsPollResult {
   std::optional<Settings> changed;  // take these up
-  std::string refused;              // one line for the log; "" where nothing is refused
-  std::string told;                 // the same, of what is no error
+  std::string error;                // one line for the log; "" where nothing is refused
+  std::string notice;               // the same, of what is no error
   bool pollSoon = false;            // the text has just changed: it may be half written
 };
 
