--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -36,7 +36,7 @@
                              bool asked = false) {
   const SettingsPollResult first = judge.onPoll(text, asked);
   CHECK_FALSE(first.changed.has_value());
-  CHECK(first.refused.empty());
+  CHECK(first.error.empty());
   CHECK(first.pollSoon);
   return judge.onPoll(text, false);
 }
@@ -57,13 +57,13 @@
   SettingsReloader judge = judgeOf(kOld);
   const SettingsPollResult same = judge.onPoll(kOld, false);
   CHECK_FALSE((same.changed || same.pollSoon));
-  CHECK((same.told + same.refused).empty());
+  CHECK((same.notice + same.error).empty());
   const SettingsPollResult look = lookTwice(judge, kNew);
   REQUIRE(look.changed);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.2:1"}, {"10.0.0.3:1"}});
   CHECK(judge.inForce().seeds == look.changed->seeds);
-  CHECK_THAT(look.told, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
-  CHECK(look.refused.empty());
+  CHECK_THAT(look.notice, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
+  CHECK(look.error.empty());
   CHECK_FALSE(judge.onPoll(kNew, false).changed);
   // And back.
   CHECK(lookTwice(judge, kOld).changed->seeds.front() == Address{"10.0.0.1:1"});
@@ -73,8 +73,8 @@
   SettingsReloader judge = judgeOf(kOld);
   const SettingsPollResult look = judge.onPoll(kOld, true);
   CHECK_FALSE(look.changed);
-  CHECK_THAT(look.told, Catch::Contains("unchanged"));
-  CHECK(judge.onPoll(kOld, false).told.empty());
+  CHECK_THAT(look.notice, Catch::Contains("unchanged"));
+  CHECK(judge.onPoll(kOld, false).notice.empty());
 }
 
 TEST_CASE("settings: a half written file waits until it is whole, whatever part it shows") {
@@ -82,7 +82,7 @@
     SettingsReloader judge = judgeOf(kOld);
     const SettingsPollResult half = judge.onPoll(kNew.substr(0, size), size % 2 == 0);
     CHECK_FALSE(half.changed);
-    CHECK(half.refused.empty());
+    CHECK(half.error.empty());
     CHECK(half.pollSoon);
     CHECK(judge.onPoll(kNew, false).pollSoon);
     CHECK(judge.onPoll(kNew, false).changed);
@@ -96,23 +96,23 @@
     SettingsReloader judge = judgeOf(kOld);
     const SettingsPollResult look = lookTwice(judge, bad);
     CHECK_FALSE(look.changed);
-    CHECK_THAT(look.refused, Catch::Contains("refused") && Catch::Contains(kFile) &&
+    CHECK_THAT(look.error, Catch::Contains("refused") && Catch::Contains(kFile) &&
                                  Catch::Contains("stay in force"));
-    CHECK(look.refused.find('\n') == std::string::npos);
+    CHECK(look.error.find('\n') == std::string::npos);
     CHECK(judge.inForce().seeds.size() == 2);
     // Once: it is looked at each second.
     const SettingsPollResult again = judge.onPoll(bad, false);
-    CHECK((again.refused + again.told).empty());
+    CHECK((again.error + again.notice).empty());
     // Whoever asks is told again.
-    CHECK_FALSE(judge.onPoll(bad, true).refused.empty());
+    CHECK_FALSE(judge.onPoll(bad, true).error.empty());
     // The file as it was is no change.
     const SettingsPollResult back = lookTwice(judge, kOld);
     CHECK_FALSE(back.changed);
-    CHECK(back.refused.empty());
+    CHECK(back.error.empty());
     CHECK(lookTwice(judge, kNew).changed);
   }
   SettingsReloader judge = judgeOf(kOld);
-  CHECK_THAT(lookTwice(judge, outside).refused,
+  CHECK_THAT(lookTwice(judge, outside).error,
              Catch::Contains("'seeds'") && Catch::Contains("give ip:port"));
 }
 
@@ -120,8 +120,8 @@
   SettingsReloader judge = judgeOf(kOld);
   const SettingsPollResult look = lookTwice(judge, std::nullopt);
   CHECK_FALSE(look.changed);
-  CHECK_THAT(look.refused, Catch::Contains("can't be read") && Catch::Contains("stay in force"));
-  CHECK(judge.onPoll(std::nullopt, false).refused.empty());
+  CHECK_THAT(look.error, Catch::Contains("can't be read") && Catch::Contains("stay in force"));
+  CHECK(judge.onPoll(std::nullopt, false).error.empty());
   CHECK(lookTwice(judge, kNew).changed);
 }
 
@@ -131,9 +131,9 @@
       settingsText(R"("10.0.0.9:1")", R"(,"zone":"b","fresh_limit_ms":900,"grace_ms":4000)");
   const SettingsPollResult look = lookTwice(judge, text);
   REQUIRE(look.changed);
-  CHECK_THAT(look.told,
+  CHECK_THAT(look.notice,
              Catch::Contains("zone, fresh_limit_ms") && Catch::Contains("restart this daemon"));
-  CHECK(look.told.find('\n') == std::string::npos);
+  CHECK(look.notice.find('\n') == std::string::npos);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.9:1"}});
   CHECK(look.changed->grace == 4000ms);
   CHECK(look.changed->zone == readOwn(kOld)->zone);
@@ -142,7 +142,7 @@
                             R"("callers":"10.0.0.1:7","role":"agent","platform":"10.0.9.2:1",)"
                             R"("seeds":["10.0.0.9:1"]})";
   const SettingsPollResult other = lookTwice(judge, moved);
-  CHECK_THAT(other.told, Catch::Contains("role, cohort, operators, callers"));
+  CHECK_THAT(other.notice, Catch::Contains("role, cohort, operators, callers"));
   CHECK(other.changed->role == "both");
   CHECK(other.changed->peer == Address{"10.0.0.1:1"});
   CHECK(other.changed->platform == Address{"10.0.9.2:1"});
@@ -163,9 +163,9 @@
   REQUIRE(look.changed);
   CHECK(look.changed->seeds == std::vector<Address>{{"10.1.0.2:7000"}, {"10.1.0.3:7000"}});
   // A first start of all is over when the file is written anew; nobody has to restart for it.
-  CHECK(look.told.find("restart") == std::string::npos);
+  CHECK(look.notice.find("restart") == std::string::npos);
   CHECK(look.changed->mayFound);
-  CHECK_THAT(lookTwice(judge, text("a:8", "")).refused, Catch::Contains("'seeds'"));
+  CHECK_THAT(lookTwice(judge, text("a:8", "")).error, Catch::Contains("'seeds'"));
 }
 
 TEST_CASE("settings watch: the file is read with and without a signal") {
