--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -22,7 +22,8 @@
 Disk::Disk(DiskSettings settings, ReopenedCallback readAnew)
     : settings_(std::move(settings)), onReopened_(std::move(readAnew)) {
   env_ = syncedFolderEnv(settings_.files.env ? settings_.files : hostFileSystem());
-  if (!settings_.dragFile.empty()) dragged_ = slowSyncEnv(settings_.dragFile, env_.get());
+  if (!settings_.syncDelayFile.empty())
+    slowSyncEnv_ = slowSyncEnv(settings_.syncDelayFile, env_.get());
 }
 
 Disk::~Disk() {
@@ -57,7 +58,7 @@
   options.create_if_missing = true;
   options.paranoid_checks = strictly;
   options.write_buffer_size = settings_.writeBuffer;
-  options.env = dragged_ ? dragged_.get() : env_.get();
+  options.env = slowSyncEnv_ ? slowSyncEnv_.get() : env_.get();
   leveldb::DB* db = nullptr;
   auto status = leveldb::DB::Open(options, settings_.folder + "/register", &db);
   if (status.IsCorruption()) return damaged(status.ToString());
@@ -132,15 +133,15 @@
   error_ = status;
   if (waits || !status.ok()) return;
   error_ = absl::UnavailableError("the rows of a late opening are not taken yet");
-  told_ = true;
+  rowsDelivered_ = true;
   onReopened_(*rows);
 }
 
 void Disk::reopen() {
   nextOpening_ = BootClock::now() + settings_.retryInterval;
   db_.reset();
-  told_ = openFolder().ok();
-  if (told_) onReopened_(std::move(rows_));
+  rowsDelivered_ = openFolder().ok();
+  if (rowsDelivered_) onReopened_(std::move(rows_));
 }
 
 void Disk::write(std::vector<DiskWrite> writes, Done done) {
@@ -175,7 +176,7 @@
   const auto status = db_->Write(options, &changes);
   if (status.ok()) return;
   error_ = absl::DataLossError(status.ToString());
-  told_ = false;
+  rowsDelivered_ = false;
 }
 
 void Disk::work() {
@@ -184,7 +185,7 @@
     {
       std::unique_lock lock(mutex_);
       const auto woken = [this] { return stopping_ || !jobs_.empty(); };
-      if (error_.ok() || told_)
+      if (error_.ok() || rowsDelivered_)
         wake_.wait(lock, woken);
       else
         wake_.wait_for(lock, settings_.retryInterval, woken);
@@ -196,12 +197,12 @@
       }
       if (batch.empty() && !jobs_.empty()) {
         jobs_.pop_front();
-        if (told_) error_ = absl::OkStatus();
-        told_ = false;
+        if (rowsDelivered_) error_ = absl::OkStatus();
+        rowsDelivered_ = false;
       }
     }
     sync(batch);
-    if (!error_.ok() && !told_ && BootClock::now() >= nextOpening_) reopen();
+    if (!error_.ok() && !rowsDelivered_ && BootClock::now() >= nextOpening_) reopen();
   }
 }
 
--- a/src/net/disk.h
+++ b/src/net/disk.h
@@ -31,7 +31,7 @@
 
 struct DiskSettings {
   std::string folder;
-  std::string dragFile;                           // "" but in runs with a slow disk
+  std::string syncDelayFile;                      // "" but in runs with a slow disk
   std::chrono::milliseconds retryInterval{1000};  // how often a defective disk is opened anew
   FileSystem files{};                             // none: the system's
   std::size_t writeBuffer = kWriteBufferBytes;
@@ -75,8 +75,8 @@
   DiskSettings settings_;
   ReopenedCallback onReopened_;
   std::unique_ptr<leveldb::Env> env_;
-  std::unique_ptr<leveldb::Env> dragged_;  // null but in runs with a slow disk
-  std::unique_ptr<leveldb::DB> db_;        // null while the folder can't be opened
+  std::unique_ptr<leveldb::Env> slowSyncEnv_;  // null but in runs with a slow disk
+  std::unique_ptr<leveldb::DB> db_;            // null while the folder can't be opened
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Job> jobs_;  // bounded by the core's limit on replica work
@@ -89,10 +89,10 @@
   Rows rows_;  // of the present opening, until they are handed over
   std::map<std::string, std::uint64_t> rowHashes_;
   std::uint64_t rowHashSum_ = 0;
-  // Once set, nothing is written until a resume; told_ says that the rows of
+  // Once set, nothing is written until a resume; rowsDelivered_ says that the rows of
   // the present opening were handed over.
   absl::Status error_;
-  bool told_ = false;
+  bool rowsDelivered_ = false;
   Instant nextOpening_{};
   std::thread thread_;
 };
--- a/src/net/dragged_env.cpp
+++ b/src/net/dragged_env.cpp
@@ -9,27 +9,27 @@
 namespace {
 class SlowSyncFile : public leveldb::WritableFile {
  public:
-  SlowSyncFile(leveldb::WritableFile* file, const std::string& dragFile)
-      : file_(file), dragFile_(dragFile) {}
+  SlowSyncFile(leveldb::WritableFile* file, const std::string& syncDelayFile)
+      : file_(file), syncDelayFile_(syncDelayFile) {}
   leveldb::Status Append(const leveldb::Slice& bytes) override { return file_->Append(bytes); }
   leveldb::Status Close() override { return file_->Close(); }
   leveldb::Status Flush() override { return file_->Flush(); }
   leveldb::Status Sync() override {
     long milliseconds = 0;
-    std::ifstream(dragFile_) >> milliseconds;
+    std::ifstream(syncDelayFile_) >> milliseconds;
     if (milliseconds > 0) std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
     return file_->Sync();
   }
 
  private:
   std::unique_ptr<leveldb::WritableFile> file_;
-  const std::string& dragFile_;
+  const std::string& syncDelayFile_;
 };
 
 class SlowSyncEnv : public leveldb::EnvWrapper {
  public:
-  SlowSyncEnv(std::string dragFile, leveldb::Env* target)
-      : leveldb::EnvWrapper(target), dragFile_(std::move(dragFile)) {}
+  SlowSyncEnv(std::string syncDelayFile, leveldb::Env* target)
+      : leveldb::EnvWrapper(target), syncDelayFile_(std::move(syncDelayFile)) {}
   leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** made) override {
     return wrapped(target()->NewWritableFile(name, made), made);
   }
@@ -40,15 +40,15 @@
 
  private:
   leveldb::Status wrapped(leveldb::Status status, leveldb::WritableFile** made) const {
-    if (status.ok()) *made = new SlowSyncFile(*made, dragFile_);
+    if (status.ok()) *made = new SlowSyncFile(*made, syncDelayFile_);
     return status;
   }
-  std::string dragFile_;
+  std::string syncDelayFile_;
 };
 }  // namespace
 
-std::unique_ptr<leveldb::Env> slowSyncEnv(std::string dragFile, leveldb::Env* target) {
-  return std::make_unique<SlowSyncEnv>(std::move(dragFile), target);
+std::unique_ptr<leveldb::Env> slowSyncEnv(std::string syncDelayFile, leveldb::Env* target) {
+  return std::make_unique<SlowSyncEnv>(std::move(syncDelayFile), target);
 }
 
 }  // namespace quayrill
--- a/src/net/dragged_env.h
+++ b/src/net/dragged_env.h
@@ -9,6 +9,6 @@
 namespace quayrill {
 
 // `target` outlives it.
-std::unique_ptr<leveldb::Env> slowSyncEnv(std::string dragFile, leveldb::Env* target);
+std::unique_ptr<leveldb::Env> slowSyncEnv(std::string syncDelayFile, leveldb::Env* target);
 
 }  // namespace quayrill
