--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kQueueLimit = 256;
+constexpr std::size_t kQueueFrameLimit = 256;
 constexpr std::size_t kPeerLimit = 1024;
 // Ours: frames that wait for one daemon, and for all: a slow link must not fill the memory.
 constexpr std::size_t kQueueByteLimit = 2 << 20, kTotalByteLimit = 48 << 20;
@@ -24,10 +24,10 @@
 }
 }  // namespace
 
-PeerLink::PeerLink(asio::io_context& io, Address self, Address via, Receiver receiver)
+PeerLink::PeerLink(asio::io_context& io, Address self, Address relay, Receiver receiver)
     : io_(io),
       self_(std::move(self)),
-      via_(std::move(via)),
+      relay_(std::move(relay)),
       receiver_(std::move(receiver)),
       acceptor_(io) {}
 
@@ -88,15 +88,16 @@
   }
   std::string frame = framed(encodeEnvelope(envelope));
   const auto isOver = [&] {
-    return lane->frames.size() >= kQueueLimit || lane->bytes + frame.size() > kQueueByteLimit ||
-           bytes_ + frame.size() > kTotalByteLimit;
+    return lane->frames.size() >= kQueueFrameLimit ||
+           lane->bytes + frame.size() > kQueueByteLimit ||
+           queuedBytes_ + frame.size() > kTotalByteLimit;
   };
   while (!lane->frames.empty() && isOver()) {
     takeOldest(*lane);  // the least worth sending
     ++dropped_;
   }
   lane->bytes += frame.size();
-  bytes_ += frame.size();
+  queuedBytes_ += frame.size();
   lane->frames.push_back(std::move(frame));
   lane->wake.cancel();
   if (!lane->running) {
@@ -109,7 +110,7 @@
   std::string frame = std::move(lane.frames.front());
   lane.frames.pop_front();
   lane.bytes -= frame.size();
-  bytes_ -= frame.size();
+  queuedBytes_ -= frame.size();
   return frame;
 }
 
@@ -128,9 +129,9 @@
   connection.socket().set_option(UserTimeout(kUserTimeoutMs), code);
   const Tcp::endpoint from(endpointOf(self_).address(), 0);
   connection.socket().bind(from, code);
-  const Tcp::endpoint endpoint = endpointOf(via_.value.empty() ? to : via_);
+  const Tcp::endpoint endpoint = endpointOf(relay_.value.empty() ? to : relay_);
   co_await connection.async_connect(endpoint, into(code));
-  if (!code && !via_.value.empty()) {
+  if (!code && !relay_.value.empty()) {
     // A relay is told whose connection this is and where it leads.
     const std::string line = self_.value + " " + to.value + "\n";
     co_await asio::async_write(connection, asio::buffer(line), into(code));
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -16,15 +16,15 @@
 class PeerLink {
  public:
   using Receiver = std::function<void(Envelope)>;
-  PeerLink(asio::io_context& io, Address self, Address via, Receiver receiver);
+  PeerLink(asio::io_context& io, Address self, Address relay, Receiver receiver);
   absl::Status start();
   void send(const Envelope& envelope);
   std::uint64_t dropped() const { return dropped_; }
-  std::size_t queuedBytes() const { return bytes_; }
+  std::size_t queuedBytes() const { return queuedBytes_; }
 
  private:
-  // Frames wait here for one connection. Past kQueueLimit of them, or kQueueByteLimit, the oldest
-  // are dropped; one frame may always wait.
+  // Frames wait here for one connection. Past kQueueFrameLimit of them, or kQueueByteLimit, the
+  // oldest are dropped; one frame may always wait.
   struct SendQueue {
     std::deque<std::string> frames;
     std::size_t bytes = 0;  // of `frames`
@@ -39,11 +39,11 @@
   awaitable<void> drain(Address to, std::shared_ptr<SendQueue> lane);
 
   asio::io_context& io_;
-  Address self_, via_;
+  Address self_, relay_;
   Receiver receiver_;
   Tcp::acceptor acceptor_;
   std::map<Address, std::shared_ptr<SendQueue>> queues_;
-  std::size_t bytes_ = 0;  // of all lanes' frames
+  std::size_t queuedBytes_ = 0;  // of all lanes' frames
   std::uint64_t dropped_ = 0;
 };
 
