--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kQueueLimit = 1024;
+constexpr std::size_t kCommandQueueLimit = 1024;
 constexpr Span kFeedEvery = 100ms;
 // A server that is leaving gets nothing after 3 s: the list's reading and its way here must fit.
 constexpr Span kListLimit = 2500ms;
@@ -28,8 +28,8 @@
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
       view_(std::make_shared<ProxyView>()),
-      admission_(kQueueLimit),
-      placement_(kQueueLimit, placementSettings(settings_)) {
+      admission_(kCommandQueueLimit),
+      placement_(kCommandQueueLimit, placementSettings(settings_)) {
   std::random_device entropy;
   // The address leads `quayrillctl explain` to the daemon that knows the request.
   idPrefix_ = settings_.callers.value + "/" + std::to_string(entropy()) + "/";
@@ -41,14 +41,14 @@
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.callers;
   serverSettings.bodyLimit = 16 << 20;
-  callers_ = std::make_unique<HttpServer>(
+  callerServer_ = std::make_unique<HttpServer>(
       io_, serverSettings,
       [this](Connection& connection, HttpRequest& request) { return handle(connection, request); });
-  if (auto status = callers_->start(); !status.ok()) return status;
+  if (auto status = callerServer_->start(); !status.ok()) return status;
   // A connection's timer and its reads must never run at once on two threads: each chain has a
   // strand.
   asio::co_spawn(asio::make_strand(io_), snapshotLoop(), asio::detached);
-  asio::co_spawn(asio::make_strand(io_), eventLoop(), asio::detached);
+  asio::co_spawn(asio::make_strand(io_), cacheEventLoop(), asio::detached);
   for (std::size_t i = 0; i < settings_.trafficThreads; ++i)
     threads_.emplace_back([this] { io_.run(); });
   return absl::OkStatus();
@@ -109,18 +109,19 @@
 }
 
 // Cache events come late and with gaps; each pull is one try, bounded, and none waits for another.
-awaitable<void> Proxy::eventLoop() {
+awaitable<void> Proxy::cacheEventLoop() {
   for (;;) {
     const auto seen = view();
     for (const ServerState& server : seen->servers) {
       if (server.healthy)
-        asio::co_spawn(co_await asio::this_coro::executor, pullEvents(server.name), asio::detached);
+        asio::co_spawn(co_await asio::this_coro::executor, pollCacheEvents(server.name),
+                       asio::detached);
     }
     co_await pauseFor(1s);
   }
 }
 
-awaitable<void> Proxy::pullEvents(ServerName server) {
+awaitable<void> Proxy::pollCacheEvents(ServerName server) {
   const std::function<std::uint64_t(Placement&)> positionOf = [server](Placement& placement) {
     return placement.eventPosition(server);
   };
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -22,10 +22,10 @@
   ~Proxy();
   absl::Status start();
   void beginLeaving() { leaving_ = true; }
-  void stopAccepting() { callers_->stopAccepting(); }
+  void stopAccepting() { callerServer_->stopAccepting(); }
   // The longest that a request accepted now may last.
   Span longestRequestTimeout() const;
-  std::size_t openConnections() const { return callers_->connections(); }
+  std::size_t openConnections() const { return callerServer_->connections(); }
   void stop();
 
  private:
@@ -53,8 +53,8 @@
   bool mayRun(const Job& job, const ServerState& server) const;
 
   awaitable<void> snapshotLoop();
-  awaitable<void> eventLoop();
-  awaitable<void> pullEvents(ServerName server);
+  awaitable<void> cacheEventLoop();
+  awaitable<void> pollCacheEvents(ServerName server);
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> serve(Connection& connection, HttpRequest& request);
   std::optional<Error> intake(const HttpRequest& request, const ProxyView& now, Job* job);
@@ -84,7 +84,7 @@
   std::atomic<bool> leaving_{false};
   // Below all that a request's coroutine lets go of when it is destroyed with io_.
   asio::io_context io_;
-  std::unique_ptr<HttpServer> callers_;
+  std::unique_ptr<HttpServer> callerServer_;
   std::vector<std::thread> threads_;
 };
 
