--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -19,7 +19,8 @@
 }
 }  // namespace
 
-std::optional<Error> Proxy::intake(const HttpRequest& request, const ProxyView& seen, Job* job) {
+std::optional<Error> Proxy::parseRequest(const HttpRequest& request, const ProxyView& seen,
+                                         Job* job) {
   const std::string path = pathOf(request);
   const std::string authorization = headerOf(request, "Authorization");
   if (authorization.rfind("Bearer ", 0) != 0) return Error{ErrorKind::UnknownKey, "no bearer key"};
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -57,7 +57,7 @@
   awaitable<void> pollCacheEvents(ServerName server);
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> serve(Connection& connection, HttpRequest& request);
-  std::optional<Error> intake(const HttpRequest& request, const ProxyView& now, Job* job);
+  std::optional<Error> parseRequest(const HttpRequest& request, const ProxyView& now, Job* job);
   awaitable<std::optional<HttpResponse>> run(Connection& connection, const Job& job, Trace* trace);
   // safe == false: the chosen server may hold cache of doubtful weights, so nothing is sent to it.
   struct FetchResult {
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -46,7 +46,7 @@
     co_return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
                      job.id);
   }
-  if (const auto error = intake(request, *seen, &job)) {
+  if (const auto error = parseRequest(request, *seen, &job)) {
     ++counters_.badInput;
     HttpResponse response = errorResponse(*error);
     response.set("Quayrill-Request-Id", job.id.value);
