--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -41,7 +41,7 @@
   return lines;
 }
 
-Span left(Instant due) { return std::max<Span>(due - BootClock::now(), Span(1)); }
+Span left(Instant deadline) { return std::max<Span>(deadline - BootClock::now(), Span(1)); }
 
 std::string requestHead(const Delivery& delivery) {
   http::request<http::empty_body> request(http::verb::post, wire::kGenerate, 11);
@@ -109,7 +109,7 @@
     parser.get().body().data = block;
     parser.get().body().size = sizeof block;
     // Nothing more is read from the server until the caller has taken what came before.
-    server.expires_after(headSent ? std::max<Span>(left(delivery.due), 5s)
+    server.expires_after(headSent ? std::max<Span>(left(delivery.deadline), 5s)
                                   : left(delivery.firstPieceDeadline));
     co_await http::async_read_some(server, buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
@@ -174,12 +174,12 @@
   co_await server.async_connect(endpoint, into(code));
   if (code) co_return DeliveryResult{DeliveryOutcome::NeverSent, "connect: " + code.message()};
   server.socket().non_blocking(true, code);
-  if (BootClock::now() >= delivery.due)
+  if (BootClock::now() >= delivery.deadline)
     co_return DeliveryResult{DeliveryOutcome::NeverSent, "the due passed before anything left"};
 
   bool isAsked = false;
   RequestSender sender(server.socket(), requestHead(delivery), delivery.body, [&] {
-    if (BootClock::now() >= delivery.due) return false;
+    if (BootClock::now() >= delivery.deadline) return false;
     if (isAsked) return true;
     isAsked = true;
     return mayStart();
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -14,7 +14,7 @@
   CacheSalt salt;
   std::string prefixHeader;
   std::string body;
-  Instant due;
+  Instant deadline;
   // By when the first piece must have come; never after `due`. Past it the delivery ends as
   // DuePassed, and whether it ran is not known.
   Instant firstPieceDeadline;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -39,7 +39,7 @@
     PromptPrefix prefix;
     std::string body;
     std::string digest;
-    Instant begun, due;
+    Instant begun, deadline;
     Entered entered;  // how it stood when it came in
   };
   // One row of the decision stream, filled on the way.
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -17,10 +17,11 @@
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
 Instant firstPieceDeadlineOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
-                             Instant due) {
-  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain) return due;
+                             Instant deadline) {
+  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain)
+    return deadline;
   const Instant now = BootClock::now();
-  return now + (due - now) / 2;
+  return now + (deadline - now) / 2;
 }
 
 Json candidatesJson(const std::vector<Candidate>& candidates) {
@@ -86,7 +87,7 @@
   bool mayHaveRun = false, late = false, wasSent = false;
   std::string lastDetail = "no server is free";
   for (std::size_t attempt = 0; attempt < std::max<std::size_t>(1, job.policy.tries); ++attempt) {
-    if (BootClock::now() >= job.due) {
+    if (BootClock::now() >= job.deadline) {
       late = true;
       break;
     }
@@ -124,10 +125,10 @@
     const FetchResult fetched = co_await fetch(job, placed);
 
     const Instant firstPieceDeadline =
-        std::min(firstPieceDeadlineOf(job.policy, job.entered, attempt, job.due),
+        std::min(firstPieceDeadlineOf(job.policy, job.entered, attempt, job.deadline),
                  view()->usableUntil(placed.chosenServer, settings_.rolloutDue));
-    Delivery delivery{job.id,  placed.chosenServer, job.salt, formatPrefix(job.prefix), job.body,
-                      job.due, firstPieceDeadline};
+    Delivery delivery{job.id,   placed.chosenServer, job.salt,          formatPrefix(job.prefix),
+                      job.body, job.deadline,        firstPieceDeadline};
     const std::function<bool()> mayStart = [this, &job, &placed, wasSent] {
       if (!mayRun(job, placed.chosenServer)) return false;
       if (!wasSent)
@@ -171,7 +172,7 @@
         break;
       case DeliveryOutcome::DuePassed:
         mayHaveRun = true;
-        late = BootClock::now() >= job.due;
+        late = BootClock::now() >= job.deadline;
         break;
       case DeliveryOutcome::Unknown:
         mayHaveRun = true;
@@ -212,7 +213,7 @@
   const bool steady =
       named != seen->configuration->weights.end() && named->second == server.weights;
   if (!settings_.fetch || !steady || source.value.empty() ||
-      job.due - BootClock::now() < 2 * kFetchTimeout)
+      job.deadline - BootClock::now() < 2 * kFetchTimeout)
     co_return FetchResult{};
   // How many tokens the source is seen to hold under the request's weights; 0 where in doubt. A
   // store keeps blocks of several weights side by side: only the part it vouches for is pulled.
