--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -72,7 +72,7 @@
   const auto afterSend = [&](const std::string& what) {
     const bool late =
         code == beast::error::timeout || BootClock::now() >= delivery.firstPieceDeadline;
-    return DeliveryResult{late ? DeliveryOutcome::DuePassed : DeliveryOutcome::Unknown,
+    return DeliveryResult{late ? DeliveryOutcome::DeadlineExceeded : DeliveryOutcome::Unknown,
                           what + ": " + code.message()};
   };
   server.expires_after(left(delivery.firstPieceDeadline));
@@ -146,7 +146,7 @@
     co_return DeliveryResult{DeliveryOutcome::Unknown, "an answer with no piece"};
   }
   if (!whole) {
-    result.end = DeliveryOutcome::Cut;
+    result.end = DeliveryOutcome::Truncated;
     result.detail = code ? code.message() : "no end mark, or one that names other pieces";
     co_return result;
   }
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -21,13 +21,13 @@
 };
 
 enum class DeliveryOutcome {
-  NeverSent,   // no byte left for the server
-  NotRun,      // the server's own reply says that it did not run it
-  Unknown,     // a byte may have reached the server, nothing has reached the caller
-  DuePassed,   // the same, since the due passed
-  Done,        // the server's end mark was passed on and the answer closed whole
-  Cut,         // pieces reached the caller, then the answer broke: closed with no terminator
-  CallerGone,  // the caller left
+  NeverSent,         // no byte left for the server
+  NotRun,            // the server's own reply says that it did not run it
+  Unknown,           // a byte may have reached the server, nothing has reached the caller
+  DeadlineExceeded,  // the same, since the due passed
+  Done,              // the server's end mark was passed on and the answer closed whole
+  Truncated,         // pieces reached the caller, then the answer broke: closed with no terminator
+  CallerGone,        // the caller left
 };
 
 struct DeliveryResult {
--- a/src/proxy/intake.cpp
+++ b/src/proxy/intake.cpp
@@ -52,11 +52,12 @@
   if (!nlohmann::json::accept(request.body()))
     return Error{ErrorKind::MalformedRequest, "the body is not JSON"};
   job->body = request.body();
-  job->due = job->begun + job->policy.due;
+  job->deadline = job->begun + job->policy.due;
   if (const std::string due = headerOf(request, "Quayrill-Due-Ms"); !due.empty()) {
     if (due.size() > 6 || due.find_first_not_of("0123456789") != std::string::npos)
       return Error{ErrorKind::MalformedRequest, "Quayrill-Due-Ms: whole milliseconds"};
-    job->due = std::min<Instant>(job->due, job->begun + std::chrono::milliseconds(std::stoul(due)));
+    job->deadline =
+        std::min<Instant>(job->deadline, job->begun + std::chrono::milliseconds(std::stoul(due)));
   }
   return std::nullopt;
 }
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -161,7 +161,7 @@
       case DeliveryOutcome::Done:
         ++counters_.done;
         co_return std::nullopt;
-      case DeliveryOutcome::Cut:
+      case DeliveryOutcome::Truncated:
         ++counters_.cut;
         co_return std::nullopt;
       case DeliveryOutcome::CallerGone:
@@ -170,7 +170,7 @@
       case DeliveryOutcome::NeverSent:
       case DeliveryOutcome::NotRun:
         break;
-      case DeliveryOutcome::DuePassed:
+      case DeliveryOutcome::DeadlineExceeded:
         mayHaveRun = true;
         late = BootClock::now() >= job.deadline;
         break;
--- a/tests/deliver_stage.h
+++ b/tests/deliver_stage.h
@@ -24,13 +24,13 @@
 };
 
 // Request r1 on weights w1 to the server that listens there, due in `due` with its first piece too.
-inline Delivery deliveryTo(const Tcp::acceptor& server, std::string body, Span due) {
+inline Delivery deliveryTo(const Tcp::acceptor& server, std::string body, Span timeout) {
   Delivery delivery;
   delivery.request = RequestId{"r1"};
   delivery.server.name = ServerName{"127.0.0.1:" + std::to_string(server.local_endpoint().port())};
   delivery.server.weights = WeightsVersion{"w1"};
   delivery.body = std::move(body);
-  delivery.due = delivery.firstPieceDeadline = BootClock::now() + due;
+  delivery.deadline = delivery.firstPieceDeadline = BootClock::now() + timeout;
   return delivery;
 }
 
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -109,7 +109,7 @@
            kHead + piece + chunk("{\"pie") + "0\r\n\r\n",  // half a line
        }) {
     const auto played = play({script});
-    CHECK(played.result.end == DeliveryOutcome::Cut);
+    CHECK(played.result.end == DeliveryOutcome::Truncated);
     CHECK_FALSE(looksComplete(played));
     CHECK(played.seenByCaller.find("\"end\"") == std::string::npos);
   }
@@ -130,7 +130,7 @@
   Play silent;
   silent.hang = true;
   silent.due = 50ms;
-  CHECK(play(silent).result.end == DeliveryOutcome::DuePassed);
+  CHECK(play(silent).result.end == DeliveryOutcome::DeadlineExceeded);
 }
 
 TEST_CASE("deliver: an answer that names another request or other weights reaches no caller") {
