--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -53,7 +53,7 @@
   // Reads, updates and proposes until it is known what became of it, or its time is over.
   awaitable<UpdateDone> updateConfiguration(Update change);
   // A read of the configuration through the register itself, which also settles it.
-  awaitable<ChangeDone> linearizableRead(Span due);
+  awaitable<ChangeDone> linearizableRead(Span timeout);
 
  private:
   struct PolledServer {
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -35,8 +35,8 @@
   co_return **result;
 }
 
-awaitable<ChangeDone> Agent::linearizableRead(Span due) {
-  ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
+awaitable<ChangeDone> Agent::linearizableRead(Span timeout) {
+  ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + timeout};
   co_return co_await ask(read);
 }
 
--- a/src/agent/orders.cpp
+++ b/src/agent/orders.cpp
@@ -6,12 +6,12 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kOrderDue = 1500ms;  // from the decision on
+constexpr Span kOrderTimeout = 1500ms;  // from the decision on
 // Ours: all daemons are told that a server is to switch before it is ordered. Prompts that wait
 // there begin meanwhile; those that had not begun by the order would be turned away.
 constexpr Span kNoticeSpan = 400ms;
 constexpr Span kOrderMargin = 300ms;  // by which a lease outlasts an order
-constexpr Span kReportDue = 700ms;
+constexpr Span kReportTimeout = 700ms;
 
 std::string roleOf(const ModelName& model) { return "orders/" + model.value; }
 }  // namespace
@@ -35,7 +35,7 @@
   }
   const auto confirmed = core_->freshness().confirmedAt();
   if (confirmed && now - *confirmed < settings_.freshLimit)
-    view.fence = core_->held(rolloutLeaseKey(model), kOrderDue + kOrderMargin, now);
+    view.fence = core_->held(rolloutLeaseKey(model), kOrderTimeout + kOrderMargin, now);
   return view;
 }
 
@@ -88,12 +88,12 @@
   const std::string owner = fenceOwner();
   co_await pauseFor(kNoticeSpan);
   // What stood still since it was decided has that much less time, or is not sent at all.
-  const Span due = kOrderDue - (BootClock::now() - decidedAt);
+  const Span timeout = kOrderTimeout - (BootClock::now() - decidedAt);
   OrderAnswer answer = OrderAnswer::Unclear;
-  if (due > Span{}) {
+  if (timeout > Span{}) {
     ++counters_.weightOrders;
     answer = co_await dialect_.orderWeights(address, settings_.peer, order.identity, model,
-                                            order.weights, owner, order.fence, due);
+                                            order.weights, owner, order.fence, timeout);
   }
   decisions_.add(order.server.value, nlohmann::json{{"decision", "weights"},
                                                     {"server", order.server.value},
@@ -113,7 +113,7 @@
 awaitable<void> Agent::requestWeightsReport(ModelName model, ReportAsk asked) {
   const Instant askedAt = BootClock::now();
   const Address address{asked.server.value};
-  const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportDue);
+  const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportTimeout);
   const auto rollout = rollouts_.find(model);
   if (rollout == rollouts_.end()) co_return;
   const Instant now = BootClock::now();
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -48,17 +48,17 @@
   std::function<absl::StatusOr<Configuration>(const std::string& body)> readConfiguration;
   // The platform's whole list, all of its pages. `calls` is raised by the calls it took.
   std::function<awaitable<absl::StatusOr<std::vector<ListRow>>>(Address platform, Address from,
-                                                                Span due, std::size_t* calls)>
+                                                                Span timeout, std::size_t* calls)>
       readList;
   // One server's own word about itself; empty where the list tells all.
-  std::function<awaitable<absl::StatusOr<ServerState>>(Address server, Span due)> readServer;
+  std::function<awaitable<absl::StatusOr<ServerState>>(Address server, Span timeout)> readServer;
   std::function<awaitable<absl::StatusOr<WeightsReport>>(Address server, Address from,
-                                                         ModelName model, Span due)>
+                                                         ModelName model, Span timeout)>
       readWeights;
   // `owner` names the holder of the fence, and no other life of a daemon has the same.
   std::function<awaitable<OrderAnswer>(Address server, Address from, ServerIdentity identity,
                                        ModelName model, WeightsVersion weights, std::string owner,
-                                       Fence fence, Span due)>
+                                       Fence fence, Span timeout)>
       orderWeights;
   // Calls of operators beyond the product's own; nullopt: not one of these.
   std::function<awaitable<std::optional<HttpResponse>>(Agent& agent, HttpRequest& request)>
--- a/src/dialect/own.cpp
+++ b/src/dialect/own.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 awaitable<absl::StatusOr<std::vector<ListRow>>> readNativeList(Address platform, Address from,
-                                                               Span due, std::size_t* calls) {
+                                                               Span timeout, std::size_t* calls) {
   ++*calls;
-  co_return co_await readPlatformList(platform, from, due);
+  co_return co_await readPlatformList(platform, from, timeout);
 }
 
 awaitable<absl::StatusOr<WeightsReport>> readNativeWeights(Address server, Address, ModelName model,
-                                                           Span due) {
-  const auto state = co_await readServer(server, due);
+                                                           Span timeout) {
+  const auto state = co_await readServer(server, timeout);
   if (!state.ok()) co_return state.status();
   co_return WeightsReport{model, state->weights, false};
 }
 
 awaitable<OrderAnswer> orderNativeWeights(Address server, Address from, ServerIdentity, ModelName,
                                           WeightsVersion weights, std::string, Fence fence,
-                                          Span due) {
-  const auto status = co_await orderWeights(server, from, weights, fence, due);
+                                          Span timeout) {
+  const auto status = co_await orderWeights(server, from, weights, fence, timeout);
   co_return status.ok() ? OrderAnswer::Taken : OrderAnswer::Unclear;
 }
 }  // namespace
