--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -86,7 +86,7 @@
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
   awaitable<HttpResponse> recover(HttpRequest& request);
   awaitable<HttpResponse> changeConfiguration(HttpRequest& request, bool isPatch);
-  awaitable<ChangeDone> ask(ChangeAsked change);
+  awaitable<ChangeDone> submitChange(ChangeAsked change);
   // Enough register replicas that a change survives the loss of one.
   bool hasReplicasToSpare() const;
   ServerState stateOf(const PolledServer& row, Instant now) const;
--- a/src/agent/operators.cpp
+++ b/src/agent/operators.cpp
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-awaitable<ChangeDone> Agent::ask(ChangeAsked change) {
+awaitable<ChangeDone> Agent::submitChange(ChangeAsked change) {
   auto timer = std::make_shared<asio::steady_timer>(io_);
   auto result = std::make_shared<std::optional<ChangeDone>>();
   timer->expires_at(std::chrono::steady_clock::time_point::max());
@@ -37,7 +37,7 @@
 
 awaitable<ChangeDone> Agent::linearizableRead(Span timeout) {
   ChangeAsked read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + timeout};
-  co_return co_await ask(read);
+  co_return co_await submitChange(read);
 }
 
 awaitable<HttpResponse> Agent::changeConfiguration(HttpRequest& request, bool isPatch) {
@@ -74,7 +74,7 @@
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse({ErrorKind::BadConfiguration, std::string(parsed.status().message())});
   ChangeAsked change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
-  const ChangeDone done = co_await ask(change);
+  const ChangeDone done = co_await submitChange(change);
   switch (done.result) {
     case ChangeResult::Chosen: {
       LOG(INFO) << "configuration " << done.value.version << " acknowledged";
--- a/src/agent/update.cpp
+++ b/src/agent/update.cpp
@@ -33,7 +33,7 @@
   for (;;) {
     const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
     if (!asked) break;
-    const ChangeDone answer = co_await ask(*asked);
+    const ChangeDone answer = co_await submitChange(*asked);
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Taken)
