--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -129,7 +129,7 @@
 void Agent::applyConfiguration() {
   const RegisterValue& value = core_->freshness().configuration().value;
   if (value.version == configurationVersion_) {
-    confirmedThen_ = core_->freshness().confirmedAt();
+    configurationConfirmedAt_ = core_->freshness().confirmedAt();
     return;
   }
   auto parsed = dialect_.readConfiguration(value.body);
@@ -140,14 +140,15 @@
                              << ": upgrade this daemon";
     return;
   }
-  core_->nameWeights(parsed->weights, configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
+  core_->nameWeights(parsed->weights,
+                     configurationVersion_ > 0 ? configurationConfirmedAt_ : std::nullopt);
   configuration_ = std::move(*parsed);
   configurationVersion_ = value.version;
   ++counters_.configurationChanges;
   LOG(INFO) << "configuration " << configurationVersion_ << " in force";
 }
 
-void Agent::feed(Instant now) {
+void Agent::publishSnapshot(Instant now) {
   if (!snapshotListener_ ||
       (now < nextSnapshotAt_ && publishedConfigurationVersion_ == configurationVersion_))
     return;
@@ -196,7 +197,7 @@
     takeList();
     tickRollouts(now);
     updateEventSources(now);
-    feed(now);
+    publishSnapshot(now);
     publishPlaneDigests(now);
     timer.expires_after(kTick);
     ErrorCode code;
@@ -233,7 +234,7 @@
     row->second.listed = server;
     if (server.told) applyListedState(row->second, *appliedListReadAt_);
     if (!fresh) continue;
-    row->second.life = ++lastPollGeneration_;
+    row->second.generation = ++lastPollGeneration_;
     LOG(INFO) << "server " << server.name.value << " listed";
     if (!dialect_.readServer) continue;
     asio::co_spawn(io_, pollLoop(server.name, lastPollGeneration_), asio::detached);
@@ -257,12 +258,12 @@
   row.healthyAt = readAt;
 }
 
-awaitable<void> Agent::pollLoop(ServerName server, std::uint64_t life) {
+awaitable<void> Agent::pollLoop(ServerName server, std::uint64_t generation) {
   const Address address{server.value};
   for (;;) {
     const auto state = co_await dialect_.readServer(address, 700ms);
     const auto row = servers_.find(server);
-    if (row == servers_.end() || row->second.life != life) co_return;
+    if (row == servers_.end() || row->second.generation != generation) co_return;
     if (state.ok()) {
       row->second.state = *state;
       row->second.healthyAt = state->polledAt;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -40,10 +40,14 @@
   // The data plane in this process, told each time that something changed and every 100 ms. Set it
   // before start; it is called on the control thread.
   using SnapshotListener = std::function<void(Snapshot, Instant)>;
-  void setSnapshotListener(SnapshotListener feed) { snapshotListener_ = std::move(feed); }
+  void setSnapshotListener(SnapshotListener publishSnapshot) {
+    snapshotListener_ = std::move(publishSnapshot);
+  }
   // The data plane in this process, told what those of the fleet observe. As setSnapshotListener.
   using PlaneDigestListener = std::function<void(PlaneDigest, Instant)>;
-  void setPlaneDigestListener(PlaneDigestListener feed) { planeDigestListener_ = std::move(feed); }
+  void setPlaneDigestListener(PlaneDigestListener publishSnapshot) {
+    planeDigestListener_ = std::move(publishSnapshot);
+  }
   // What the data plane in this process observed. May be called on any thread.
   void takePlaneReport(PlaneReport report);
   std::size_t openOperatorCalls() const { return openOperatorCalls_; }
@@ -60,19 +64,19 @@
     ListRow listed;
     std::optional<ServerState> state;
     Instant healthyAt{};  // start of the last poll that was answered
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
   };
   using Waiter = std::function<void(const ChangeDone&)>;
 
   void apply(AgentEffects effects);
   void onDiskReopened(Disk::Rows rows);
-  void feed(Instant now);
+  void publishSnapshot(Instant now);
   void updateEventSources(Instant now);
   void publishPlaneDigests(Instant now);
   awaitable<void> tickLoop();
   awaitable<void> readList();
   void takeList();
-  awaitable<void> pollLoop(ServerName server, std::uint64_t life);
+  awaitable<void> pollLoop(ServerName server, std::uint64_t generation);
   void applyListedState(PolledServer& row, Instant readAt) const;
   void tickRollouts(Instant now);
   RolloutView rolloutView(const ModelName& model, Instant now) const;
@@ -120,7 +124,7 @@
   std::optional<Configuration> configuration_;  // the configuration in force, parsed
   std::uint64_t configurationVersion_ = 0;
   // When the configuration in force here was last known to be the newest.
-  std::optional<Instant> confirmedThen_;
+  std::optional<Instant> configurationConfirmedAt_;
   std::map<ModelName, Rollout> rollouts_;  // of models that the configuration names weights for
   std::map<ModelName, Instant> outdatedSince_;  // of those, where a server has other weights
 };
