--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -52,14 +52,15 @@
             4 the daemon can't be reached.
 )";
 
-enum Exit { kDone = 0, kTurnedAway = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
+enum Exit { kDone = 0, kRejected = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
 
-struct Answer {
+struct CallResult {
   int exit = kDone;
   HttpResponse response;
 };
 
-Answer call(const Address& to, http::verb verb, const std::string& target, std::string body = {}) {
+CallResult call(const Address& to, http::verb verb, const std::string& target,
+                std::string body = {}) {
   asio::io_context io;
   absl::StatusOr<HttpResponse> response = absl::UnknownError("no answer");
   HttpCall asked;
@@ -85,17 +86,17 @@
   std::cerr << "quayrillctl: "
             << (json.is_object() ? json.value("message", response->body()) : response->body())
             << "\n";
-  return {response->result_int() == 504 ? kUnknownExit : kTurnedAway, *response};
+  return {response->result_int() == 504 ? kUnknownExit : kRejected, *response};
 }
 
-struct Held {
+struct VersionedConfiguration {
   int exit = kDone;
   std::uint64_t version = 0;
   Json configuration;
 };
 
-Held readConfiguration(const Address& daemon) {
-  const Answer answer = call(daemon, http::verb::get, "/q/spec?settled=1");
+VersionedConfiguration readConfiguration(const Address& daemon) {
+  const CallResult answer = call(daemon, http::verb::get, "/q/spec?settled=1");
   if (answer.exit != kDone) return {answer.exit, 0, {}};
   const Json json = Json::parse(answer.response.body());
   return {kDone, json["version"].get<std::uint64_t>(), json["spec"]};
@@ -103,7 +104,7 @@
 
 int sendConfiguration(const Address& daemon, http::verb verb, std::uint64_t expect,
                       const std::string& body, bool json) {
-  const Answer answer = call(daemon, verb, "/q/spec?expect=" + std::to_string(expect), body);
+  const CallResult answer = call(daemon, verb, "/q/spec?expect=" + std::to_string(expect), body);
   if (answer.exit != kDone) return answer.exit;
   if (json)
     std::cout << answer.response.body();
@@ -122,12 +123,12 @@
 
 int changeKey(const Address& daemon, const std::string& tenant, const std::string& secret, bool add,
               bool json) {
-  const Held held = readConfiguration(daemon);
+  const VersionedConfiguration held = readConfiguration(daemon);
   if (held.exit != kDone) return held.exit;
   if (!held.configuration["tenants"].contains(tenant)) {
     std::cerr << "quayrillctl: no tenant '" << tenant
               << "': add it with configuration patch first\n";
-    return kTurnedAway;
+    return kRejected;
   }
   const std::string digest = keyDigest(secret);
   Json keys = Json::array();
@@ -138,7 +139,7 @@
   }
   if (!add && !found) {
     std::cerr << "quayrillctl: that is no key of '" << tenant << "': nothing was withdrawn\n";
-    return kTurnedAway;
+    return kRejected;
   }
   if (add && !found) keys.push_back(digest);
   const Json patch{{"tenants", {{tenant, {{"keys", keys}}}}}};
@@ -146,7 +147,7 @@
 }
 
 int showMembers(const Address& daemon, bool json) {
-  const Answer answer = call(daemon, http::verb::get, "/q/members");
+  const CallResult answer = call(daemon, http::verb::get, "/q/members");
   if (answer.exit != kDone) return answer.exit;
   if (json) {
     std::cout << answer.response.body();
@@ -168,7 +169,7 @@
 
 int showDecisions(const Address& daemon, std::uint64_t from, bool follow) {
   for (;;) {
-    const Answer answer =
+    const CallResult answer =
         call(daemon, http::verb::get, "/q/decisions?from=" + std::to_string(from));
     if (answer.exit != kDone) return answer.exit;
     const Json page = Json::parse(answer.response.body());
@@ -192,7 +193,7 @@
 int query(const Address& daemon, const std::string& sql, bool json) {
   int unread = kDone;
   const auto table = queryFleet(sql, [&](const std::string& path) -> absl::StatusOr<Json> {
-    const Answer answer = call(daemon, http::verb::get, path);
+    const CallResult answer = call(daemon, http::verb::get, path);
     unread = answer.exit;
     if (answer.exit != kDone) return absl::UnavailableError("");
     return Json::parse(answer.response.body());
@@ -229,7 +230,7 @@
     asked.push_back(peer.substr(0, peer.rfind(':')) + port);
   }
   for (const std::string& address : asked) {
-    const Answer answer = call(Address{address}, http::verb::get, "/q/spec");
+    const CallResult answer = call(Address{address}, http::verb::get, "/q/spec");
     if (answer.exit != kDone) continue;
     const Json told = Json::parse(answer.response.body());
     if (told["version"] > 0 && (newest.is_null() || told["version"] > newest["version"]))
@@ -239,7 +240,7 @@
 }
 
 int recover(const Address& daemon, const std::string& file, const std::string& confirm, bool json) {
-  const Answer known = call(daemon, http::verb::get, "/q/members");
+  const CallResult known = call(daemon, http::verb::get, "/q/members");
   if (known.exit != kDone) return known.exit;
   const Json all = Json::parse(known.response.body());
   const std::string fleet = all["copies"]["fleet"].dump();
@@ -259,9 +260,9 @@
                  "old fleet never vote again: empty them before they join. Do it only when a "
                  "majority of the register's disks can't come back, with --confirm="
               << fleet << "\n";
-    return confirm.empty() ? kTurnedAway : kUsageExit;
+    return confirm.empty() ? kRejected : kUsageExit;
   }
-  const Answer made =
+  const CallResult made =
       call(daemon, http::verb::post, "/q/refound?confirm=" + fleet, configuration.dump());
   if (made.exit != kDone) return made.exit;
   const Json told = Json::parse(made.response.body());
@@ -273,7 +274,7 @@
   return kDone;
 }
 
-void tellTry(const Json& attempt, std::size_t number) {
+void printAttempt(const Json& attempt, std::size_t number) {
   std::cout << "try " << number << ": " << attempt["server"].get<std::string>() << " under weights "
             << attempt["weights"].get<std::string>() << ", chosen by "
             << attempt["reason"].get<std::string>() << " (" << attempt["matched_tokens"] << " of "
@@ -296,7 +297,7 @@
     std::cerr << "quayrillctl: '" << id << "' is no request id: take it from Quayrill-Request-Id\n";
     return kUsageExit;
   }
-  const Answer answer = call(daemon, http::verb::get, "/q/explain?id=" + id);
+  const CallResult answer = call(daemon, http::verb::get, "/q/explain?id=" + id);
   if (answer.exit != kDone) return answer.exit;
   if (json) {
     std::cout << answer.response.body();
@@ -308,7 +309,7 @@
             << (row["repeatable"] == true ? " (repeatable)" : " (not repeatable)") << ": "
             << row["outcome"].get<std::string>() << " after " << row["took_us"] << " us\n";
   std::size_t number = 0;
-  for (const auto& attempt : row["tries"]) tellTry(attempt, ++number);
+  for (const auto& attempt : row["tries"]) printAttempt(attempt, ++number);
   if (number == 0) std::cout << "no server was tried\n";
   return kDone;
 }
@@ -338,7 +339,7 @@
     if (const auto status = checkAddress("--daemon", daemon.value); !status.ok())
       throw std::invalid_argument(std::string(status.message()));
     if (is("spec") && is("get")) {
-      const Held held = readConfiguration(daemon);
+      const VersionedConfiguration held = readConfiguration(daemon);
       if (held.exit == kDone)
         std::cout << Json{{"version", held.version}, {"spec", held.configuration}}.dump(json ? -1
                                                                                              : 2)
@@ -351,7 +352,7 @@
       if (!text("--expect").empty()) {
         expect = std::stoull(text("--expect"));
       } else {
-        const Held held = readConfiguration(daemon);
+        const VersionedConfiguration held = readConfiguration(daemon);
         if (held.exit != kDone) return held.exit;
         expect = held.version;
       }
@@ -360,7 +361,7 @@
     }
     if (is("key")) return changeKey(daemon, text("TENANT"), text("SECRET"), is("add"), json);
     if (is("weights")) {
-      const Held held = readConfiguration(daemon);
+      const VersionedConfiguration held = readConfiguration(daemon);
       if (held.exit != kDone) return held.exit;
       const Json patch{{"models", {{text("MODEL"), {{"weights", text("VERSION")}}}}}};
       return sendConfiguration(daemon, http::verb::patch, held.version, patch.dump(), json);
