--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -4,7 +4,7 @@
 #include <leveldb/write_batch.h>
 
 #include "base/digest.h"
-#include "net/dragged_env.h"
+#include "net/slow_sync_env.h"
 
 namespace quayrill {
 
--- a/src/net/dragged_env.cpp
+++ b/src/net/slow_sync_env.cpp
@@ -1,4 +1,4 @@
-#include "net/dragged_env.h"
+#include "net/slow_sync_env.h"
 
 #include <chrono>
 #include <fstream>
