--- a/src/agent/view.cpp
+++ b/src/agent/view.cpp
@@ -3,28 +3,30 @@
 namespace quayrill {
 
 ProxyView nextView(
-    const ProxyView& before, const Snapshot& told, Instant askedAt,
+    const ProxyView& before, const Snapshot& snapshot, Instant requestedAt,
     const std::function<absl::StatusOr<Configuration>(const std::string&)>& readConfiguration) {
   ProxyView next = before;
-  const auto since = [&](std::int64_t agoMicros) {
-    return agoMicros < 0 ? Instant{} : askedAt - std::chrono::microseconds(agoMicros);
+  const auto since = [&](std::int64_t ageMicros) {
+    return ageMicros < 0 ? Instant{} : requestedAt - std::chrono::microseconds(ageMicros);
   };
-  if (told.configurationVersion != before.configurationVersion && !told.configurationBody.empty()) {
-    auto parsed = readConfiguration(told.configurationBody);
+  if (snapshot.configurationVersion != before.configurationVersion &&
+      !snapshot.configurationBody.empty()) {
+    auto parsed = readConfiguration(snapshot.configurationBody);
     if (parsed.ok()) {
       next.configuration = std::make_shared<const Configuration>(std::move(*parsed));
-      next.configurationVersion = told.configurationVersion;
+      next.configurationVersion = snapshot.configurationVersion;
     }
   }
-  if (next.configurationVersion == told.configurationVersion)
-    next.confirmedAt = since(told.confirmedAgoMicros);
-  next.listedAt = since(told.listedAgoMicros);
+  if (next.configurationVersion == snapshot.configurationVersion)
+    next.confirmedAt = since(snapshot.confirmedAgoMicros);
+  next.listedAt = since(snapshot.listedAgoMicros);
   next.servers.clear();
-  for (const SnapshotServer& row : told.servers) next.servers.push_back(fromSnapshot(row, askedAt));
-  next.eventSources = {told.eventSources.begin(), told.eventSources.end()};
+  for (const SnapshotServer& row : snapshot.servers)
+    next.servers.push_back(fromSnapshot(row, requestedAt));
+  next.eventSources = {snapshot.eventSources.begin(), snapshot.eventSources.end()};
   next.weights = {};
   if (next.configuration) next.weights.onConfiguration(next.configuration->weights, std::nullopt);
-  next.weights.take(told.superseded, askedAt);
+  next.weights.take(snapshot.superseded, requestedAt);
   return next;
 }
 
--- a/src/agent/view.h
+++ b/src/agent/view.h
@@ -29,10 +29,10 @@
   }
 };
 
-// The view that follows `before` by a snapshot asked for at `askedAt`. A configuration that can't
-// be read leaves the one before in place, unconfirmed.
+// The view that follows `before` by a snapshot asked for at `requestedAt`. A configuration that
+// can't be read leaves the one before in place, unconfirmed.
 ProxyView nextView(
-    const ProxyView& before, const Snapshot& told, Instant askedAt,
+    const ProxyView& before, const Snapshot& snapshot, Instant requestedAt,
     const std::function<absl::StatusOr<Configuration>(const std::string&)>& readConfiguration);
 
 }  // namespace quayrill
