--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,9 +33,9 @@
 // Operators still call an agent that stands alone for a while. A register replica that another
 // machine is about to stand in for votes until then; where none can, it stays a member, for a
 // restart brings it back with its disk.
-void leaveRegister(const Agent& agent, const Settings& settings, Instant toldAt) {
+void waitForHandover(const Agent& agent, const Settings& settings, Instant receivedAt) {
   const auto until = [&](Span span) {
-    return std::max<Span>(Span{}, toldAt + span - BootClock::now());
+    return std::max<Span>(Span{}, receivedAt + span - BootClock::now());
   };
   if (settings.role == "agent")
     std::this_thread::sleep_for(until(std::min<std::chrono::milliseconds>(settings.grace, 3000ms)));
@@ -55,19 +55,19 @@
               SettingsSource source) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(program);
-  sigset_t awaited;
-  sigemptyset(&awaited);
-  sigaddset(&awaited, SIGTERM);
-  sigaddset(&awaited, SIGINT);
-  sigaddset(&awaited, SIGHUP);
-  pthread_sigmask(SIG_BLOCK, &awaited, nullptr);  // before any thread starts
+  sigset_t handledSignals;
+  sigemptyset(&handledSignals);
+  sigaddset(&handledSignals, SIGTERM);
+  sigaddset(&handledSignals, SIGINT);
+  sigaddset(&handledSignals, SIGHUP);
+  pthread_sigmask(SIG_BLOCK, &handledSignals, nullptr);  // before any thread starts
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a write over a file size limit is a error like a full disk
 
   std::unique_ptr<Agent> agent;
   std::unique_ptr<Proxy> proxy;
   std::unique_ptr<Relay> relay;
-  std::thread control;
+  std::thread controlThread;
   if (settings.role != "proxy") {
     agent = std::make_unique<Agent>(settings, dialect);
     if (settings.role == "both" && dialect.relayHeaderNames) {
@@ -78,18 +78,18 @@
         std::cerr << program << ": " << status.message() << "\n";
         return 1;
       }
-      agent->setSnapshotListener([&relay](Snapshot told, Instant askedAt) {
-        relay->takeSnapshot(std::move(told), askedAt);
+      agent->setSnapshotListener([&relay](Snapshot snapshot, Instant requestedAt) {
+        relay->takeSnapshot(std::move(snapshot), requestedAt);
       });
-      agent->setPlaneDigestListener([&relay](PlaneDigest digest, Instant toldAt) {
-        relay->takeDigest(std::move(digest), toldAt);
+      agent->setPlaneDigestListener([&relay](PlaneDigest digest, Instant receivedAt) {
+        relay->takeDigest(std::move(digest), receivedAt);
       });
     }
     if (auto status = agent->start(); !status.ok()) {
       std::cerr << program << ": " << status.message() << "\n";
       return 1;
     }
-    control = std::thread([&] { agent->run(); });
+    controlThread = std::thread([&] { agent->run(); });
   }
   if (settings.role != "agent" && !relay) {
     proxy = std::make_unique<Proxy>(settings, dialect);
@@ -105,8 +105,8 @@
     if (agent) agent->applySettings(changed);
   });
   int signal = 0;
-  while (sigwait(&awaited, &signal) == 0 && signal == SIGHUP) watch.requestReload();
-  const Instant toldAt = BootClock::now();
+  while (sigwait(&handledSignals, &signal) == 0 && signal == SIGHUP) watch.requestReload();
+  const Instant receivedAt = BootClock::now();
   settings = watch.stop();
   LOG(INFO) << "leaving: not ready, finishing what was accepted";
   if (agent) agent->beginLeaving();
@@ -114,11 +114,11 @@
   if (relay) leave(*relay);
   if (agent) {
     // A proxy beside this agent finishes on its word that the configuration still stands.
-    leaveRegister(*agent, settings, toldAt);
+    waitForHandover(*agent, settings, receivedAt);
     // Each operator's call has a due of its own, so this ends by itself.
     while (agent->openOperatorCalls() > 0) std::this_thread::sleep_for(20ms);
     agent->stop();
-    control.join();
+    controlThread.join();
   }
   LOG(INFO) << "ended";
   google::FlushLogFiles(google::INFO);
