--- a/src/proxy/parse_request.cpp
+++ b/src/proxy/parse_request.cpp
@@ -19,31 +19,31 @@
 }
 }  // namespace
 
-std::optional<Error> Proxy::parseRequest(const HttpRequest& request, const ProxyView& seen,
+std::optional<Error> Proxy::parseRequest(const HttpRequest& request, const ProxyView& currentView,
                                          Job* job) {
   const std::string path = pathOf(request);
   const std::string authorization = headerOf(request, "Authorization");
   if (authorization.rfind("Bearer ", 0) != 0) return Error{ErrorKind::UnknownKey, "no bearer key"};
   job->digest = keyDigest(authorization.substr(7));
-  const auto owner = seen.configuration->tenantOfDigest.find(job->digest);
-  if (owner == seen.configuration->tenantOfDigest.end())
+  const auto owner = currentView.configuration->tenantOfDigest.find(job->digest);
+  if (owner == currentView.configuration->tenantOfDigest.end())
     return Error{ErrorKind::UnknownKey, "the key is of no tenant"};
   job->tenant = owner->second;
   const auto way =
-      seen.configuration->ways.find(path.substr(std::min<std::size_t>(4, path.size())));
-  if (path.rfind("/v1/", 0) != 0 || way == seen.configuration->ways.end())
+      currentView.configuration->ways.find(path.substr(std::min<std::size_t>(4, path.size())));
+  if (path.rfind("/v1/", 0) != 0 || way == currentView.configuration->ways.end())
     return Error{ErrorKind::UnknownWay, "no way '" + path + "'"};
   if (request.method() != http::verb::post)
     return Error{ErrorKind::MalformedRequest, "ways take POST"};
   job->policyName = way->second;
-  job->policy = seen.configuration->policies.at(way->second);
+  job->policy = currentView.configuration->policies.at(way->second);
   if (request.body().size() > job->policy.bodyLimit)
     return Error{ErrorKind::Oversize, "the body is over the policy's limit"};
   const std::string salt = headerOf(request, wire::kSalt);
   if (salt.size() > 64 || !std::all_of(salt.begin(), salt.end(), isSaltLetter))
     return Error{ErrorKind::MalformedRequest,
                  "Quayrill-Cache-Salt: at most 64 of A-Z a-z 0-9 . _ - :"};
-  if (!saltFor(*seen.configuration, job->tenant, salt, &job->salt))
+  if (!saltFor(*currentView.configuration, job->tenant, salt, &job->salt))
     return Error{ErrorKind::SaltMisuse, "the salt belongs to isolated tenants"};
   auto prefix = parsePrefix(headerOf(request, wire::kPrefix));
   if (!prefix.ok())
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -65,19 +65,20 @@
   return view_;
 }
 
-bool Proxy::isFresh(const ProxyView& seen, Instant now) const {
-  return seen.configuration && now - seen.confirmedAt < settings_.freshLimit &&
-         now - seen.listedAt < kListLimit;
+bool Proxy::isFresh(const ProxyView& currentView, Instant now) const {
+  return currentView.configuration && now - currentView.confirmedAt < settings_.freshLimit &&
+         now - currentView.listedAt < kListLimit;
 }
 
 // Asked right before a request's first byte leaves: what let it in must still stand.
 bool Proxy::mayRun(const Job& job, const ServerState& server) const {
-  const auto seen = view();
-  if (!isFresh(*seen, BootClock::now())) return false;
-  if (!seen->configuration->tenantOfDigest.contains(job.digest)) return false;
-  for (const ServerState& row : seen->servers) {
+  const auto currentView = view();
+  if (!isFresh(*currentView, BootClock::now())) return false;
+  if (!currentView->configuration->tenantOfDigest.contains(job.digest)) return false;
+  for (const ServerState& row : currentView->servers) {
     if (row.name == server.name)
-      return !row.leaving && seen->usableUntil(server, settings_.rolloutDue) > BootClock::now();
+      return !row.leaving &&
+             currentView->usableUntil(server, settings_.rolloutDue) > BootClock::now();
   }
   return false;
 }
@@ -89,12 +90,13 @@
     call.to = settings_.operators;
     call.target = "/q/feed?spec=" + std::to_string(before->configurationVersion);
     call.timeout = 800ms;
-    const Instant askedAt = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
-    Snapshot told;
-    if (response.ok() && response->result_int() == 200 && decodeValue(response->body(), &told)) {
-      auto next =
-          std::make_shared<ProxyView>(nextView(*before, told, askedAt, dialect_.readConfiguration));
+    Snapshot snapshot;
+    if (response.ok() && response->result_int() == 200 &&
+        decodeValue(response->body(), &snapshot)) {
+      auto next = std::make_shared<ProxyView>(
+          nextView(*before, snapshot, requestedAt, dialect_.readConfiguration));
       if (next->configurationVersion != before->configurationVersion)
         ++counters_.configurationChanges;
       {
@@ -111,8 +113,8 @@
 // Cache events come late and with gaps; each pull is one try, bounded, and none waits for another.
 awaitable<void> Proxy::cacheEventLoop() {
   for (;;) {
-    const auto seen = view();
-    for (const ServerState& server : seen->servers) {
+    const auto currentView = view();
+    for (const ServerState& server : currentView->servers) {
       if (server.healthy)
         asio::co_spawn(co_await asio::this_coro::executor, pollCacheEvents(server.name),
                        asio::detached);
@@ -130,9 +132,9 @@
   const Address address{server.value};
   const auto events = co_await readCacheEvents(address, *position, 700ms);
   if (!events.ok()) co_return;
-  placement_.tryPost([this, server, told = *events](Placement& placement) {
+  placement_.tryPost([this, server, snapshot = *events](Placement& placement) {
     const std::uint64_t gapsBefore = placement.gaps();
-    placement.takeEvents(server, told.identity, told.first, told.events, told.next);
+    placement.takeEvents(server, snapshot.identity, snapshot.first, snapshot.events, snapshot.next);
     counters_.eventGaps += placement.gaps() - gapsBefore;
   });
 }
@@ -168,9 +170,9 @@
 
 Span Proxy::longestRequestTimeout() const {
   Span longest{};
-  const auto seen = view();
-  if (!seen->configuration) return longest;
-  for (const auto& [name, policy] : seen->configuration->policies)
+  const auto currentView = view();
+  if (!currentView->configuration) return longest;
+  for (const auto& [name, policy] : currentView->configuration->policies)
     longest = std::max<Span>(longest, policy.due);
   return longest;
 }
@@ -194,10 +196,10 @@
   const std::string path = pathOf(request);
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
-    const auto seen = view();
-    const bool ready = !leaving_ && isFresh(*seen, BootClock::now());
+    const auto currentView = view();
+    const bool ready = !leaving_ && isFresh(*currentView, BootClock::now());
     HttpResponse response = textResponse(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
-    response.set("Quayrill-Spec-Version", std::to_string(seen->configurationVersion));
+    response.set("Quayrill-Spec-Version", std::to_string(currentView->configurationVersion));
     co_return response;
   }
   if (path == "/metrics") co_return textResponse(200, renderCounters(counters_));
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -41,19 +41,19 @@
   Job job;
   job.begun = BootClock::now();
   job.id = RequestId{idPrefix_ + std::to_string(++idCounter_)};
-  const auto seen = view();
-  if (!isFresh(*seen, job.begun)) {
+  const auto currentView = view();
+  if (!isFresh(*currentView, job.begun)) {
     ++counters_.unconfirmed;
     co_return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
                      job.id);
   }
-  if (const auto error = parseRequest(request, *seen, &job)) {
+  if (const auto error = parseRequest(request, *currentView, &job)) {
     ++counters_.badInput;
     HttpResponse response = errorResponse(*error);
     response.set("Quayrill-Request-Id", job.id.value);
     co_return response;
   }
-  const Tenant& tenant = seen->configuration->tenants.at(job.tenant);
+  const Tenant& tenant = currentView->configuration->tenants.at(job.tenant);
   const std::function<Entered(Admission&)> enter =
       [name = job.tenant, policy = job.policyName, tenantLimit = tenant.concurrency,
        policyLimit = job.policy.concurrency, model = job.policy.model](Admission& admission) {
@@ -93,10 +93,10 @@
     }
     PlacementAsked asked{job.policy.model, job.tenant, job.salt,
                          job.prefix,       tried,      job.entered.overShare};
-    const auto seen = view();
+    const auto currentView = view();
     // What is sent now may wait at the server before it begins.
-    asked.mayUse = [seen, bound = Span(settings_.rolloutDue)](const ServerState& server) {
-      return seen->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
+    asked.mayUse = [currentView, bound = Span(settings_.rolloutDue)](const ServerState& server) {
+      return currentView->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
     };
     const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
       return placement.place(asked, BootClock::now());
@@ -208,10 +208,10 @@
     from = "store";
   }
   // A model whose weights are on the move is no time for fetching: a source may switch any moment.
-  const auto seen = view();
-  const auto named = seen->configuration->weights.find(job.policy.model);
+  const auto currentView = view();
+  const auto named = currentView->configuration->weights.find(job.policy.model);
   const bool steady =
-      named != seen->configuration->weights.end() && named->second == server.weights;
+      named != currentView->configuration->weights.end() && named->second == server.weights;
   if (!settings_.fetch || !steady || source.value.empty() ||
       job.deadline - BootClock::now() < 2 * kFetchTimeout)
     co_return FetchResult{};
