--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-HttpResponse turnedAway(const std::string& why) {
+HttpResponse rejected(const std::string& why) {
   HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
   response.set(http::field::retry_after, "1");
   return response;
@@ -48,10 +48,10 @@
         {ErrorKind::MalformedRequest, "?expect=VERSION is missing: name the version you read"});
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
-    co_return turnedAway("too few register replicas to survive the loss of one");
+    co_return rejected("too few register replicas to survive the loss of one");
   const ChangeDone current = co_await linearizableRead(2s);
   if (current.result != ChangeResult::Chosen)
-    co_return turnedAway("no majority of register replicas answered");
+    co_return rejected("no majority of register replicas answered");
   if (current.value.version != expected) {
     HttpResponse response =
         errorResponse({ErrorKind::VersionConflict,
@@ -90,7 +90,7 @@
       co_return response;
     }
     case ChangeResult::NotTried:
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejected("no majority of register replicas answered");
     case ChangeResult::Unknown:
       break;
   }
@@ -120,8 +120,7 @@
   AgentEffects effects;
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.turnedAway.empty())
-    co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
+  if (!made.rejected.empty()) co_return errorResponse({ErrorKind::RegisterLives, made.rejected});
   // A round of the new register shows that what founds it is synced.
   const ChangeDone done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
@@ -157,8 +156,8 @@
 
 Json Agent::serversJson(Instant now) const {
   Json rows = Json::array();
-  const Snapshot told = snapshot(configurationVersion_, now);
-  for (const SnapshotServer& row : told.servers) {
+  const Snapshot current = snapshot(configurationVersion_, now);
+  for (const SnapshotServer& row : current.servers) {
     const auto fence = core_->held(rolloutLeaseKey(row.model), Span{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
@@ -174,7 +173,7 @@
                     {"identity", row.identity.value},
                     {"hold_fence", fence ? Json(fence->value) : Json()}});
   }
-  return {{"servers", rows}, {"listed_ago_us", told.listedAgoMicros}};
+  return {{"servers", rows}, {"listed_ago_us", current.listedAgoMicros}};
 }
 
 Json Agent::configurationJson() const {
@@ -188,7 +187,7 @@
   const Instant now = BootClock::now();
   const auto verb = request.method();
   ++openOperatorCalls_;
-  AtEnd answered([this] { --openOperatorCalls_; });
+  AtEnd callGuard([this] { --openOperatorCalls_; });
   if (dialect_.operatorCall) {
     auto answer = co_await dialect_.operatorCall(*this, request);
     if (answer) co_return std::move(*answer);
@@ -210,8 +209,8 @@
   if (path == "/q/servers") co_return jsonResponse(200, serversJson(now));
   if (path == "/q/feed") {
     const std::string known = queryValue(request, "spec");
-    const Snapshot told = snapshot(static_cast<std::uint64_t>(std::atoll(known.c_str())), now);
-    co_return textResponse(200, encodeValue(told));
+    const Snapshot current = snapshot(static_cast<std::uint64_t>(std::atoll(known.c_str())), now);
+    co_return textResponse(200, encodeValue(current));
   }
   if (path == "/q/decisions") {
     const std::string from = queryValue(request, "from");
@@ -224,7 +223,7 @@
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
     const ChangeDone done = co_await linearizableRead(2s);
     if (done.result != ChangeResult::Chosen)
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejected("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
   co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
