--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -232,9 +232,9 @@
   for (const std::string& address : asked) {
     const CallResult answer = call(Address{address}, http::verb::get, "/q/spec");
     if (answer.exit != kDone) continue;
-    const Json told = Json::parse(answer.response.body());
-    if (told["version"] > 0 && (newest.is_null() || told["version"] > newest["version"]))
-      newest = told;
+    const Json reply = Json::parse(answer.response.body());
+    if (reply["version"] > 0 && (newest.is_null() || reply["version"] > newest["version"]))
+      newest = reply;
   }
   return newest;
 }
@@ -265,12 +265,12 @@
   const CallResult made =
       call(daemon, http::verb::post, "/q/refound?confirm=" + fleet, configuration.dump());
   if (made.exit != kDone) return made.exit;
-  const Json told = Json::parse(made.response.body());
+  const Json reply = Json::parse(made.response.body());
   if (json)
     std::cout << made.response.body();
   else
-    std::cout << "fleet " << told["fleet"] << " founded, configuration version " << told["version"]
-              << "\n";
+    std::cout << "fleet " << reply["fleet"] << " founded, configuration version "
+              << reply["version"] << "\n";
   return kDone;
 }
 
