--- a/src/agent/weights_orders.cpp
+++ b/src/agent/weights_orders.cpp
@@ -9,14 +9,16 @@
 constexpr Span kOrderTimeout = 1500ms;  // from the decision on
 // Ours: all daemons are told that a server is to switch before it is ordered. Prompts that wait
 // there begin meanwhile; those that had not begun by the order would be turned away.
-constexpr Span kNoticeSpan = 400ms;
-constexpr Span kOrderMargin = 300ms;  // by which a lease outlasts an order
+constexpr Span kNoticeInterval = 400ms;
+constexpr Span kLeaseMargin = 300ms;  // by which a lease outlasts an order
 constexpr Span kReportTimeout = 700ms;
 
-std::string roleOf(const ModelName& model) { return "orders/" + model.value; }
+std::string rolloutRole(const ModelName& model) { return "orders/" + model.value; }
 }  // namespace
 
-RegisterKey rolloutLeaseKey(const ModelName& model) { return RegisterKey{"hold/" + roleOf(model)}; }
+RegisterKey rolloutLeaseKey(const ModelName& model) {
+  return RegisterKey{"hold/" + rolloutRole(model)};
+}
 
 // No other life of a daemon has the same.
 std::string Agent::fenceOwner() const {
@@ -35,7 +37,7 @@
   }
   const auto confirmed = core_->freshness().confirmedAt();
   if (confirmed && now - *confirmed < settings_.freshLimit)
-    view.fence = core_->held(rolloutLeaseKey(model), kOrderTimeout + kOrderMargin, now);
+    view.fence = core_->held(rolloutLeaseKey(model), kOrderTimeout + kLeaseMargin, now);
   return view;
 }
 
@@ -56,37 +58,39 @@
       // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
     } else if (rollout.wantsLease(view)) {
-      Instant& since = outdatedSince_.try_emplace(model, now).first->second;
+      Instant& outdatedSince = outdatedSince_.try_emplace(model, now).first->second;
       // As long as somebody tells of its orders, nothing is overdue.
-      const Instant sign = std::max(since, core_->notes().lastSign(model).value_or(since));
-      if (held || core_->mayStepIn(roleOf(model), now - sign, now))
+      const Instant lastActivity =
+          std::max(outdatedSince, core_->notes().lastSign(model).value_or(outdatedSince));
+      if (held || core_->mayStepIn(rolloutRole(model), now - lastActivity, now))
         core_->pursueLease(key, now, &effects);
     } else {
       outdatedSince_.erase(model);
       if (held && rollout.isIdle()) core_->releaseLease(key, now, &effects);
     }
     apply(std::move(effects));
-    RolloutEffects made;
-    rollout.onTick(view, now, &made);
-    applyRollout(model, made, now);
+    RolloutEffects rolloutEffects;
+    rollout.onTick(view, now, &rolloutEffects);
+    applyRollout(model, rolloutEffects, now);
   }
 }
 
-void Agent::applyRollout(const ModelName& model, const RolloutEffects& made, Instant now) {
+void Agent::applyRollout(const ModelName& model, const RolloutEffects& rolloutEffects,
+                         Instant now) {
   AgentEffects effects;
-  for (const ServerNote& note : made.notes) core_->tellNote(note, now, &effects);
+  for (const ServerNote& note : rolloutEffects.notes) core_->tellNote(note, now, &effects);
   apply(std::move(effects));
-  for (const WeightsOrder& order : made.orders)
+  for (const WeightsOrder& order : rolloutEffects.orders)
     asio::co_spawn(io_, sendWeightsOrder(model, order, now), asio::detached);
-  for (const ReportAsk& asked : made.questions)
-    asio::co_spawn(io_, requestWeightsReport(model, asked), asio::detached);
+  for (const ReportAsk& request : rolloutEffects.questions)
+    asio::co_spawn(io_, requestWeightsReport(model, request), asio::detached);
 }
 
 awaitable<void> Agent::sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt) {
   // GCC 12 destroys an aggregate temporary of a co_await twice: what is handed over has a name.
   const Address address{order.server.value};
   const std::string owner = fenceOwner();
-  co_await pauseFor(kNoticeSpan);
+  co_await pauseFor(kNoticeInterval);
   // What stood still since it was decided has that much less time, or is not sent at all.
   const Span timeout = kOrderTimeout - (BootClock::now() - decidedAt);
   OrderAnswer answer = OrderAnswer::Unclear;
@@ -105,23 +109,23 @@
   const auto rollout = rollouts_.find(model);
   if (rollout == rollouts_.end()) co_return;
   const Instant now = BootClock::now();
-  RolloutEffects made;
-  rollout->second.onOrderAnswer(order, answer, now, &made);
-  applyRollout(model, made, now);
+  RolloutEffects rolloutEffects;
+  rollout->second.onOrderAnswer(order, answer, now, &rolloutEffects);
+  applyRollout(model, rolloutEffects, now);
 }
 
-awaitable<void> Agent::requestWeightsReport(ModelName model, ReportAsk asked) {
-  const Instant askedAt = BootClock::now();
-  const Address address{asked.server.value};
+awaitable<void> Agent::requestWeightsReport(ModelName model, ReportAsk request) {
+  const Instant requestedAt = BootClock::now();
+  const Address address{request.server.value};
   const auto report = co_await dialect_.readWeights(address, settings_.peer, model, kReportTimeout);
   const auto rollout = rollouts_.find(model);
   if (rollout == rollouts_.end()) co_return;
   const Instant now = BootClock::now();
-  RolloutEffects made;
-  rollout->second.onReport(asked,
+  RolloutEffects rolloutEffects;
+  rollout->second.onReport(request,
                            report.ok() ? std::optional<WeightsReport>(*report) : std::nullopt,
-                           askedAt, now, &made);
-  applyRollout(model, made, now);
+                           requestedAt, now, &rolloutEffects);
+  applyRollout(model, rolloutEffects, now);
 }
 
 }  // namespace quayrill
