--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTick = 50ms;
-constexpr Span kFeedEvery = 100ms;
-constexpr Span kShareEvery = 400ms;
-constexpr Span kPollEvery = 400ms;
-constexpr Span kListDue = 800ms;
-constexpr Span kHealthySpan = 1500ms;
-constexpr char kDiskClosed[] =
+constexpr Span kTickInterval = 50ms;
+constexpr Span kSnapshotInterval = 100ms;
+constexpr Span kEventSourceInterval = 400ms;
+constexpr Span kServerPollInterval = 400ms;
+constexpr Span kListTimeout = 800ms;
+constexpr Span kServerStateMaxAge = 1500ms;
+constexpr char kDataFolderNotWritable[] =
     "the data folder can't be written now: no register replica votes here; make room, it is tried "
     "again each second";
 AgentSettings coreSettings(const Settings& settings) {
@@ -45,7 +45,7 @@
     auto opened = disk_->open();
     if (!opened.ok()) return opened.status();
     kept = std::move(*opened);
-    if (!kept) LOG(ERROR) << kDiskClosed;
+    if (!kept) LOG(ERROR) << kDataFolderNotWritable;
   }
   core_.emplace(coreSettings(settings_), kept);
   link_ = std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerVia, [this](Envelope e) {
@@ -152,7 +152,7 @@
   if (!snapshotListener_ ||
       (now < nextSnapshotAt_ && publishedConfigurationVersion_ == configurationVersion_))
     return;
-  nextSnapshotAt_ = now + kFeedEvery;
+  nextSnapshotAt_ = now + kSnapshotInterval;
   snapshotListener_(snapshot(publishedConfigurationVersion_, now), now);
   publishedConfigurationVersion_ = configurationVersion_;
 }
@@ -172,7 +172,7 @@
 // Which servers' events, and whether the store's, this daemon reads for the fleet.
 void Agent::updateEventSources(Instant now) {
   if (now < nextEventSourcesAt_) return;
-  nextEventSourcesAt_ = now + kShareEvery;
+  nextEventSourcesAt_ = now + kEventSourceInterval;
   std::vector<EventSource> sources;
   for (const auto& [name, row] : servers_) {
     if (row.state && !row.state->model.value.empty()) sources.push_back({name, row.listed.zone});
@@ -199,20 +199,21 @@
     updateEventSources(now);
     publishSnapshot(now);
     publishPlaneDigests(now);
-    timer.expires_after(kTick);
+    timer.expires_after(kTickInterval);
     ErrorCode code;
     co_await timer.async_wait(into(code));
   }
 }
 
 awaitable<void> Agent::readList() {
-  const Instant askedAt = BootClock::now();
+  const Instant requestedAt = BootClock::now();
   std::size_t calls = 0;
-  auto listed = co_await dialect_.readList(settings_.platform, settings_.peer, kListDue, &calls);
+  auto listed =
+      co_await dialect_.readList(settings_.platform, settings_.peer, kListTimeout, &calls);
   AgentEffects effects;
   counters_.listCalls += calls;
   if (listed.ok()) {
-    core_->takeList(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
+    core_->takeList(std::move(*listed), requestedAt, calls, BootClock::now(), &effects);
   } else {
     const bool overRate = absl::IsResourceExhausted(listed.status());
     core_->onListFailed(calls, overRate, BootClock::now());
@@ -228,12 +229,12 @@
   std::set<ServerName> names;
   for (const ListRow& server : core_->list().rows()) {
     names.insert(server.name);
-    const auto [row, fresh] = servers_.try_emplace(server.name);
-    if (!fresh && !row->second.listed.leaving && server.leaving)
+    const auto [row, isNew] = servers_.try_emplace(server.name);
+    if (!isNew && !row->second.listed.leaving && server.leaving)
       LOG(INFO) << "server " << server.name.value << " is leaving";
     row->second.listed = server;
     if (server.told) applyListedState(row->second, *appliedListReadAt_);
-    if (!fresh) continue;
+    if (!isNew) continue;
     row->second.generation = ++lastPollGeneration_;
     LOG(INFO) << "server " << server.name.value << " listed";
     if (!dialect_.readServer) continue;
@@ -268,7 +269,7 @@
       row->second.state = *state;
       row->second.healthyAt = state->polledAt;
     }
-    co_await pauseFor(kPollEvery);
+    co_await pauseFor(kServerPollInterval);
   }
 }
 
@@ -279,7 +280,7 @@
   state.zone = row.listed.zone;
   state.leaving = row.listed.leaving;
   // How old a told row may be is for the reader of listedAgoMicros to say.
-  state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kHealthySpan);
+  state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kServerStateMaxAge);
   const ServerKnown known = core_->notes().over(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
   state.switching = known.switching;
