--- a/src/agent/configuration_update.cpp
+++ b/src/agent/configuration_update.cpp
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kUpdateDue = 3500ms;
-constexpr Span kHeardWithin = 2s;  // ours: several rounds of confirming
+constexpr Span kUpdateTimeout = 3500ms;
+constexpr Span kRegisterContactMaxAge = 2s;  // ours: several rounds of confirming
 }  // namespace
 
 bool Agent::isRegisterReachable() const {
   const auto confirmed = core_->freshness().confirmedAt();
-  return confirmed && BootClock::now() - *confirmed < kHeardWithin;
+  return confirmed && BootClock::now() - *confirmed < kRegisterContactMaxAge;
 }
 
 bool Agent::hasReplicasToSpare() const {
@@ -29,7 +29,7 @@
   if (!hasReplicasToSpare())
     co_return UpdateDone{UpdateResult::NotTaken,
                          "too few register replicas to survive the loss of one"};
-  UpdateOperation updateOperation(std::move(change), kBodyLimit, BootClock::now() + kUpdateDue);
+  UpdateOperation updateOperation(std::move(change), kBodyLimit, BootClock::now() + kUpdateTimeout);
   for (;;) {
     const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
     if (!asked) break;
