--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 constexpr std::size_t kCommandQueueLimit = 1024;
-constexpr Span kFeedEvery = 100ms;
+constexpr Span kSnapshotInterval = 100ms;
 // A server that is leaving gets nothing after 3 s: the list's reading and its way here must fit.
-constexpr Span kListLimit = 2500ms;
+constexpr Span kListMaxAge = 2500ms;
 
 PlacementSettings placementSettings(const Settings& settings) {
   PlacementRule rule = PlacementRule::LongestPrefix;
   if (settings.placement == "least-burden") rule = PlacementRule::LeastLoad;
   if (settings.placement == "round-robin") rule = PlacementRule::RoundRobin;
-  PlacementSettings made{settings.blockTokens, rule};
-  made.mechanisms = settings.mechanisms;
-  return made;
+  PlacementSettings placement_settings{settings.blockTokens, rule};
+  placement_settings.mechanisms = settings.mechanisms;
+  return placement_settings;
 }
 }  // namespace
 
@@ -67,7 +67,7 @@
 
 bool Proxy::isFresh(const ProxyView& currentView, Instant now) const {
   return currentView.configuration && now - currentView.confirmedAt < settings_.freshLimit &&
-         now - currentView.listedAt < kListLimit;
+         now - currentView.listedAt < kListMaxAge;
 }
 
 // Asked right before a request's first byte leaves: what let it in must still stand.
@@ -106,7 +106,7 @@
       placement_.tryPost(
           [servers = next->servers](Placement& placement) { placement.setServers(servers); });
     }
-    co_await pauseFor(kFeedEvery);
+    co_await pauseFor(kSnapshotInterval);
   }
 }
 
