--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -18,9 +18,9 @@
   PlacementRule rule = PlacementRule::LongestPrefix;
   if (settings.placement == "least-burden") rule = PlacementRule::LeastLoad;
   if (settings.placement == "round-robin") rule = PlacementRule::RoundRobin;
-  PlacementSettings placement_settings{settings.blockTokens, rule};
-  placement_settings.mechanisms = settings.mechanisms;
-  return placement_settings;
+  PlacementSettings result{settings.blockTokens, rule};
+  result.mechanisms = settings.mechanisms;
+  return result;
 }
 }  // namespace
 
