--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -52,7 +52,7 @@
 
 TEST_CASE("callers: one that leaves before the first piece gives its places back") {
   Stage stage(1);
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   {
     RawCaller one(stage.callers), other(stage.callers);
     one.send(requestText("{}"));
@@ -60,7 +60,7 @@
     eventually([&] { return stage.arrivals() == 2; });
   }
   CHECK(stage.post("slow").result_int() == 429);  // both of the tenant's places are taken
-  stage.all(Act::Answer);
+  stage.setAllBehaviors(ServerBehavior::Answer);
   eventually([&] { return stage.post("slow").result_int() == 200; });
 }
 
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -22,31 +22,31 @@
 }
 
 // What a scripted model server does with a request that it is sent.
-enum class Act { Answer, NotRun, Vanish, Hang };
+enum class ServerBehavior { Answer, NotRun, Vanish, Hang };
 
-struct ScriptedServer {
+struct FakeModelServer {
   Address address;
-  std::atomic<Act> act{Act::Answer};
+  std::atomic<ServerBehavior> behavior{ServerBehavior::Answer};
   std::atomic<int> arrivals{0};
   std::unique_ptr<HttpServer> server;
 
-  ScriptedServer(asio::io_context& io, Address at) : address(std::move(at)) {
+  FakeModelServer(asio::io_context& io, Address at) : address(std::move(at)) {
     HttpServerSettings settings;
     settings.listen = address;
     server = std::make_unique<HttpServer>(
-        io, settings, [this](Connection&, HttpRequest& request) { return play(request); });
+        io, settings, [this](Connection&, HttpRequest& request) { return respond(request); });
     REQUIRE(server->start().ok());
   }
-  awaitable<std::optional<HttpResponse>> play(HttpRequest& request) {
+  awaitable<std::optional<HttpResponse>> respond(HttpRequest& request) {
     if (pathOf(request) != wire::kGenerate) co_return textResponse(404, "");
     ++arrivals;
-    const Act now = act.load();
-    if (now == Act::Vanish) co_return std::nullopt;
-    if (now == Act::Hang) {  // until it is told otherwise
-      while (act.load() == Act::Hang) co_await pauseFor(5ms);
+    const ServerBehavior now = behavior.load();
+    if (now == ServerBehavior::Vanish) co_return std::nullopt;
+    if (now == ServerBehavior::Hang) {  // until it is told otherwise
+      while (behavior.load() == ServerBehavior::Hang) co_await pauseFor(5ms);
       co_return std::nullopt;
     }
-    if (now == Act::NotRun) {
+    if (now == ServerBehavior::NotRun) {
       HttpResponse response = jsonResponse(503, Json::object());
       response.set(wire::kNotRun, "true");
       co_return response;
@@ -58,7 +58,7 @@
   }
 };
 
-inline std::string configurationBody(const std::string& key) {
+inline std::string makeConfiguration(const std::string& key) {
   const Json keys = key.empty() ? Json::array() : Json{keyDigest(key)};
   return Json{
       {"models", {{"till", {{"weights", "w1"}}}}},
@@ -80,9 +80,9 @@
 
 // Waits on a condition, however long a busy machine takes for it within reason.
 inline void eventually(const std::function<bool()>& holds) {
-  const Instant patience = BootClock::now() + 30s;
+  const Instant giveUpAt = BootClock::now() + 30s;
   while (!holds()) {
-    REQUIRE(BootClock::now() < patience);
+    REQUIRE(BootClock::now() < giveUpAt);
     std::this_thread::yield();
   }
 }
@@ -90,9 +90,9 @@
 struct Stage {
   asio::io_context io;
   std::mutex mutex;
-  Snapshot told;
+  Snapshot snapshot;
   std::unique_ptr<HttpServer> agent;
-  std::vector<std::unique_ptr<ScriptedServer>> servers;
+  std::vector<std::unique_ptr<FakeModelServer>> servers;
   std::unique_ptr<Proxy> proxy;
   std::thread thread;
   Address callers = localAddress(1, 7102);
@@ -100,11 +100,11 @@
   explicit Stage(int serverCount) {
     HttpServerSettings agentSettings;
     agentSettings.listen = localAddress(1, 7101);
-    told.configurationVersion = 1;
-    told.configurationBody = configurationBody("key");
-    told.confirmedAgoMicros = told.listedAgoMicros = 0;
+    snapshot.configurationVersion = 1;
+    snapshot.makeConfiguration = makeConfiguration("key");
+    snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < serverCount; ++i) {
-      servers.push_back(std::make_unique<ScriptedServer>(io, localAddress(10 + i, 7300)));
+      servers.push_back(std::make_unique<FakeModelServer>(io, localAddress(10 + i, 7300)));
       SnapshotServer row;
       row.name = ServerName{servers.back()->address.value};
       row.identity = ServerIdentity{"i"};
@@ -113,13 +113,13 @@
       row.healthy = true;
       row.slots = 4;
       row.cacheTokens = 1000;
-      told.servers.push_back(row);
+      snapshot.servers.push_back(row);
     }
     agent = std::make_unique<HttpServer>(
         io, agentSettings,
         [this](Connection&, HttpRequest&) -> awaitable<std::optional<HttpResponse>> {
           std::lock_guard lock(mutex);
-          co_return textResponse(200, encodeValue(told));
+          co_return textResponse(200, encodeValue(snapshot));
         });
     REQUIRE(agent->start().ok());
     thread = std::thread([this] { io.run(); });
@@ -137,44 +137,44 @@
     io.stop();
     thread.join();
   }
-  void tell(const std::function<void(Snapshot&)>& change) {
+  void updateSnapshot(const std::function<void(Snapshot&)>& change) {
     std::lock_guard lock(mutex);
-    change(told);
+    change(snapshot);
   }
-  HttpResponse call(HttpCall asked) {
+  HttpResponse call(HttpCall request) {
     asio::io_context own;
     absl::StatusOr<HttpResponse> response = absl::UnknownError("");
-    asked.to = callers;
-    asked.timeout = 5s;
+    request.to = callers;
+    request.timeout = 5s;
     asio::co_spawn(
-        own, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
+        own, [&]() -> awaitable<void> { response = co_await httpCall(request); }, asio::detached);
     own.run();
     // Callers have threads of their own, and Catch's macros may only be used on one.
     if (!response.ok()) throw std::runtime_error(response.status().ToString());
     return *response;
   }
   void waitReady(unsigned status) {
-    HttpCall asked;
-    asked.target = "/readyz";
-    eventually([&] { return call(asked).result_int() == status; });
+    HttpCall request;
+    request.target = "/readyz";
+    eventually([&] { return call(request).result_int() == status; });
   }
   HttpResponse post(const std::string& way, const std::string& body = "{}",
                     std::map<std::string, std::string> headers = {}) {
-    HttpCall asked;
-    asked.verb = http::verb::post;
-    asked.target = "/v1/" + way;
-    asked.body = body;
-    asked.headers = std::move(headers);
-    asked.headers.try_emplace("Authorization", "Bearer key");
-    return call(asked);
+    HttpCall request;
+    request.verb = http::verb::post;
+    request.target = "/v1/" + way;
+    request.body = body;
+    request.headers = std::move(headers);
+    request.headers.try_emplace("Authorization", "Bearer key");
+    return call(request);
   }
   int arrivals() const {
     int sum = 0;
     for (const auto& server : servers) sum += server->arrivals;
     return sum;
   }
-  void all(Act act) {
-    for (auto& server : servers) server->act = act;
+  void setAllBehaviors(ServerBehavior behavior) {
+    for (auto& server : servers) server->behavior = behavior;
   }
 };
 
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -22,12 +22,12 @@
 
 TEST_CASE("proxy: what may have run is never sent again unless it may be repeated") {
   Stage stage(3);
-  stage.all(Act::Vanish);
+  stage.setAllBehaviors(ServerBehavior::Vanish);
   const HttpResponse once = stage.post("once");
   CHECK(once.result_int() == 502);
   CHECK(isUnknown(once));
   CHECK(stage.arrivals() == 1);
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   const HttpResponse late = stage.post("once");
   CHECK(late.result_int() == 504);
   CHECK(isUnknown(late));
@@ -39,7 +39,7 @@
   // Pays for an extra try: one daemon's share is a tenth, of the last two seconds too.
   for (int i = 0; i < 20; ++i) stage.post("again");
   const int before = stage.arrivals();
-  stage.servers[0]->act = Act::Hang;
+  stage.servers[0]->behavior = ServerBehavior::Hang;
   // Whichever server is chosen first: of two prompts with names of their own one meets the silence.
   int second = 0;
   for (int i = 0; i < 12 && second == 0; ++i) {
@@ -50,18 +50,18 @@
     second = stage.arrivals() - before - (i + 1);
   }
   CHECK(second == 1);
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   const HttpResponse late = stage.post("again", "{}", {{"Quayrill-Due-Ms", "300"}});
   CHECK(isUnknown(late, true));
-  stage.all(Act::Answer);
+  stage.setAllBehaviors(ServerBehavior::Answer);
 }
 
 TEST_CASE("proxy: a server's own 'not run' may be tried elsewhere, within the budget") {
   Stage stage(3);
-  stage.servers[0]->act = Act::NotRun;
+  stage.servers[0]->behavior = ServerBehavior::NotRun;
   for (int i = 0; i < 20; ++i) CHECK(stage.post("again").result_int() / 100 != 4);
   const int before = stage.arrivals();
-  stage.all(Act::NotRun);
+  stage.setAllBehaviors(ServerBehavior::NotRun);
   int turnedAway = 0;
   for (int i = 0; i < 10; ++i) turnedAway += isTurnedAway(stage.post("once")) ? 1 : 0;
   CHECK(turnedAway == 10);
@@ -71,7 +71,7 @@
 
 TEST_CASE("proxy: with no free server the caller is turned away at once") {
   Stage stage(1);
-  stage.tell([](Snapshot& told) { told.servers[0].leaving = true; });
+  stage.updateSnapshot([](Snapshot& snapshot) { snapshot.servers[0].leaving = true; });
   eventually([&] { return isTurnedAway(stage.post("once")); });
   const int before = stage.arrivals();
   const HttpResponse response = stage.post("once");
@@ -82,12 +82,12 @@
 
 TEST_CASE("proxy: an unconfirmed configuration or server list closes it, whatever it last knew") {
   Stage stage(1);
-  stage.tell([](Snapshot& told) { told.confirmedAgoMicros = 2'100'000; });
+  stage.updateSnapshot([](Snapshot& snapshot) { snapshot.confirmedAgoMicros = 2'100'000; });
   stage.waitReady(503);
   CHECK(isTurnedAway(stage.post("once")));
-  stage.tell([](Snapshot& told) { told.confirmedAgoMicros = 0; });
+  stage.updateSnapshot([](Snapshot& snapshot) { snapshot.confirmedAgoMicros = 0; });
   stage.waitReady(200);
-  stage.tell([](Snapshot& told) { told.listedAgoMicros = 2'600'000; });
+  stage.updateSnapshot([](Snapshot& snapshot) { snapshot.listedAgoMicros = 2'600'000; });
   stage.waitReady(503);
   CHECK(isTurnedAway(stage.post("once")));
   CHECK(stage.arrivals() == 0);
@@ -96,9 +96,9 @@
 TEST_CASE("proxy: a withdrawn key is dead with the configuration that withdraws it") {
   Stage stage(1);
   REQUIRE(stage.post("once").result_int() == 200);
-  stage.tell([](Snapshot& told) {
-    told.configurationVersion = 2;
-    told.configurationBody = configurationBody("");
+  stage.updateSnapshot([](Snapshot& snapshot) {
+    snapshot.configurationVersion = 2;
+    snapshot.makeConfiguration = makeConfiguration("");
   });
   // In between, a request let in under the old configuration may be stopped at the point of use.
   eventually([&] { return stage.post("once").result_int() == 401; });
@@ -109,7 +109,7 @@
 
 TEST_CASE("proxy: a tenant at its limit is turned away and gets its places back") {
   Stage stage(1);
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   std::vector<std::thread> callers;
   std::atomic<int> unknown{0};
   for (int i = 0; i < 2; ++i)
@@ -121,7 +121,7 @@
     CHECK(isTurnedAway(response));
   }
   CHECK(stage.post("slow", "{}", {{"Authorization", "Bearer none"}}).result_int() == 401);
-  stage.all(Act::Answer);  // the two that hung are dropped without an answer
+  stage.setAllBehaviors(ServerBehavior::Answer);  // the two that hung are dropped without an answer
   for (std::thread& caller : callers) caller.join();
   CHECK(unknown == 2);
   eventually([&] { return stage.post("slow").result_int() == 200; });
@@ -130,27 +130,27 @@
 TEST_CASE("proxy: a request's decision is kept under its id, tries and all") {
   Stage stage(2);
   const HttpResponse done = stage.post("again", "{}", {{"Quayrill-Prompt-Prefix", "rules:64"}});
-  HttpCall asked;
-  asked.target = "/q/explain?id=" + std::string(done["Quayrill-Request-Id"]);
+  HttpCall request;
+  request.target = "/q/explain?id=" + std::string(done["Quayrill-Request-Id"]);
   // The row is written when the request has left, which may be just after its last piece.
-  eventually([&] { return stage.call(asked).result_int() == 200; });
-  const Json row = Json::parse(stage.call(asked).body());
+  eventually([&] { return stage.call(request).result_int() == 200; });
+  const Json row = Json::parse(stage.call(request).body());
   CHECK(row["outcome"] == "done");
   CHECK(row["tries"].size() == 1);
   CHECK(row["tries"][0]["candidates"].size() == 2);
   CHECK(row["tries"][0]["prompt_tokens"] == 64);
-  asked.target = "/q/explain?id=none";
-  CHECK(stage.call(asked).result_int() == 404);
+  request.target = "/q/explain?id=none";
+  CHECK(stage.call(request).result_int() == 404);
 }
 
 namespace {
 // Has the proxy take the first server for one with weights that were the newest `ago`.
 void supersede(Stage* stage, std::chrono::microseconds ago) {
-  stage->tell([&](Snapshot& told) {
-    ++told.configurationVersion;
-    told.servers[0].weights = WeightsVersion{"w0"};
-    told.superseded = {{ModelName{"till"}, WeightsVersion{"w0"}, ago.count()},
-                       {ModelName{"till"}, WeightsVersion{"between"}, 1}};
+  stage->updateSnapshot([&](Snapshot& snapshot) {
+    ++snapshot.configurationVersion;
+    snapshot.servers[0].weights = WeightsVersion{"w0"};
+    snapshot.superseded = {{ModelName{"till"}, WeightsVersion{"w0"}, ago.count()},
+                           {ModelName{"till"}, WeightsVersion{"between"}, 1}};
   });
 }
 const std::chrono::microseconds kWeightsBound = Settings{}.rolloutDue;
@@ -172,7 +172,7 @@
   Stage stage(1);
   supersede(&stage, kWeightsBound + 1s);
   eventually([&] { return stage.post("once").result_int() == 503; });
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   const int before = stage.arrivals();
   supersede(&stage, kWeightsBound - 3s);
   // Its own due is a minute, and the call waits for five seconds.
