--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -9,22 +9,22 @@
 namespace {
 std::string piece(int number) { return "{\"piece\":" + std::to_string(number) + "}\n"; }
 const std::string kPieces = piece(0) + piece(1);
-const std::string kMark = "{\"end\":true,\"pieces\":2}\n";
+const std::string kEndMark = "{\"end\":true,\"pieces\":2}\n";
 
 std::string headFor(const std::string& status, const std::string& more) {
   return "HTTP/1.1 " + status + "\r\nQuayrill-Request-Id: r1\r\nQuayrill-Weights: w1\r\n" + more +
          "\r\n";
 }
 
-struct Scripted {
+struct ScriptedAnswer {
   const char* name;
   std::string bytes;
   bool isSuccess, hasRun;
-  bool closes = false;
+  bool closesConnection = false;
 };
 
-std::vector<Scripted> answers() {
-  const std::string all = kPieces + kMark;
+std::vector<ScriptedAnswer> answers() {
+  const std::string all = kPieces + kEndMark;
   const std::string length = "Content-Length: " + std::to_string(all.size()) + "\r\n";
   return {
       {"chunked",
@@ -41,44 +41,44 @@
 
 // One thread: server, delivery and caller take turns, so what was sent has been read a few turns
 // later.
-awaitable<void> aFewTurns() {
+awaitable<void> yieldRepeatedly() {
   for (int i = 0; i < 8; ++i)
     co_await asio::post(co_await asio::this_coro::executor, use_awaitable);
 }
 
-awaitable<void> serve(Tcp::acceptor& acceptor, const Scripted& script, std::size_t cut,
-                      Break breaks) {
+awaitable<void> serve(Tcp::acceptor& acceptor, const ScriptedAnswer& script, std::size_t cut,
+                      Break fault) {
   ErrorCode code;
   Tcp::socket socket(acceptor.get_executor());
   co_await acceptor.async_accept(socket, into(code));
   std::string request;
   co_await asio::async_read_until(socket, asio::dynamic_buffer(request), "\r\n\r\n{}", into(code));
   co_await asio::async_write(socket, asio::buffer(script.bytes.data(), cut), into(code));
-  co_await aFewTurns();
-  const std::string rest = breaks == Break::Garbles ? kGarbage : script.bytes.substr(cut);
-  if (breaks == Break::Resets) {
+  co_await yieldRepeatedly();
+  const std::string rest = fault == Break::Garbles ? kGarbage : script.bytes.substr(cut);
+  if (fault == Break::Resets) {
     socket.set_option(asio::socket_base::linger(true, 0), code);
     co_return;
   }
-  if (breaks == Break::Closes) co_return;
+  if (fault == Break::Closes) co_return;
   co_await asio::async_write(socket, asio::buffer(rest), into(code));
-  if (breaks == Break::Garbles || script.closes) co_return;
+  if (fault == Break::Garbles || script.closesConnection) co_return;
   char byte = 0;
   co_await asio::async_read(socket, asio::buffer(&byte, 1), into(code));
 }
 
 struct Played {
   DeliveryResult result;
-  ReadAnswer seen;
+  ReadAnswer callerAnswer;
 };
 
-Played play(asio::io_context& io, Tcp::acceptor& server, const Scripted& script, std::size_t cut,
-            Break breaks) {
+Played play(asio::io_context& io, Tcp::acceptor& server, const ScriptedAnswer& script,
+            std::size_t cut, Break fault) {
   Played played;
   std::string bytes;
   CallerConnection caller(io);
   Delivery delivery = deliveryTo(server, "{}", 20s);
-  asio::co_spawn(io, serve(server, script, cut, breaks), asio::detached);
+  asio::co_spawn(io, serve(server, script, cut, fault), asio::detached);
   asio::async_read(caller.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
   asio::co_spawn(
       io,
@@ -90,35 +90,36 @@
       asio::detached);
   io.run();
   io.restart();
-  played.seen = readAnswer(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
+  played.callerAnswer = readAnswer(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
   return played;
 }
 
-void judge(const Scripted& script, std::size_t cut, Break breaks, const Played& played) {
-  const auto fails = [&](const std::string& why) {
-    FAIL_CHECK(script.name << ", " << breakName(breaks) << " at " << cut << ": " << why << " ("
+void checkOutcome(const ScriptedAnswer& script, std::size_t cut, Break fault,
+                  const Played& played) {
+  const auto fail = [&](const std::string& why) {
+    FAIL_CHECK(script.name << ", " << breakName(fault) << " at " << cut << ": " << why << " ("
                            << deliveryOutcomeName(played.result.end) << ", " << played.result.detail
-                           << ", body '" << played.seen.body << "')");
+                           << ", body '" << played.callerAnswer.body << "')");
   };
   const DeliveryOutcome end = played.result.end;
-  const ReadAnswer& seen = played.seen;
-  const std::string all = kPieces + kMark;
-  const bool isWholeScript = breaks == Break::Not || cut == script.bytes.size();
+  const ReadAnswer& callerAnswer = played.callerAnswer;
+  const std::string all = kPieces + kEndMark;
+  const bool isWholeScript = fault == Break::Not || cut == script.bytes.size();
   if (script.hasRun && (end == DeliveryOutcome::NotRun || end == DeliveryOutcome::NeverSent))
-    fails("'not run' was said of what ran");
-  if (!script.hasRun && breaks == Break::Not && end != DeliveryOutcome::NotRun)
-    fails("'not run' was lost");
-  if ((end == DeliveryOutcome::Done) != (seen.isWhole && seen.status == 200))
-    fails("its end and what the caller sees differ");
-  if (end == DeliveryOutcome::Done && (!script.isSuccess || seen.body != all))
-    fails("a cut looks complete");
+    fail("'not run' was said of what ran");
+  if (!script.hasRun && fault == Break::Not && end != DeliveryOutcome::NotRun)
+    fail("'not run' was lost");
+  if ((end == DeliveryOutcome::Done) != (callerAnswer.isWhole && callerAnswer.status == 200))
+    fail("its end and what the caller sees differ");
+  if (end == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
+    fail("a cut looks complete");
   // Garbage inside of a body is the server's own bytes; in front of it stands what was sent.
-  const std::string own = seen.body.substr(0, seen.body.find(kGarbage[0]));
-  if (all.rfind(own, 0) != 0) fails("the caller got other bytes");
-  if (!seen.body.empty() && seen.body.back() != '\n') fails("part of a piece");
-  if (script.isSuccess && isWholeScript && breaks != Break::Garbles && end != DeliveryOutcome::Done)
-    fails("a whole answer did not come through");
-  if (seen.surplus > 0) fails("bytes behind the answer");
+  const std::string own = callerAnswer.body.substr(0, callerAnswer.body.find(kGarbage[0]));
+  if (all.rfind(own, 0) != 0) fail("the caller got other bytes");
+  if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n') fail("part of a piece");
+  if (script.isSuccess && isWholeScript && fault != Break::Garbles && end != DeliveryOutcome::Done)
+    fail("a whole answer did not come through");
+  if (callerAnswer.surplus > 0) fail("bytes behind the answer");
 }
 }  // namespace
 
@@ -126,10 +127,10 @@
   asio::io_context io;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   int played = 0;
-  for (const Break breaks : {Break::Not, Break::Closes, Break::Resets, Break::Garbles}) {
-    for (const Scripted& script : answers()) {
+  for (const Break fault : {Break::Not, Break::Closes, Break::Resets, Break::Garbles}) {
+    for (const ScriptedAnswer& script : answers()) {
       for (std::size_t cut = 0; cut <= script.bytes.size(); ++cut, ++played)
-        judge(script, cut, breaks, play(io, server, script, cut, breaks));
+        checkOutcome(script, cut, fault, play(io, server, script, cut, fault));
     }
   }
   CHECK(played > 2000);
@@ -138,12 +139,12 @@
 TEST_CASE("deliver boundary: answers that are not the request's, and such before it") {
   asio::io_context io;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
-  const Scripted whole = answers()[0];
-  Scripted early = whole;
+  const ScriptedAnswer whole = answers()[0];
+  ScriptedAnswer early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
   CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.end ==
         DeliveryOutcome::Done);
-  Scripted other = whole;
+  ScriptedAnswer other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
@@ -168,7 +169,7 @@
                                         use_awaitable);
         const std::string answer = answers()[0].bytes;
         co_await asio::async_write(socket, asio::buffer(answer), use_awaitable);
-        while (!hasEnded) co_await aFewTurns();
+        while (!hasEnded) co_await yieldRepeatedly();
         ErrorCode code;
         std::string rest;
         late = co_await asio::async_read(socket, asio::dynamic_buffer(rest), into(code));
