--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -10,8 +10,8 @@
 namespace {
 struct Played {
   DeliveryResult result;
-  std::string seenByServer;
-  std::string seenByCaller;
+  std::string receivedByServer;
+  std::string receivedByCaller;
 };
 
 std::string chunk(const std::string& bytes) {
@@ -22,56 +22,57 @@
 const std::string kHead =
     "HTTP/1.1 200 OK\r\nQuayrill-Request-Id: r1\r\nQuayrill-Weights: w1\r\n"
     "Transfer-Encoding: chunked\r\n\r\n";
-std::string mark(int pieces) {
+std::string endMarkChunk(int pieces) {
   return chunk("{\"end\":true,\"pieces\":" + std::to_string(pieces) + "}\n");
 }
 
-awaitable<void> playServer(Tcp::acceptor& acceptor, std::string script, bool hang, Played* played) {
+awaitable<void> playServer(Tcp::acceptor& acceptor, std::string script, bool keepOpen,
+                           Played* played) {
   ErrorCode code;
   Tcp::socket socket(acceptor.get_executor());
   co_await acceptor.async_accept(socket, into(code));
   if (code) co_return;
   char block[4096];
-  while (played->seenByServer.find("{}") == std::string::npos && !code) {
+  while (played->receivedByServer.find("{}") == std::string::npos && !code) {
     const std::size_t got = co_await socket.async_read_some(asio::buffer(block), into(code));
-    played->seenByServer.append(block, got);
+    played->receivedByServer.append(block, got);
   }
   co_await asio::async_write(socket, asio::buffer(script), into(code));
-  if (hang) co_await socket.async_read_some(asio::buffer(block), into(code));
+  if (keepOpen) co_await socket.async_read_some(asio::buffer(block), into(code));
 }
 
-awaitable<void> readAll(Tcp::socket& socket, Played* played) {
+awaitable<void> readUntilClosed(Tcp::socket& socket, Played* played) {
   ErrorCode code;
   char block[4096];
   while (!code) {
     const std::size_t got = co_await socket.async_read_some(asio::buffer(block), into(code));
-    played->seenByCaller.append(block, got);
+    played->receivedByCaller.append(block, got);
   }
 }
 
-struct Play {
+struct Setup {
   std::string script;
-  bool hang = false;  // keep the connection open after the script
+  bool keepOpen = false;  // keep the connection open after the script
   bool listening = true;
   bool mayStart = true;
   Span due = 2s;
 };
 
-Played play(const Play& asked) {
+Played play(const Setup& setup) {
   asio::io_context io;
   Played played;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   CallerConnection caller(io);
-  Delivery delivery = deliveryTo(server, "{}", asked.due);
-  if (asked.listening)
-    asio::co_spawn(io, playServer(server, asked.script, asked.hang, &played), asio::detached);
+  Delivery delivery = deliveryTo(server, "{}", setup.due);
+  if (setup.listening)
+    asio::co_spawn(io, playServer(server, setup.script, setup.keepOpen, &played), asio::detached);
   else
     server.close();
-  asio::co_spawn(io, readAll(caller.far, &played), asio::detached);
+  asio::co_spawn(io, readUntilClosed(caller.far, &played), asio::detached);
   asio::co_spawn(
       io,
       [&]() -> awaitable<void> {
-        const std::function<bool()> mayStart = [&] { return asked.mayStart; };
+        const std::function<bool()> mayStart = [&] { return setup.mayStart; };
         played.result = co_await deliver(std::move(delivery), caller.near, mayStart);
         caller.near.close();
         ErrorCode ignored;
@@ -83,35 +84,35 @@
 }
 
 bool looksComplete(const Played& played) {
-  return played.seenByCaller.size() >= 5 &&
-         played.seenByCaller.compare(played.seenByCaller.size() - 5, 5, "0\r\n\r\n") == 0;
+  return played.receivedByCaller.size() >= 5 &&
+         played.receivedByCaller.compare(played.receivedByCaller.size() - 5, 5, "0\r\n\r\n") == 0;
 }
 }  // namespace
 
 TEST_CASE("deliver: a whole answer passes through and closes with the server's end mark") {
   const auto played = play({kHead + chunk("{\"piece\":0}\n") + chunk("{\"piece\":1}\n{\"pie") +
-                            chunk("ce\":2}\n") + mark(3) + "0\r\n\r\n"});
+                            chunk("ce\":2}\n") + endMarkChunk(3) + "0\r\n\r\n"});
   CHECK(played.result.end == DeliveryOutcome::Done);
   CHECK(played.result.pieces == 3);
   CHECK(looksComplete(played));
-  CHECK(played.seenByCaller.find("Quayrill-Outcome: done") != std::string::npos);
-  CHECK(played.seenByServer.find("Quayrill-Weights: w1") != std::string::npos);
+  CHECK(played.receivedByCaller.find("Quayrill-Outcome: done") != std::string::npos);
+  CHECK(played.receivedByServer.find("Quayrill-Weights: w1") != std::string::npos);
 }
 
 TEST_CASE("deliver: a cut answer never looks complete") {
   const std::string piece = chunk("{\"piece\":0}\n");
   for (const std::string& script : {
-           kHead + piece,                                  // connection lost
-           kHead + piece + "0\r\n\r\n",                    // closed whole, no end mark
-           kHead + piece + mark(2) + "0\r\n\r\n",          // the mark names other pieces
-           kHead + piece + mark(1),                        // mark, then lost
-           kHead + piece + mark(1) + piece + "0\r\n\r\n",  // a piece after the mark
-           kHead + piece + chunk("{\"pie") + "0\r\n\r\n",  // half a line
+           kHead + piece,                                          // connection lost
+           kHead + piece + "0\r\n\r\n",                            // closed whole, no end mark
+           kHead + piece + endMarkChunk(2) + "0\r\n\r\n",          // the mark names other pieces
+           kHead + piece + endMarkChunk(1),                        // mark, then lost
+           kHead + piece + endMarkChunk(1) + piece + "0\r\n\r\n",  // a piece after the mark
+           kHead + piece + chunk("{\"pie") + "0\r\n\r\n",          // half a line
        }) {
     const auto played = play({script});
     CHECK(played.result.end == DeliveryOutcome::Truncated);
     CHECK_FALSE(looksComplete(played));
-    CHECK(played.seenByCaller.find("\"end\"") == std::string::npos);
+    CHECK(played.receivedByCaller.find("\"end\"") == std::string::npos);
   }
 }
 
@@ -119,7 +120,7 @@
   CHECK(play({"", false, false}).result.end == DeliveryOutcome::NeverSent);
   const auto stopped = play({"", false, true, false});
   CHECK(stopped.result.end == DeliveryOutcome::NeverSent);
-  CHECK(stopped.seenByServer.empty());
+  CHECK(stopped.receivedByServer.empty());
   CHECK(play({"HTTP/1.1 503 Busy\r\nQuayrill-Not-Run: true\r\nContent-Length: 2\r\n\r\nno"})
             .result.end == DeliveryOutcome::NotRun);
   CHECK(play({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.end ==
@@ -127,8 +128,8 @@
   CHECK(play({""}).result.end == DeliveryOutcome::Unknown);
   CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.end == DeliveryOutcome::Unknown);
   CHECK(play({kHead + "0\r\n\r\n"}).result.end == DeliveryOutcome::Unknown);
-  Play silent;
-  silent.hang = true;
+  Setup silent;
+  silent.keepOpen = true;
   silent.due = 50ms;
   CHECK(play(silent).result.end == DeliveryOutcome::DeadlineExceeded);
 }
@@ -138,8 +139,8 @@
        {std::string("Quayrill-Request-Id: r2\r\nQuayrill-Weights: w1\r\n"),
         std::string("Quayrill-Request-Id: r1\r\nQuayrill-Weights: w0\r\n"), std::string()}) {
     const auto played = play({"HTTP/1.1 200 OK\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n" +
-                              chunk("{\"piece\":0}\n") + mark(1) + "0\r\n\r\n"});
+                              chunk("{\"piece\":0}\n") + endMarkChunk(1) + "0\r\n\r\n"});
     CHECK(played.result.end == DeliveryOutcome::Unknown);
-    CHECK(played.seenByCaller.empty());
+    CHECK(played.receivedByCaller.empty());
   }
 }
