--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 constexpr char kFolder[] = "/data";
-constexpr std::size_t kSmallBuffer = 64 << 10;  // the least that LevelDB takes
-constexpr std::size_t kBodyBytes = 40 << 10;    // more than one block of a log
-constexpr std::size_t kChanges = 10;
-constexpr auto kLateStep = 20ms;
-constexpr auto kLateLimit = 10s;  // of a machine that has much else to do
+constexpr std::size_t kMinWriteBufferBytes = 64 << 10;  // the least that LevelDB takes
+constexpr std::size_t kBodyBytes = 40 << 10;            // more than one block of a log
+constexpr std::size_t kChangesPerProcess = 10;
+constexpr auto kReopenPollInterval = 20ms;
+constexpr auto kReopenTimeout = 10s;  // of a machine that has much else to do
 
 // What a replica was told is synced, and what it went on to try.
 struct Acknowledged {
@@ -27,7 +27,7 @@
   std::uint64_t round = 0;
   std::uint64_t tried = 0;
 };
-enum class Found { All, Older, Emptied, Damaged, NoPower, Unopened };
+enum class OpenResult { All, Older, Emptied, Damaged, NoPower, Unopened };
 
 ReplicaSet ownSet(StoreId store) {
   ReplicaSet set;
@@ -38,33 +38,33 @@
   return set;
 }
 
-std::uint64_t storesMade = 0;  // each folder that is empty gets a new identity
+std::uint64_t lastStoreId = 0;  // each folder that is empty gets a new identity
 
 // One life of a replica and its disk, until its changes are made or the power goes.
-class Life {
+class ReplicaProcess {
  public:
-  Life(PowerLossEnv& env, FileSystem files, Acknowledged* acknowledged)
+  ReplicaProcess(PowerLossEnv& env, FileSystem files, Acknowledged* acknowledged)
       : env_(env),
         acknowledged_(acknowledged),
-        replica_(StoreId{++storesMade}),
-        disk_({kFolder, "", 1h, std::move(files), kSmallBuffer},
-              [this](Disk::Rows rows) { late_.set_value(std::move(rows)); }) {}
+        replica_(StoreId{++lastStoreId}),
+        disk_({kFolder, "", 1h, std::move(files), kMinWriteBufferBytes},
+              [this](Disk::Rows rows) { reopened_.set_value(std::move(rows)); }) {}
 
-  Found open() {
+  OpenResult open() {
     auto opened = disk_.open();
-    if (!opened.ok()) return Found::Damaged;
+    if (!opened.ok()) return OpenResult::Damaged;
     if (!*opened) {
-      if (!env_.hasPower()) return Found::NoPower;
-      auto late = late_.get_future();
-      for (auto waited = 0ms; late.wait_for(kLateStep) != std::future_status::ready;
-           waited += kLateStep) {
-        if (!env_.hasPower()) return Found::NoPower;
-        if (waited > kLateLimit) return Found::Unopened;
+      if (!env_.hasPower()) return OpenResult::NoPower;
+      auto reopened = reopened_.get_future();
+      for (auto waited = 0ms; reopened.wait_for(kReopenPollInterval) != std::future_status::ready;
+           waited += kReopenPollInterval) {
+        if (!env_.hasPower()) return OpenResult::NoPower;
+        if (waited > kReopenTimeout) return OpenResult::Unopened;
       }
-      *opened = late.get();
+      *opened = reopened.get();
       disk_.resume();
     }
-    return judge(**opened);
+    return checkRows(**opened);
   }
   bool change(std::size_t changes) {
     for (std::size_t i = 0; i < changes; ++i) {
@@ -74,32 +74,32 @@
   }
 
  private:
-  Found judge(const Disk::Rows& rows) {
+  OpenResult checkRows(const Disk::Rows& rows) {
     const bool emptied = rows.empty();
-    if (!emptied && !replica_.restore(rows)) return Found::Damaged;
-    const Found found = emptied ? Found::Emptied : compare();
-    if (!emptied && found != Found::All) return found;
+    if (!emptied && !replica_.restore(rows)) return OpenResult::Damaged;
+    const OpenResult found = emptied ? OpenResult::Emptied : compare();
+    if (!emptied && found != OpenResult::All) return found;
     auto writes = replica_.identityWrites();
     for (auto& write : replica_.adopt(ownSet(replica_.store()))) writes.push_back(std::move(write));
-    if (!write(std::move(writes))) return Found::NoPower;
+    if (!write(std::move(writes))) return OpenResult::NoPower;
     const bool wasThere = acknowledged_->store.value > 0;
     if (emptied) acknowledged_->round = 0;
     acknowledged_->store = replica_.store();
-    return emptied && !wasThere ? Found::All : found;
+    return emptied && !wasThere ? OpenResult::All : found;
   }
   // The old identity, and all that it promised and accepted, or more.
-  Found compare() {
+  OpenResult compare() {
     if (acknowledged_->store.value > 0 && replica_.store() != acknowledged_->store)
-      return Found::Older;
-    if (acknowledged_->round == 0) return Found::All;
+      return OpenResult::Older;
+    if (acknowledged_->round == 0) return OpenResult::All;
     const auto value = replica_.valueOf(kConfigurationKey);
-    if (!value || value->version < acknowledged_->round) return Found::Older;
+    if (!value || value->version < acknowledged_->round) return OpenResult::Older;
     // A ballot of an earlier round must find the promise kept.
     const Ballot earlier{Epoch{1}, acknowledged_->round - 1, ProposerId{9}};
     const auto made =
         replica_.onPrepare({{}, kConfigurationKey, earlier, replica_.store(), replica_.replicas()});
     const bool refuses = made.answer && !std::get<ReplicaAnswer>(*made.answer).granted;
-    return refuses && value->body.size() == kBodyBytes ? Found::All : Found::Older;
+    return refuses && value->body.size() == kBodyBytes ? OpenResult::All : OpenResult::Older;
   }
   bool change() {
     const std::uint64_t round = ++acknowledged_->tried;
@@ -125,7 +125,7 @@
   PowerLossEnv& env_;
   Acknowledged* acknowledged_;
   RegisterReplica replica_;
-  std::promise<Disk::Rows> late_;
+  std::promise<Disk::Rows> reopened_;
   Disk disk_;
 };
 
@@ -139,41 +139,41 @@
   PowerLossEnv env;
   const auto files = [&] { return syncsFolders ? env.files() : env.unsyncedFiles(); };
   Acknowledged acknowledged;
-  Found found = Found::All;
-  for (std::size_t life = 0; life < before + 3 && found == Found::All; ++life) {
+  OpenResult found = OpenResult::All;
+  for (std::size_t life = 0; life < before + 3 && found == OpenResult::All; ++life) {
     if (life == before) env.losePowerAt(at);
     {
-      Life machine(env, files(), &acknowledged);
+      ReplicaProcess machine(env, files(), &acknowledged);
       found = machine.open();
-      if (found == Found::All) machine.change(life > before ? 2 : kChanges);
+      if (found == OpenResult::All) machine.change(life > before ? 2 : kChangesPerProcess);
     }
-    if (found == Found::NoPower) found = Found::All;
+    if (found == OpenResult::NoPower) found = OpenResult::All;
     env.restore(seed + (seed > 1 ? life : 0));
   }
   ++tally->runs;
-  tally->older += found == Found::Older;
-  tally->emptied += found == Found::Emptied;
-  tally->damaged += found == Found::Damaged;
-  tally->unopened += found == Found::Unopened;
-  if (syncsFolders && found != Found::All)
+  tally->older += found == OpenResult::Older;
+  tally->emptied += found == OpenResult::Emptied;
+  tally->damaged += found == OpenResult::Damaged;
+  tally->unopened += found == OpenResult::Unopened;
+  if (syncsFolders && found != OpenResult::All)
     FAIL_CHECK("lives before " << before << ", power lost at " << at << ", seed " << seed
                                << ": found " << static_cast<int>(found));
 }
 
-std::size_t operationsOfALife() {
+std::size_t countOperationsPerProcess() {
   PowerLossEnv env;
   Acknowledged acknowledged;
   {
-    Life machine(env, env.files(), &acknowledged);
-    REQUIRE(machine.open() == Found::All);
-    REQUIRE(machine.change(kChanges));
+    ReplicaProcess machine(env, env.files(), &acknowledged);
+    REQUIRE(machine.open() == OpenResult::All);
+    REQUIRE(machine.change(kChangesPerProcess));
   }
   return env.operations();
 }
 
 Tally runAll(bool syncsFolders, std::size_t step) {
   Tally tally;
-  const std::size_t operations = operationsOfALife();
+  const std::size_t operations = countOperationsPerProcess();
   for (std::size_t before : {0U, 1U}) {
     for (std::size_t at = 1; at <= operations + 10; at += step) {
       for (std::uint64_t seed : {std::uint64_t{0}, std::uint64_t{1}, 1000 + at, 2000 + at})
@@ -206,9 +206,9 @@
     PowerLossEnv env;
     Acknowledged acknowledged;
     {
-      Life machine(env, env.files(), &acknowledged);
-      REQUIRE(machine.open() == Found::All);
-      REQUIRE(machine.change(kChanges));
+      ReplicaProcess machine(env, env.files(), &acknowledged);
+      REQUIRE(machine.open() == OpenResult::All);
+      REQUIRE(machine.change(kChangesPerProcess));
     }
     env.restore(1);
     const std::string folder = std::string(kFolder) + "/register";
@@ -218,10 +218,10 @@
       if (("/" + name).rfind(gone, 0) == 0) REQUIRE(env.RemoveFile(folder + "/" + name).ok());
     }
     const StoreId old = acknowledged.store;
-    Life machine(env, env.files(), &acknowledged);
-    const Found found = machine.open();
-    CHECK((found == Found::Emptied || found == Found::Damaged));
-    if (found == Found::Emptied) CHECK(acknowledged.store != old);
+    ReplicaProcess machine(env, env.files(), &acknowledged);
+    const OpenResult found = machine.open();
+    CHECK((found == OpenResult::Emptied || found == OpenResult::Damaged));
+    if (found == OpenResult::Emptied) CHECK(acknowledged.store != old);
   }
 }
 
@@ -229,11 +229,11 @@
   PowerLossEnv env;
   const auto files = env.files();
   const auto rowsOf = [&] {
-    Disk disk({kFolder, "", 1h, files, kSmallBuffer}, [](Disk::Rows) {});
+    Disk disk({kFolder, "", 1h, files, kMinWriteBufferBytes}, [](Disk::Rows) {});
     return disk.open();
   };
   {
-    Disk disk({kFolder, "", 1h, files, kSmallBuffer}, [](Disk::Rows) {});
+    Disk disk({kFolder, "", 1h, files, kMinWriteBufferBytes}, [](Disk::Rows) {});
     REQUIRE(disk.open().ok());
     std::promise<absl::Status> answered;
     disk.write({{"a", "1"}, {"b", "2"}}, [&](absl::Status status) { answered.set_value(status); });
