--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -8,11 +8,11 @@
 using leveldb::Status;
 
 namespace {
-Status noPower() { return Status::IOError("the power is lost"); }
+Status powerLostError() { return Status::IOError("the power is lost"); }
 
-class Bytes : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
+class InMemoryReader : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
  public:
-  explicit Bytes(std::string bytes) : bytes_(std::move(bytes)) {}
+  explicit InMemoryReader(std::string bytes) : bytes_(std::move(bytes)) {}
   Status Read(std::size_t n, leveldb::Slice* result, char* scratch) override {
     Status status = Read(at_, n, result, scratch);
     at_ += result->size();
@@ -36,7 +36,7 @@
   std::size_t at_ = 0;
 };
 
-class Lock : public leveldb::FileLock {};
+class NoOpLock : public leveldb::FileLock {};
 }  // namespace
 
 class PowerLossFile : public leveldb::WritableFile {
@@ -46,14 +46,14 @@
   ~PowerLossFile() override { Flush(); }
   // What comes between two flushes is one write, as with LevelDB's own files.
   Status Append(const leveldb::Slice& bytes) override {
-    waiting_.append(bytes.data(), bytes.size());
-    return waiting_.size() < kWriteBytes ? Status::OK() : Flush();
+    buffered_.append(bytes.data(), bytes.size());
+    return buffered_.size() < kFlushThresholdBytes ? Status::OK() : Flush();
   }
   Status Close() override { return Flush(); }
   Status Flush() override {
-    if (waiting_.empty()) return Status::OK();
-    const std::string bytes = std::move(waiting_);
-    waiting_.clear();
+    if (buffered_.empty()) return Status::OK();
+    const std::string bytes = std::move(buffered_);
+    buffered_.clear();
     return env_.append(*file_, bytes);
   }
   Status Sync() override {
@@ -62,8 +62,8 @@
   }
 
  private:
-  static constexpr std::size_t kWriteBytes = 64 << 10;
-  std::string waiting_;
+  static constexpr std::size_t kFlushThresholdBytes = 64 << 10;
+  std::string buffered_;
   PowerLossEnv& env_;
   std::string name_;
   std::shared_ptr<PowerLossEnv::File> file_;
@@ -76,7 +76,7 @@
           }};
 }
 
-FileSystem PowerLossEnv::unsyncedFiles() {
+FileSystem PowerLossEnv::filesWithoutFolderSync() {
   return {this, [](const std::string&) { return Status::OK(); }};
 }
 
@@ -92,7 +92,7 @@
 
 bool PowerLossEnv::hasPower() const {
   std::lock_guard lock(mutex_);
-  return operations_ < lossAt_;
+  return operations_ < powerLossAt_;
 }
 
 std::size_t PowerLossEnv::peakBytes() const {
@@ -102,19 +102,19 @@
 
 void PowerLossEnv::losePowerAt(std::size_t operation) {
   std::lock_guard lock(mutex_);
-  lossAt_ = operation;
+  powerLossAt_ = operation;
 }
 
 void PowerLossEnv::restore(std::uint64_t seed) {
   std::lock_guard lock(mutex_);
   std::mt19937_64 random(seed);
   const auto draw = [&](std::uint64_t fates) { return seed > 1 ? random() % fates : seed; };
-  now_ = lasting_;
-  for (const NameChange& change : pending_) {
-    if (draw(2) == 1) make(change, &now_);
+  current_ = durable_;
+  for (const NameChange& change : pendingNameChanges_) {
+    if (draw(2) == 1) applyNameChange(change, &current_);
   }
-  for (const auto& [name, file] : now_) {
-    for (const Append& append : file->later) {
+  for (const auto& [name, file] : current_) {
+    for (const Append& append : file->unsynced) {
       std::string bytes = append.bytes;
       const std::uint64_t fate = draw(3);
       if (fate == 0) continue;
@@ -123,56 +123,56 @@
         file->synced.resize(append.offset + bytes.size());
       file->synced.replace(append.offset, bytes.size(), bytes);
     }
-    file->later.clear();
+    file->unsynced.clear();
     file->now = file->synced;
   }
   bytes_ = 0;
-  for (const auto& [name, file] : now_) bytes_ += file->now.size();
-  lasting_ = now_;
-  pending_.clear();
+  for (const auto& [name, file] : current_) bytes_ += file->now.size();
+  durable_ = current_;
+  pendingNameChanges_.clear();
   operations_ = 0;
-  lossAt_ = SIZE_MAX;
+  powerLossAt_ = SIZE_MAX;
 }
 
-Status PowerLossEnv::counted() {
+Status PowerLossEnv::countOperation() {
   ++operations_;
-  return operations_ >= lossAt_ ? noPower() : Status::OK();
+  return operations_ >= powerLossAt_ ? powerLostError() : Status::OK();
 }
 
 std::shared_ptr<PowerLossEnv::File> PowerLossEnv::find(const std::string& name) const {
-  const auto row = now_.find(name);
-  return row == now_.end() ? nullptr : row->second;
+  const auto row = current_.find(name);
+  return row == current_.end() ? nullptr : row->second;
 }
 
-void PowerLossEnv::make(const NameChange& change, Names* names) {
+void PowerLossEnv::applyNameChange(const NameChange& change, Names* names) {
   const auto from = names->find(change.from);
   if (from != names->end() && from->second == change.file) names->erase(from);
   if (!change.to.empty()) (*names)[change.to] = change.file;
 }
 
 void PowerLossEnv::change(NameChange change) {
-  const auto replaced = now_.find(change.to);
-  if (replaced != now_.end()) bytes_ -= replaced->second->now.size();
+  const auto replaced = current_.find(change.to);
+  if (replaced != current_.end()) bytes_ -= replaced->second->now.size();
   if (change.to.empty()) bytes_ -= change.file->now.size();
-  make(change, &now_);
-  pending_.push_back(std::move(change));
+  applyNameChange(change, &current_);
+  pendingNameChanges_.push_back(std::move(change));
 }
 
 Status PowerLossEnv::append(File& file, const leveldb::Slice& bytes) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= lossAt_) return noPower();
+  if (operations_ >= powerLossAt_) return powerLostError();
   if (full_) return Status::IOError("no space is left");
-  file.later.push_back({file.now.size(), bytes.ToString()});
+  file.unsynced.push_back({file.now.size(), bytes.ToString()});
   file.now.append(bytes.data(), bytes.size());
   bytes_ += bytes.size();
   peakBytes_ = std::max(peakBytes_, bytes_);
-  return counted();
+  return countOperation();
 }
 
 Status PowerLossEnv::syncFolder() {
-  if (Status status = counted(); !status.ok()) return status;
-  lasting_ = now_;
-  pending_.clear();
+  if (Status status = countOperation(); !status.ok()) return status;
+  durable_ = current_;
+  pendingNameChanges_.clear();
   return Status::OK();
 }
 
@@ -181,9 +181,9 @@
   if (name.find("/MANIFEST") != std::string::npos) {
     if (Status status = syncFolder(); !status.ok()) return status;
   }
-  if (Status status = counted(); !status.ok()) return status;
+  if (Status status = countOperation(); !status.ok()) return status;
   file.synced = file.now;
-  file.later.clear();
+  file.unsynced.clear();
   return Status::OK();
 }
 
@@ -191,7 +191,7 @@
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *made = new Bytes(file->now);
+  *made = new InMemoryReader(file->now);
   return Status::OK();
 }
 
@@ -200,16 +200,16 @@
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *made = new Bytes(file->now);
+  *made = new InMemoryReader(file->now);
   return Status::OK();
 }
 
 Status PowerLossEnv::NewWritableFile(const std::string& name, leveldb::WritableFile** made) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= lossAt_) return noPower();
+  if (operations_ >= powerLossAt_) return powerLostError();
   auto file = std::make_shared<File>();
   change({{}, name, file});
-  if (Status status = counted(); !status.ok()) return status;
+  if (Status status = countOperation(); !status.ok()) return status;
   *made = new PowerLossFile(*this, name, std::move(file));
   return Status::OK();
 }
@@ -217,7 +217,7 @@
 Status PowerLossEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** made) {
   {
     std::lock_guard lock(mutex_);
-    if (operations_ >= lossAt_) return noPower();
+    if (operations_ >= powerLossAt_) return powerLostError();
     if (auto file = find(name)) {
       *made = new PowerLossFile(*this, name, std::move(file));
       return Status::OK();
@@ -234,7 +234,7 @@
 Status PowerLossEnv::GetChildren(const std::string& folder, std::vector<std::string>* children) {
   std::lock_guard lock(mutex_);
   children->clear();
-  for (const auto& [name, file] : now_) {
+  for (const auto& [name, file] : current_) {
     if (name.rfind(folder + "/", 0) == 0) children->push_back(name.substr(folder.size() + 1));
   }
   return Status::OK();
@@ -242,20 +242,20 @@
 
 Status PowerLossEnv::RemoveFile(const std::string& name) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= lossAt_) return noPower();
+  if (operations_ >= powerLossAt_) return powerLostError();
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
   change({name, {}, file});
-  return counted();
+  return countOperation();
 }
 
 Status PowerLossEnv::RenameFile(const std::string& from, const std::string& to) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= lossAt_) return noPower();
+  if (operations_ >= powerLossAt_) return powerLostError();
   const auto file = find(from);
   if (!file) return Status::NotFound(from);
   change({from, to, file});
-  return counted();
+  return countOperation();
 }
 
 Status PowerLossEnv::GetFileSize(const std::string& name, std::uint64_t* size) {
@@ -269,7 +269,7 @@
 Status PowerLossEnv::CreateDir(const std::string&) { return Status::OK(); }
 Status PowerLossEnv::RemoveDir(const std::string&) { return Status::OK(); }
 Status PowerLossEnv::LockFile(const std::string&, leveldb::FileLock** lock) {
-  *lock = new Lock;
+  *lock = new NoOpLock;
   return Status::OK();
 }
 Status PowerLossEnv::UnlockFile(leveldb::FileLock* lock) {
--- a/tests/power_loss_env.h
+++ b/tests/power_loss_env.h
@@ -22,8 +22,8 @@
  public:
   PowerLossEnv() : leveldb::EnvWrapper(leveldb::Env::Default()) {}
 
-  FileSystem files();          // with folder syncs
-  FileSystem unsyncedFiles();  // a planted defect: folder syncs do nothing
+  FileSystem files();                   // with folder syncs
+  FileSystem filesWithoutFolderSync();  // a planted defect: folder syncs do nothing
 
   // A full disk refuses every write; syncs and names that are removed still work.
   void setFull(bool full);
@@ -59,7 +59,7 @@
   struct File {
     std::string now;
     std::string synced;
-    std::vector<Append> later;  // since the last sync
+    std::vector<Append> unsynced;  // since the last sync
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
   // Made: `from` is empty. Removed: `to` is empty.
@@ -67,19 +67,19 @@
     std::string from, to;
     std::shared_ptr<File> file;
   };
-  static void make(const NameChange& change, Names* names);
+  static void applyNameChange(const NameChange& change, Names* names);
   void change(NameChange change);
   leveldb::Status append(File& file, const leveldb::Slice& bytes);
   leveldb::Status sync(const std::string& name, File& file);
   leveldb::Status syncFolder();
-  leveldb::Status counted();
+  leveldb::Status countOperation();
   std::shared_ptr<File> find(const std::string& name) const;
 
   mutable std::mutex mutex_;
-  Names now_, lasting_;
-  std::vector<NameChange> pending_;
+  Names current_, durable_;
+  std::vector<NameChange> pendingNameChanges_;
   std::size_t operations_ = 0;
-  std::size_t lossAt_ = SIZE_MAX;
+  std::size_t powerLossAt_ = SIZE_MAX;
   std::size_t bytes_ = 0, peakBytes_ = 0;
   bool full_ = false;
 };
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -137,7 +137,7 @@
 // `before` lives end well, but for the loss of power after them; the next one loses it at `at`.
 void run(bool syncsFolders, std::size_t before, std::size_t at, std::uint64_t seed, Tally* tally) {
   PowerLossEnv env;
-  const auto files = [&] { return syncsFolders ? env.files() : env.unsyncedFiles(); };
+  const auto files = [&] { return syncsFolders ? env.files() : env.filesWithoutFolderSync(); };
   Acknowledged acknowledged;
   OpenResult found = OpenResult::All;
   for (std::size_t life = 0; life < before + 3 && found == OpenResult::All; ++life) {
