--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::size_t kMegabyte = 1 << 20;
 
-Envelope bodyFor(const std::string& to, std::size_t bytes) {
+Envelope envelopeTo(const std::string& to, std::size_t bytes) {
   NewsItem item;
   item.zone = std::string(bytes, 'z');
   return {Address{"127.9.9.1:7100"}, Address{to}, NewsAnswer{{item}}};
@@ -18,13 +18,13 @@
 TEST_CASE("peer link: frames that wait are bounded in bytes, for one daemon and for all") {
   asio::io_context io;  // never run: nothing leaves
   PeerLink link(io, Address{"127.9.9.1:7100"}, Address{}, [](const Envelope&) {});
-  for (int i = 0; i < 100; ++i) link.send(bodyFor("127.9.9.2:7100", 200000));
+  for (int i = 0; i < 100; ++i) link.send(envelopeTo("127.9.9.2:7100", 200000));
   CHECK(link.queuedBytes() > kMegabyte);
   CHECK(link.queuedBytes() <= 2 * kMegabyte);
   CHECK(link.dropped() > 80);
   for (int daemon = 0; daemon < 100; ++daemon) {
     const std::string to = "127.9.8." + std::to_string(daemon + 1) + ":7100";
-    for (int i = 0; i < 10; ++i) link.send(bodyFor(to, 200000));
+    for (int i = 0; i < 10; ++i) link.send(envelopeTo(to, 200000));
   }
   CHECK(link.queuedBytes() > 40 * kMegabyte);
   // Past the bound over all, one frame for each daemon may still wait.
@@ -34,7 +34,7 @@
 TEST_CASE("peer link: one frame may wait whatever its size") {
   asio::io_context io;
   PeerLink link(io, Address{"127.9.9.1:7100"}, Address{}, [](const Envelope&) {});
-  link.send(bodyFor("127.9.9.2:7100", 3 * kMegabyte));
+  link.send(envelopeTo("127.9.9.2:7100", 3 * kMegabyte));
   CHECK(link.queuedBytes() > 3 * kMegabyte);
   CHECK(link.dropped() == 0);
 }
