--- a/tests/request_sender_tests.cpp
+++ b/tests/request_sender_tests.cpp
@@ -6,11 +6,11 @@
 using namespace quayrill;
 
 namespace {
-struct Ends {
+struct SocketPair {
   asio::io_context io;
   Tcp::acceptor acceptor{io, {asio::ip::make_address("127.0.0.1"), 0}};
   Tcp::socket near{io}, far{io};
-  Ends() {
+  SocketPair() {
     near.connect(acceptor.local_endpoint());
     acceptor.accept(far);
     near.non_blocking(true);
@@ -26,52 +26,52 @@
 }  // namespace
 
 TEST_CASE("request sender: all of head and body leaves, in pieces as room comes") {
-  Ends ends;
+  SocketPair sockets;
   const std::string body(20 << 20, 'b');
-  RequestSender sender(ends.near, kHead, body, [] { return true; });
+  RequestSender sender(sockets.near, kHead, body, [] { return true; });
   sender.begin();
   CHECK_FALSE(sender.isComplete());  // more than the system holds
   std::string bytes;
-  asio::async_read(ends.far, asio::dynamic_buffer(bytes),
+  asio::async_read(sockets.far, asio::dynamic_buffer(bytes),
                    asio::transfer_exactly(kHead.size() + body.size()),
                    [](const ErrorCode&, std::size_t) {});
-  ends.io.run();
+  sockets.io.run();
   CHECK(sender.isComplete());
   CHECK(sender.hasStopped());
   CHECK(bytes == kHead + body);
 }
 
 TEST_CASE("request sender: what may not run any more sends no byte") {
-  Ends ends;
-  RequestSender sender(ends.near, kHead, "{}", [] { return false; });
+  SocketPair sockets;
+  RequestSender sender(sockets.near, kHead, "{}", [] { return false; });
   sender.begin();
   CHECK(sender.hasSentNothing());
   CHECK(sender.hasStopped());
-  ends.near.close();
-  CHECK(ends.readAll().empty());
+  sockets.near.close();
+  CHECK(sockets.readAll().empty());
 }
 
 TEST_CASE("request sender: a body stops where the request lapses, and its connection ends") {
-  Ends ends;
+  SocketPair sockets;
   const std::string body(20 << 20, 'b');
   bool mayContinue = true;
-  RequestSender sender(ends.near, kHead, body, [&] { return mayContinue; });
+  RequestSender sender(sockets.near, kHead, body, [&] { return mayContinue; });
   sender.begin();
   REQUIRE_FALSE(sender.hasStopped());
   mayContinue = false;  // as for a process that stood still with the rest in hand
   std::string bytes;
-  asio::async_read(ends.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
+  asio::async_read(sockets.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
   bool hasEnded = false;
   asio::co_spawn(
-      ends.io,
+      sockets.io,
       [&]() -> asio::awaitable<void> {
         co_await sender.waitUntilStopped();
         hasEnded = true;
       },
       asio::detached);
-  ends.io.run();
+  sockets.io.run();
   CHECK(hasEnded);
-  CHECK_FALSE(ends.near.is_open());
+  CHECK_FALSE(sockets.near.is_open());
   CHECK_FALSE(sender.isComplete());
   CHECK(bytes.size() < kHead.size() + body.size());
   CHECK(bytes.rfind(kHead, 0) == 0);
