--- a/tests/fleet/jumping_clock.cpp
+++ b/tests/fleet/jumping_clock.cpp
@@ -8,14 +8,14 @@
 namespace {
 using ClockGettime = int (*)(clockid_t, timespec*);
 
-ClockGettime realClock() {
-  static const auto found = reinterpret_cast<ClockGettime>(::dlsym(RTLD_NEXT, "clock_gettime"));
-  return found;
+ClockGettime realClockGettime() {
+  static const auto function = reinterpret_cast<ClockGettime>(::dlsym(RTLD_NEXT, "clock_gettime"));
+  return function;
 }
 
-long leapSeconds() {
+long clockOffsetSeconds() {
   timespec steady{};
-  realClock()(CLOCK_MONOTONIC, &steady);
+  realClockGettime()(CLOCK_MONOTONIC, &steady);
   const unsigned long slot = static_cast<unsigned long>(steady.tv_sec) * 5 +
                              static_cast<unsigned long>(steady.tv_nsec) / 200000000;
   const unsigned long mixed = (slot * 0x9E3779B97F4A7C15UL) >> 33;
@@ -25,9 +25,9 @@
 
 extern "C" {
 int clock_gettime(clockid_t clock, timespec* reading) noexcept {
-  const int result = realClock()(clock, reading);
+  const int result = realClockGettime()(clock, reading);
   if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
-    reading->tv_sec += leapSeconds();
+    reading->tv_sec += clockOffsetSeconds();
   return result;
 }
 
