--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -58,7 +58,7 @@
   }
 };
 
-inline std::string makeConfiguration(const std::string& key) {
+inline std::string configurationBody(const std::string& key) {
   const Json keys = key.empty() ? Json::array() : Json{keyDigest(key)};
   return Json{
       {"models", {{"till", {{"weights", "w1"}}}}},
@@ -101,7 +101,7 @@
     HttpServerSettings agentSettings;
     agentSettings.listen = localAddress(1, 7101);
     snapshot.configurationVersion = 1;
-    snapshot.makeConfiguration = makeConfiguration("key");
+    snapshot.configurationBody = configurationBody("key");
     snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < serverCount; ++i) {
       servers.push_back(std::make_unique<FakeModelServer>(io, localAddress(10 + i, 7300)));
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -98,7 +98,7 @@
   REQUIRE(stage.post("once").result_int() == 200);
   stage.updateSnapshot([](Snapshot& snapshot) {
     snapshot.configurationVersion = 2;
-    snapshot.makeConfiguration = makeConfiguration("");
+    snapshot.configurationBody = configurationBody("");
   });
   // In between, a request let in under the old configuration may be stopped at the point of use.
   eventually([&] { return stage.post("once").result_int() == 401; });
