--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -77,15 +77,15 @@
   OpenResult checkRows(const Disk::Rows& rows) {
     const bool emptied = rows.empty();
     if (!emptied && !replica_.restore(rows)) return OpenResult::Damaged;
-    const OpenResult found = emptied ? OpenResult::Emptied : compare();
-    if (!emptied && found != OpenResult::All) return found;
+    const OpenResult openResult = emptied ? OpenResult::Emptied : compare();
+    if (!emptied && openResult != OpenResult::All) return openResult;
     auto writes = replica_.identityWrites();
     for (auto& write : replica_.adopt(ownSet(replica_.store()))) writes.push_back(std::move(write));
     if (!write(std::move(writes))) return OpenResult::NoPower;
     const bool wasThere = acknowledged_->store.value > 0;
     if (emptied) acknowledged_->round = 0;
     acknowledged_->store = replica_.store();
-    return emptied && !wasThere ? OpenResult::All : found;
+    return emptied && !wasThere ? OpenResult::All : openResult;
   }
   // The old identity, and all that it promised and accepted, or more.
   OpenResult compare() {
@@ -139,25 +139,25 @@
   PowerLossEnv env;
   const auto files = [&] { return syncsFolders ? env.files() : env.filesWithoutFolderSync(); };
   Acknowledged acknowledged;
-  OpenResult found = OpenResult::All;
-  for (std::size_t life = 0; life < before + 3 && found == OpenResult::All; ++life) {
+  OpenResult openResult = OpenResult::All;
+  for (std::size_t life = 0; life < before + 3 && openResult == OpenResult::All; ++life) {
     if (life == before) env.losePowerAt(at);
     {
       ReplicaProcess machine(env, files(), &acknowledged);
-      found = machine.open();
-      if (found == OpenResult::All) machine.change(life > before ? 2 : kChangesPerProcess);
+      openResult = machine.open();
+      if (openResult == OpenResult::All) machine.change(life > before ? 2 : kChangesPerProcess);
     }
-    if (found == OpenResult::NoPower) found = OpenResult::All;
+    if (openResult == OpenResult::NoPower) openResult = OpenResult::All;
     env.restore(seed + (seed > 1 ? life : 0));
   }
   ++tally->runs;
-  tally->older += found == OpenResult::Older;
-  tally->emptied += found == OpenResult::Emptied;
-  tally->damaged += found == OpenResult::Damaged;
-  tally->unopened += found == OpenResult::Unopened;
-  if (syncsFolders && found != OpenResult::All)
+  tally->older += openResult == OpenResult::Older;
+  tally->emptied += openResult == OpenResult::Emptied;
+  tally->damaged += openResult == OpenResult::Damaged;
+  tally->unopened += openResult == OpenResult::Unopened;
+  if (syncsFolders && openResult != OpenResult::All)
     FAIL_CHECK("lives before " << before << ", power lost at " << at << ", seed " << seed
-                               << ": found " << static_cast<int>(found));
+                               << ": found " << static_cast<int>(openResult));
 }
 
 std::size_t countOperationsPerProcess() {
@@ -219,9 +219,9 @@
     }
     const StoreId old = acknowledged.store;
     ReplicaProcess machine(env, env.files(), &acknowledged);
-    const OpenResult found = machine.open();
-    CHECK((found == OpenResult::Emptied || found == OpenResult::Damaged));
-    if (found == OpenResult::Emptied) CHECK(acknowledged.store != old);
+    const OpenResult openResult = machine.open();
+    CHECK((openResult == OpenResult::Emptied || openResult == OpenResult::Damaged));
+    if (openResult == OpenResult::Emptied) CHECK(acknowledged.store != old);
   }
 }
 
