--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -16,8 +16,8 @@
 constexpr Span kListTimeout = 800ms;
 constexpr Span kServerStateMaxAge = 1500ms;
 constexpr char kDataFolderNotWritable[] =
-    "the data folder can't be written now: no register replica votes here; make room, it is tried "
-    "again each second";
+    "data folder is not writable: the register replica on this machine does not vote; free disk "
+    "space, writing is retried every second";
 AgentSettings coreSettings(const Settings& settings) {
   std::random_device entropy;
   const std::uint64_t nonce = (static_cast<std::uint64_t>(entropy()) << 32) | entropy();
@@ -83,15 +83,16 @@
   });
 }
 
-// Called on the disk's thread.
+// Called on the disk thread.
 void Agent::onDiskReopened(Disk::Rows rows) {
   asio::post(io_, [this, rows = std::move(rows)] {
     AgentEffects effects;
     if (!core_->onDiskReadAnew(rows, &effects)) {
-      LOG(ERROR) << "the data folder is not understood: start with an empty one";
+      LOG(ERROR) << "data folder contents are not readable by this build: restart with an empty "
+                    "data folder";
       return;
     }
-    LOG(INFO) << "data folder read anew: register replica may vote again";
+    LOG(INFO) << "data folder reopened: the register replica may vote again";
     disk_->resume();
     apply(std::move(effects));
   });
@@ -107,7 +108,7 @@
         if (!status.ok()) {
           ++counters_.diskErrors;
           if (core_->isWritable())
-            LOG(ERROR) << "register replica stops voting: "
+            LOG(ERROR) << "register replica stopped voting: "
                        << message({ErrorKind::DiskError, status.ToString()});
           core_->onDiskError();
         } else if (*answer) {
@@ -134,9 +135,10 @@
   }
   auto parsed = dialect_.readConfiguration(value.body);
   if (!parsed.ok()) {
-    // Checked before it was proposed, so only a newer build's configuration can get here.
+    // Configurations are validated before they are proposed, so this one was written by a newer
+    // build.
     LOG_EVERY_N(ERROR, 1000) << "configuration " << value.version
-                             << " is not understood: " << parsed.status().message()
+                             << " can't be parsed: " << parsed.status().message()
                              << ": upgrade this daemon";
     return;
   }
@@ -145,7 +147,7 @@
   configuration_ = std::move(*parsed);
   configurationVersion_ = value.version;
   ++counters_.configurationChanges;
-  LOG(INFO) << "configuration " << configurationVersion_ << " in force";
+  LOG(INFO) << "configuration " << configurationVersion_ << " is in force";
 }
 
 void Agent::publishSnapshot(Instant now) {
@@ -169,7 +171,7 @@
   });
 }
 
-// Which servers' events, and whether the store's, this daemon reads for the fleet.
+// Determines which servers' cache events, and whether the store's, this daemon reads for the fleet.
 void Agent::updateEventSources(Instant now) {
   if (now < nextEventSourcesAt_) return;
   nextEventSourcesAt_ = now + kEventSourceInterval;
@@ -222,7 +224,6 @@
   takeList();
 }
 
-// The list may have come from the platform or from another daemon.
 void Agent::takeList() {
   if (core_->list().readAt() == appliedListReadAt_) return;
   appliedListReadAt_ = core_->list().readAt();
@@ -243,7 +244,7 @@
   std::erase_if(servers_, [&](const auto& row) { return !names.contains(row.first); });
 }
 
-// What the list itself tells of a server stands in for its own word.
+// Used in place of polling the server.
 void Agent::applyListedState(PolledServer& row, Instant readAt) const {
   const ListRow& listed = row.listed;
   ServerState state;
@@ -273,13 +274,13 @@
   }
 }
 
-// A server's state with all that is known of it: its own word, the list's, and those of whoever
-// orders weights.
+// Combines the state that the server reported, the platform's list, and the notes of the daemon
+// that orders its weights.
 ServerState Agent::stateOf(const PolledServer& row, Instant now) const {
   ServerState state = *row.state;
   state.zone = row.listed.zone;
   state.leaving = row.listed.leaving;
-  // How old a told row may be is for the reader of listedAgoMicros to say.
+  // A state that came with the list is not aged here: readers check Snapshot::listedAgoMicros.
   state.healthy = state.healthy && (row.listed.told || now - row.healthyAt < kServerStateMaxAge);
   const ServerKnown known = core_->notes().over(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
@@ -300,7 +301,7 @@
   snapshot.configurationVersion = configurationVersion_;
   if (knownConfiguration != configurationVersion_)
     snapshot.configurationBody = core_->freshness().configuration().value.body;
-  // A configuration that this build can't read is not in force here, however fresh it is.
+  // A configuration that this build can't parse is not in force here, even if it is confirmed.
   const bool inForce = configurationVersion_ == core_->freshness().configuration().value.version &&
                        configurationVersion_ > 0;
   snapshot.confirmedAgoMicros = inForce ? ago(core_->freshness().confirmedAt()) : -1;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,5 +1,6 @@
 #pragma once
-// The agent's shell: one control thread round the control logic, with its sockets and its disk.
+// The agent: runs the control logic (AgentCore) on one control thread and connects it to sockets
+// and to the disk.
 #include <map>
 #include <memory>
 #include <optional>
@@ -20,54 +21,66 @@
 
 namespace quayrill {
 
-// The lease under which a model's servers are ordered.
+// Register key of the lease whose holder may order the servers of `model` to switch weights.
 RegisterKey rolloutLeaseKey(const ModelName& model);
 
+// One daemon's control plane: takes part in the replicated register, polls the model servers, rolls
+// out weights and serves the operator API.
 class Agent {
  public:
   Agent(Settings settings, Dialect dialect);
+  // Opens the data folder and the listening sockets. An error is meant for the operator.
   absl::Status start();
-  void run();  // on the calling thread, until stop
+  // Runs the control thread's event loop on the calling thread until stop().
+  void run();
+  // Announces to the fleet that this daemon is shutting down. May be called on any thread.
   void beginLeaving();
-  // Takes up what of changed settings can change while it runs: `withLiveSettings` in
-  // daemon/settings_watch.h names them. May be called on any thread.
+  // Applies those changed settings that a running daemon supports; withLiveSettings in
+  // daemon/settings_watch.h lists them. May be called on any thread.
   void applySettings(const Settings& changed);
+  // Ends run(). May be called on any thread.
   void stop();
-  // Leaving, and the register replica's vote is about to pass to another machine: the process is
-  // still needed. From any thread; known a tick after beginLeaving.
+  // True while this daemon is leaving and another machine is about to take over its register
+  // replica's vote; the process must not exit until then. May be called on any thread; valid one
+  // tick after beginLeaving().
   bool isHandingOver() const { return handingOver_; }
-  // Operator calls that were taken and not yet answered.
-  // The data plane in this process, told each time that something changed and every 100 ms. Set it
-  // before start; it is called on the control thread.
+  // Receives snapshots for the data plane in this process: on each configuration change, and every
+  // 100 ms. Must be set before start(); called on the control thread.
   using SnapshotListener = std::function<void(Snapshot, Instant)>;
-  void setSnapshotListener(SnapshotListener publishSnapshot) {
-    snapshotListener_ = std::move(publishSnapshot);
-  }
-  // The data plane in this process, told what those of the fleet observe. As setSnapshotListener.
+  void setSnapshotListener(SnapshotListener listener) { snapshotListener_ = std::move(listener); }
+  // Receives what the fleet's other data planes observe, under the same rules as the snapshot
+  // listener.
   using PlaneDigestListener = std::function<void(PlaneDigest, Instant)>;
-  void setPlaneDigestListener(PlaneDigestListener publishSnapshot) {
-    planeDigestListener_ = std::move(publishSnapshot);
+  void setPlaneDigestListener(PlaneDigestListener listener) {
+    planeDigestListener_ = std::move(listener);
   }
-  // What the data plane in this process observed. May be called on any thread.
+  // Accepts what the data plane in this process observed. May be called on any thread.
   void takePlaneReport(PlaneReport report);
+  // Operator calls that were accepted and not answered yet. May be called on any thread.
   std::size_t openOperatorCalls() const { return openOperatorCalls_; }
 
-  // For calls of operators, on the control thread. A register that is not heard can't be changed.
+  // The following are for operator calls and must run on the control thread.
+
+  // True if a majority of the register replicas confirmed the configuration recently. Otherwise the
+  // register can't be changed.
   bool isRegisterReachable() const;
-  // Reads, updates and proposes until it is known what became of it, or its time is over.
+  // Repeats read, update and propose until the outcome is known or the call times out.
   awaitable<UpdateDone> updateConfiguration(Update change);
-  // A read of the configuration through the register itself, which also settles it.
+  // A linearizable read of the configuration. It runs a round of the register, which also completes
+  // a change that was left half done.
   awaitable<ChangeDone> linearizableRead(Span timeout);
 
  private:
+  // A server on the platform's list, and its state as last read.
   struct PolledServer {
     ListRow listed;
     std::optional<ServerState> state;
-    Instant healthyAt{};  // start of the last poll that was answered
-    std::uint64_t generation = 0;
+    Instant healthyAt{};           // start of the last successful poll
+    std::uint64_t generation = 0;  // tells apart two poll loops of a server that was listed twice
   };
   using Waiter = std::function<void(const ChangeDone&)>;
 
+  // Carries out what the control logic decided: sends, disk writes, results of operations.
   void apply(AgentEffects effects);
   void onDiskReopened(Disk::Rows rows);
   void publishSnapshot(Instant now);
@@ -75,25 +88,31 @@
   void publishPlaneDigests(Instant now);
   awaitable<void> tickLoop();
   awaitable<void> readList();
+  // Adopts a newer server list, whether the platform or another daemon provided it.
   void takeList();
   awaitable<void> pollLoop(ServerName server, std::uint64_t generation);
+  // Fills a server's state from the list, for lists that include the state.
   void applyListedState(PolledServer& row, Instant readAt) const;
   void tickRollouts(Instant now);
   RolloutView rolloutView(const ModelName& model, Instant now) const;
-  void applyRollout(const ModelName& model, const RolloutEffects& made, Instant now);
+  void applyRollout(const ModelName& model, const RolloutEffects& rolloutEffects, Instant now);
+  // Names this run of the daemon as the holder of a fence.
   std::string fenceOwner() const;
-  // `decidedAt` is when the lease was last seen to outlast the order.
+  // `decidedAt` is when the lease was last checked to outlast the order.
   awaitable<void> sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt);
-  awaitable<void> requestWeightsReport(ModelName model, ReportAsk asked);
+  awaitable<void> requestWeightsReport(ModelName model, ReportAsk request);
+  // Adopts the newest configuration that the register confirmed, if this build can read it.
   void applyConfiguration();
 
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
   awaitable<HttpResponse> recover(HttpRequest& request);
   awaitable<HttpResponse> changeConfiguration(HttpRequest& request, bool isPatch);
+  // Submits a read or a change to the register and waits for its result.
   awaitable<ChangeDone> submitChange(ChangeAsked change);
-  // Enough register replicas that a change survives the loss of one.
+  // True if there are enough register replicas that a change survives the loss of one.
   bool hasReplicasToSpare() const;
   ServerState stateOf(const PolledServer& row, Instant now) const;
+  // Omits the configuration's body if `knownConfiguration` is the version in force.
   Snapshot snapshot(std::uint64_t knownConfiguration, Instant now) const;
   nlohmann::json membersJson(Instant now) const;
   nlohmann::json serversJson(Instant now) const;
@@ -110,11 +129,10 @@
   DecisionLog decisions_{20000};
   std::atomic<std::size_t> openOperatorCalls_{0};
   std::atomic<bool> handingOver_{false};
-  std::map<OperationId, Waiter> waiters_;  // one for each operator call under way
-  // servers_ holds exactly what the platform listed last.
-  std::map<ServerName, PolledServer> servers_;
+  std::map<OperationId, Waiter> waiters_;       // one per register operation in progress
+  std::map<ServerName, PolledServer> servers_;  // exactly the servers of the latest list
   std::uint64_t lastPollGeneration_ = 0;
-  std::optional<Instant> appliedListReadAt_;  // the reading that servers_ stands for
+  std::optional<Instant> appliedListReadAt_;  // when the list behind servers_ was read
   SnapshotListener snapshotListener_;
   PlaneDigestListener planeDigestListener_;
   std::vector<ServerName> eventSources_;
@@ -123,10 +141,10 @@
   Instant nextSnapshotAt_{};
   std::optional<Configuration> configuration_;  // the configuration in force, parsed
   std::uint64_t configurationVersion_ = 0;
-  // When the configuration in force here was last known to be the newest.
+  // When configuration_ was last known to be the newest one.
   std::optional<Instant> configurationConfirmedAt_;
-  std::map<ModelName, Rollout> rollouts_;  // of models that the configuration names weights for
-  std::map<ModelName, Instant> outdatedSince_;  // of those, where a server has other weights
+  std::map<ModelName, Rollout> rollouts_;  // one per model whose weights the configuration names
+  std::map<ModelName, Instant> outdatedSince_;  // models with servers on other weights than named
 };
 
 }  // namespace quayrill
--- a/src/agent/snapshot.cpp
+++ b/src/agent/snapshot.cpp
@@ -9,14 +9,14 @@
           state.queued, state.slots,   state.cacheTokens, ago.count()};
 }
 
-ServerState fromSnapshot(const SnapshotServer& row, Instant askedAt) {
+ServerState fromSnapshot(const SnapshotServer& row, Instant requestedAt) {
   return {row.name,        row.service,
           row.identity,    row.model,
           row.weights,     row.zone,
           row.healthy,     row.leaving,
           row.switching,   row.running,
           row.queued,      row.slots,
-          row.cacheTokens, askedAt - std::chrono::microseconds(row.polledAgoMicros)};
+          row.cacheTokens, requestedAt - std::chrono::microseconds(row.polledAgoMicros)};
 }
 
 }  // namespace quayrill
--- a/src/agent/view.h
+++ b/src/agent/view.h
@@ -1,5 +1,6 @@
 #pragma once
-// What a data plane acts by: the last word of its agent, with its ages turned into instants.
+// The data plane's view of the fleet: the latest snapshot from its agent, with ages converted back
+// to instants.
 #include <functional>
 #include <map>
 #include <memory>
@@ -11,26 +12,25 @@
 
 namespace quayrill {
 
-// Immutable once handed on; replaced whole by each answer of the agent.
+// Immutable once published; each snapshot from the agent replaces it as a whole.
 struct ProxyView {
-  std::shared_ptr<const Configuration> configuration;
+  std::shared_ptr<const Configuration> configuration;  // null until one was read
   std::uint64_t configurationVersion = 0;
-  Instant
-      confirmedAt{};   // the latest instant for which the configuration is known to be the newest
-  Instant listedAt{};  // the same for the server list
+  Instant confirmedAt{};  // latest time at which the configuration was known to be the newest
+  Instant listedAt{};     // when the server list was read
   std::vector<ServerState> servers;
-  std::set<ServerName> eventSources;  // whose cache events this daemon reads
+  std::set<ServerName> eventSources;  // servers whose cache events this daemon reads
   WeightsHistories weights;
 
-  // Until when requests may begin on that server's weights: `bound` after the first newer ones
-  // were named.
+  // The time until which requests may start on the server's weights: `bound` after the first newer
+  // version was named in the configuration.
   Instant usableUntil(const ServerState& server, Span bound) const {
     return weights.usableUntil(server.model, server.weights, bound);
   }
 };
 
-// The view that follows `before` by a snapshot asked for at `requestedAt`. A configuration that
-// can't be read leaves the one before in place, unconfirmed.
+// Returns the view that follows `before` after a snapshot requested at `requestedAt`. If the
+// configuration can't be parsed, the previous one stays, unconfirmed.
 ProxyView nextView(
     const ProxyView& before, const Snapshot& snapshot, Instant requestedAt,
     const std::function<absl::StatusOr<Configuration>(const std::string&)>& readConfiguration);
