--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-HttpResponse rejected(const std::string& why) {
+HttpResponse turnedAway(const std::string& why) {
   HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
   response.set(http::field::retry_after, "1");
   return response;
@@ -48,10 +48,10 @@
         {ErrorKind::MalformedRequest, "?expect=VERSION is missing: name the version you read"});
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
-    co_return rejected("too few register replicas to survive the loss of one");
+    co_return turnedAway("too few register replicas to survive the loss of one");
   const ChangeDone current = co_await linearizableRead(2s);
   if (current.result != ChangeResult::Chosen)
-    co_return rejected("no majority of register replicas answered");
+    co_return turnedAway("no majority of register replicas answered");
   if (current.value.version != expected) {
     HttpResponse response =
         errorResponse({ErrorKind::VersionConflict,
@@ -90,7 +90,7 @@
       co_return response;
     }
     case ChangeResult::NotTried:
-      co_return rejected("no majority of register replicas answered");
+      co_return turnedAway("no majority of register replicas answered");
     case ChangeResult::Unknown:
       break;
   }
@@ -120,7 +120,8 @@
   AgentEffects effects;
   const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.rejected.empty()) co_return errorResponse({ErrorKind::RegisterLives, made.rejected});
+  if (!made.turnedAway.empty())
+    co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
   // A round of the new register shows that what founds it is synced.
   const ChangeDone done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
@@ -223,7 +224,7 @@
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
     const ChangeDone done = co_await linearizableRead(2s);
     if (done.result != ChangeResult::Chosen)
-      co_return rejected("no majority of register replicas answered");
+      co_return turnedAway("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
   co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
