--- a/src/agent/configuration_update.cpp
+++ b/src/agent/configuration_update.cpp
@@ -1,4 +1,4 @@
-// Changes to the register's body that build on what stands there.
+// Changes to the configuration that are based on its current value (read, modify, propose).
 #include <glog/logging.h>
 
 #include "agent/agent.h"
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr Span kUpdateTimeout = 3500ms;
-constexpr Span kRegisterContactMaxAge = 2s;  // ours: several rounds of confirming
+constexpr Span kRegisterContactMaxAge = 2s;  // several confirmation rounds
 }  // namespace
 
 bool Agent::isRegisterReachable() const {
@@ -37,7 +37,7 @@
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Taken)
-    LOG(INFO) << "change of the configuration acknowledged";
+    LOG(INFO) << "configuration change acknowledged";
   co_return *updateOperation.done();
 }
 
--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -1,4 +1,4 @@
-// The operator API of an agent.
+// The agent's operator API over HTTP.
 #include <glog/logging.h>
 
 #include "agent/agent.h"
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-HttpResponse turnedAway(const std::string& why) {
+HttpResponse rejection(const std::string& why) {
   HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
   response.set(http::field::retry_after, "1");
   return response;
@@ -48,10 +48,10 @@
         {ErrorKind::MalformedRequest, "?expect=VERSION is missing: name the version you read"});
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
-    co_return turnedAway("too few register replicas to survive the loss of one");
+    co_return rejection("too few register replicas to survive the loss of one");
   const ChangeDone current = co_await linearizableRead(2s);
   if (current.result != ChangeResult::Chosen)
-    co_return turnedAway("no majority of register replicas answered");
+    co_return rejection("no majority of register replicas answered");
   if (current.value.version != expected) {
     HttpResponse response =
         errorResponse({ErrorKind::VersionConflict,
@@ -90,14 +90,15 @@
       co_return response;
     }
     case ChangeResult::NotTried:
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejection("no majority of register replicas answered");
     case ChangeResult::Unknown:
       break;
   }
   co_return errorResponse({ErrorKind::ChangeUnknown, "the change may or may not be made"});
 }
 
-// The last resort: the majority of the register's disks is lost for good.
+// Founds a new register on this machine's disk. The last resort, for when a majority of the
+// register's disks is lost for good.
 awaitable<HttpResponse> Agent::recover(HttpRequest& request) {
   const std::string fleet = std::to_string(core_->freshness().replicas().fleet);
   if (queryValue(request, "confirm") != fleet)
@@ -122,11 +123,11 @@
   apply(std::move(effects));
   if (!made.turnedAway.empty())
     co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
-  // A round of the new register shows that what founds it is synced.
+  // A successful round of the new register shows that its founding state is synced to disk.
   const ChangeDone done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
     co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
-  LOG(INFO) << "register founded again as fleet " << made.replicas.fleet;
+  LOG(INFO) << "new register founded as fleet " << made.replicas.fleet;
   co_return jsonResponse(200, {{"fleet", made.replicas.fleet},
                                {"epoch", made.replicas.epoch.value},
                                {"version", made.configurationVersion}});
@@ -224,7 +225,7 @@
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
     const ChangeDone done = co_await linearizableRead(2s);
     if (done.result != ChangeResult::Chosen)
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejection("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
   co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
--- a/src/agent/weights_orders.cpp
+++ b/src/agent/weights_orders.cpp
@@ -1,4 +1,4 @@
-// The roll-out of weights: what the agent's sockets do for it.
+// Rollout of weights: runs the rollout logic of each model and sends its orders to the servers.
 #include "agent/agent.h"
 
 namespace quayrill {
@@ -6,11 +6,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kOrderTimeout = 1500ms;  // from the decision on
-// Ours: all daemons are told that a server is to switch before it is ordered. Prompts that wait
-// there begin meanwhile; those that had not begun by the order would be turned away.
+constexpr Span kOrderTimeout = 1500ms;  // counted from the decision, not from the send
+// Delay between announcing a server's switch to all daemons and ordering it. Prompts queued at the
+// server can start meanwhile; the server rejects those that have not started when the order comes.
 constexpr Span kNoticeInterval = 400ms;
-constexpr Span kLeaseMargin = 300ms;  // by which a lease outlasts an order
+constexpr Span kLeaseMargin = 300ms;  // minimum by which the lease outlasts an order
 constexpr Span kReportTimeout = 700ms;
 
 std::string rolloutRole(const ModelName& model) { return "orders/" + model.value; }
@@ -20,7 +20,7 @@
   return RegisterKey{"hold/" + rolloutRole(model)};
 }
 
-// No other life of a daemon has the same.
+// The nonce makes it unique among all runs of all daemons.
 std::string Agent::fenceOwner() const {
   const std::string name = settings_.node.empty() ? settings_.peer.value : settings_.node;
   return name + "/" + std::to_string(core_->settings().nonce);
@@ -47,7 +47,7 @@
   std::erase_if(rollouts_,
                 [&](const auto& row) { return !configuration_->weights.contains(row.first); });
   for (const auto& [model, newest] : configuration_->weights) {
-    // The lease itself waits a lease out before it counts.
+    // No extra wait: a new lease takes effect only after the previous one must have expired.
     const RolloutSettings rolloutSettings{settings_.rolloutDue, Span{}};
     Rollout& rollout = rollouts_.try_emplace(model, model, rolloutSettings).first->second;
     const RolloutView view = rolloutView(model, now);
@@ -55,11 +55,12 @@
     AgentEffects effects;
     const auto held = core_->held(key, Span{}, now);
     if (held && rollout.isFencedOff(*held)) {
-      // Whoever follows counts its wait from the release: nothing of ours may arrive after it.
+      // The next holder counts its waiting time from the release, so none of this daemon's orders
+      // may still be in flight.
       if (!rollout.hasOpenOrder()) core_->releaseLease(key, now, &effects);
     } else if (rollout.wantsLease(view)) {
       Instant& outdatedSince = outdatedSince_.try_emplace(model, now).first->second;
-      // As long as somebody tells of its orders, nothing is overdue.
+      // The rollout is not overdue as long as some daemon reports on its orders.
       const Instant lastActivity =
           std::max(outdatedSince, core_->notes().lastSign(model).value_or(outdatedSince));
       if (held || core_->mayStepIn(rolloutRole(model), now - lastActivity, now))
@@ -87,11 +88,11 @@
 }
 
 awaitable<void> Agent::sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt) {
-  // GCC 12 destroys an aggregate temporary of a co_await twice: what is handed over has a name.
+  // Named, because GCC 12 destroys aggregate temporaries in a co_await expression twice.
   const Address address{order.server.value};
   const std::string owner = fenceOwner();
   co_await pauseFor(kNoticeInterval);
-  // What stood still since it was decided has that much less time, or is not sent at all.
+  // If the process was suspended since the decision, the order has less time left or is not sent.
   const Span timeout = kOrderTimeout - (BootClock::now() - decidedAt);
   OrderAnswer answer = OrderAnswer::Unclear;
   if (timeout > Span{}) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -16,9 +16,9 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The platform needs to see that it is not ready before connections stop: it takes what still comes
-// meanwhile, then it only finishes. What was accepted has until its deadline, however short the
-// grace.
+// Shuts the proxy down gracefully. The platform must see that the proxy is not ready before
+// connections are refused, so requests are still accepted for a while; after that, open ones only
+// finish. Accepted requests have until their deadline, even if the grace period is shorter.
 void leave(Proxy& plane, const Settings& settings) {
   plane.beginLeaving();
   const Span grace = std::max<Span>(settings.grace, plane.longestRequestTimeout() + 2s);
@@ -30,9 +30,9 @@
   plane.stop();
 }
 
-// Operators still call an agent that stands alone for a while. A register replica that another
-// machine is about to stand in for votes until then; where none can, it stays a member, for a
-// restart brings it back with its disk.
+// Waits before the agent stops. A stand-alone agent stays up for a while for operators. If another
+// machine is about to replace this register replica, the replica votes until the handover is done.
+// If none can, the replica stays a member: a restart brings it back with its disk.
 void waitForHandover(const Agent& agent, const Settings& settings, Instant receivedAt) {
   const auto until = [&](Span span) {
     return std::max<Span>(Span{}, receivedAt + span - BootClock::now());
@@ -43,7 +43,7 @@
     std::this_thread::sleep_for(20ms);
 }
 
-// The relay has a schedule of its own, within the grace.
+// Shuts the relay down gracefully. The relay has its own schedule within the grace period.
 void leave(Relay& relay) {
   relay.beginLeaving();
   while (!relay.hasLeft()) std::this_thread::sleep_for(20ms);
@@ -62,7 +62,7 @@
   sigaddset(&handledSignals, SIGHUP);
   pthread_sigmask(SIG_BLOCK, &handledSignals, nullptr);  // before any thread starts
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a write over a file size limit is a error like a full disk
+  std::signal(SIGXFSZ, SIG_IGN);  // a write over the file size limit must fail like on a full disk
 
   std::unique_ptr<Agent> agent;
   std::unique_ptr<Proxy> proxy;
@@ -98,9 +98,9 @@
       std::_Exit(1);
     }
   }
-  LOG(INFO) << program << " " QUAYRILL_VERSION " serves as " << settings.role;
+  LOG(INFO) << program << " " QUAYRILL_VERSION " started with role " << settings.role;
   if (const std::string off = settings.mechanisms.namesOff(); !off.empty())
-    LOG(WARNING) << "switched off: " << off;
+    LOG(WARNING) << "mechanisms switched off: " << off;
   SettingsWatch watch(std::move(source), settings, [&agent](const Settings& changed) {
     if (agent) agent->applySettings(changed);
   });
@@ -108,21 +108,21 @@
   while (sigwait(&handledSignals, &signal) == 0 && signal == SIGHUP) watch.requestReload();
   const Instant receivedAt = BootClock::now();
   settings = watch.stop();
-  LOG(INFO) << "leaving: not ready, finishing what was accepted";
+  LOG(INFO) << "shutting down: no longer ready, finishing accepted requests";
   if (agent) agent->beginLeaving();
   if (proxy) leave(*proxy, settings);
   if (relay) leave(*relay);
   if (agent) {
-    // A proxy beside this agent finishes on its word that the configuration still stands.
+    // A separate proxy process needs this agent's confirmations to finish its requests.
     waitForHandover(*agent, settings, receivedAt);
-    // Each operator's call has a due of its own, so this ends by itself.
+    // Each operator call has its own timeout, so this loop ends.
     while (agent->openOperatorCalls() > 0) std::this_thread::sleep_for(20ms);
     agent->stop();
     controlThread.join();
   }
-  LOG(INFO) << "ended";
+  LOG(INFO) << "shutdown complete";
   google::FlushLogFiles(google::INFO);
-  std::_Exit(0);  // what still runs holds nothing that must be written
+  std::_Exit(0);  // threads that still run have nothing to write
 }
 
 }  // namespace quayrill
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -9,13 +9,14 @@
 namespace quayrill {
 
 namespace {
-// SIGHUP or not, a change is taken up within this and one look more.
+// Even without SIGHUP, a change is applied within this interval plus one more poll.
 constexpr std::chrono::milliseconds kPollInterval{1000};
-// A writer that is in the midst of the file is given this to write on.
+// Time between the two reads that must agree, so that a writer can finish the file.
 constexpr std::chrono::milliseconds kSettleInterval{200};
-constexpr std::size_t kFileLimit = 1 << 20;  // bytes; settings files have some thousand
+constexpr std::size_t kFileLimit = 1 << 20;  // bytes; settings files have a few thousand
 
-// The names are those of the own settings file where it has the setting.
+// A setting that only a restart can change. Named as in quayrill's settings file where it has the
+// setting.
 struct StartSetting {
   const char* name;
   bool (*same)(const Settings&, const Settings&);
@@ -26,8 +27,8 @@
   return a.*field == b.*field;
 }
 
-// Not here: what `withLiveSettings` takes up, and whether the platform calls this the first start
-// of all, which only a start can be.
+// Leaves out the settings that withLiveSettings applies, and the platform's flag for the fleet's
+// first start, which is meaningless to a daemon that runs already.
 constexpr std::array kStartSettings = {
     StartSetting{"role", same<&Settings::role>},
     StartSetting{"node", same<&Settings::node>},
@@ -105,111 +106,113 @@
 }
 
 Settings withLiveSettings(const Settings& before, const Settings& after) {
-  Settings taken = before;
-  taken.seeds = after.seeds;
-  taken.platform = after.platform;
-  taken.listEvery = after.listEvery;
-  taken.listCallsPerS = after.listCallsPerS;
-  taken.grace = after.grace;
-  return taken;
+  Settings applied = before;
+  applied.seeds = after.seeds;
+  applied.platform = after.platform;
+  applied.listEvery = after.listEvery;
+  applied.listCallsPerS = after.listCallsPerS;
+  applied.grace = after.grace;
+  return applied;
 }
 
 SettingsReloader::SettingsReloader(SettingsSource source, Settings inForce)
     : source_(std::move(source)),
       inForce_(std::move(inForce)),
       appliedText_(source_.text),
-      seen_(source_.text),
-      judged_(source_.text) {}
-
-SettingsPollResult SettingsReloader::onPoll(const std::optional<std::string>& text, bool asked) {
-  asked_ = asked_ || asked;
-  const bool rests = text == seen_;
-  seen_ = text;
-  if (rests && text == judged_ && !asked_) return {};
-  if (!rests) {
-    SettingsPollResult look;
-    look.pollSoon = true;
-    return look;
+      polledText_(source_.text),
+      evaluatedText_(source_.text) {}
+
+SettingsPollResult SettingsReloader::onPoll(const std::optional<std::string>& text,
+                                            bool reloadRequested) {
+  reloadRequested_ = reloadRequested_ || reloadRequested;
+  const bool isStable = text == polledText_;
+  polledText_ = text;
+  if (isStable && text == evaluatedText_ && !reloadRequested_) return {};
+  if (!isStable) {
+    SettingsPollResult result;
+    result.pollSoon = true;
+    return result;
   }
-  const bool known = text == judged_;
-  judged_ = text;
-  asked_ = false;
-  if (known && text == appliedText_) {
-    SettingsPollResult look;
-    look.notice = "settings file '" + source_.file + "' is unchanged";
-    return look;
+  const bool isEvaluated = text == evaluatedText_;
+  evaluatedText_ = text;
+  reloadRequested_ = false;
+  if (isEvaluated && text == appliedText_) {
+    SettingsPollResult result;
+    result.notice = "settings file '" + source_.file + "' is unchanged";
+    return result;
   }
-  return judge(text);
+  return evaluate(text);
 }
 
-SettingsPollResult SettingsReloader::judge(const std::optional<std::string>& text) {
-  SettingsPollResult look;
-  const std::string named = "settings file '" + source_.file + "' ";
-  const std::string old = ": the settings read before stay in force";
+SettingsPollResult SettingsReloader::evaluate(const std::optional<std::string>& text) {
+  SettingsPollResult result;
+  const std::string subject = "settings file '" + source_.file + "' ";
+  const std::string consequence = ": the previous settings stay in force";
   if (!text) {
-    look.error = named + "can't be read: put it back" + old;
-    return look;
+    result.error = subject + "can't be read: put it back" + consequence;
+    return result;
   }
-  const auto read = source_.read(*text);
-  if (!read.ok()) {
-    look.error = named + "is refused, " + std::string(read.status().message()) + old;
-    return look;
+  const auto parsed = source_.read(*text);
+  if (!parsed.ok()) {
+    result.error = subject + "is refused, " + std::string(parsed.status().message()) + consequence;
+    return result;
   }
   appliedText_ = *text;
-  const std::vector<std::string> waiting = settingsNeedingRestart(inForce_, *read);
-  Settings taken = withLiveSettings(inForce_, *read);
-  look.notice = named + "is read anew, seeds " + joined(taken.seeds);
-  if (!waiting.empty())
-    look.notice += "; not taken up before you restart this daemon: " + joined(waiting);
-  if (differsLive(inForce_, taken)) look.changed = taken;
-  inForce_ = std::move(taken);
-  return look;
+  const std::vector<std::string> needRestart = settingsNeedingRestart(inForce_, *parsed);
+  Settings applied = withLiveSettings(inForce_, *parsed);
+  result.notice = subject + "is read anew, seeds " + joined(applied.seeds);
+  if (!needRestart.empty())
+    result.notice += "; restart this daemon to apply: " + joined(needRestart);
+  if (differsLive(inForce_, applied)) result.changed = applied;
+  inForce_ = std::move(applied);
+  return result;
 }
 
-SettingsWatch::SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback takeUp)
+SettingsWatch::SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback applyCallback)
     : file_(source.file),
-      judge_(std::move(source), std::move(inForce)),
-      applyCallback_(std::move(takeUp)),
+      reloader_(std::move(source), std::move(inForce)),
+      applyCallback_(std::move(applyCallback)),
       thread_([this] { run(); }) {}
 
 SettingsWatch::~SettingsWatch() { stop(); }
 
 void SettingsWatch::requestReload() {
   const std::lock_guard lock(mutex_);
-  hup_ = true;
+  reloadRequested_ = true;
   wake_.notify_all();
 }
 
 Settings SettingsWatch::stop() {
   {
     const std::lock_guard lock(mutex_);
-    ended_ = true;
+    stopping_ = true;
     wake_.notify_all();
   }
   if (thread_.joinable()) thread_.join();
-  return judge_.inForce();
+  return reloader_.inForce();
 }
 
-// False: the watch has ended. `*asked` tells of a SIGHUP since the last look.
-bool SettingsWatch::waitForPoll(std::chrono::milliseconds span, bool* asked) {
+// Returns false once the watch is stopped. Sets `*reloadRequested` if SIGHUP came since the last
+// poll.
+bool SettingsWatch::waitForPoll(std::chrono::milliseconds interval, bool* reloadRequested) {
   std::unique_lock lock(mutex_);
-  wake_.wait_for(lock, span, [this] { return hup_ || ended_; });
-  *asked = std::exchange(hup_, false);
-  return !ended_;
+  wake_.wait_for(lock, interval, [this] { return reloadRequested_ || stopping_; });
+  *reloadRequested = std::exchange(reloadRequested_, false);
+  return !stopping_;
 }
 
 void SettingsWatch::run() {
-  std::chrono::milliseconds span = kPollInterval;
-  for (bool asked = false; waitForPoll(span, &asked);) {
+  std::chrono::milliseconds interval = kPollInterval;
+  for (bool reloadRequested = false; waitForPoll(interval, &reloadRequested);) {
     if (file_.empty()) {
-      if (asked) LOG(INFO) << "SIGHUP: started without a settings file, so nothing to read";
+      if (reloadRequested) LOG(INFO) << "SIGHUP ignored: started without a settings file";
       continue;
     }
-    const SettingsPollResult look = judge_.onPoll(readSettingsFile(file_), asked);
-    if (!look.error.empty()) LOG(ERROR) << look.error;
-    if (!look.notice.empty()) LOG(INFO) << look.notice;
-    if (look.changed) applyCallback_(*look.changed);
-    span = look.pollSoon ? kSettleInterval : kPollInterval;
+    const SettingsPollResult result = reloader_.onPoll(readSettingsFile(file_), reloadRequested);
+    if (!result.error.empty()) LOG(ERROR) << result.error;
+    if (!result.notice.empty()) LOG(INFO) << result.notice;
+    if (result.changed) applyCallback_(*result.changed);
+    interval = result.pollSoon ? kSettleInterval : kPollInterval;
   }
 }
 
--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -1,8 +1,8 @@
 #pragma once
-// The settings file while the daemon runs. Whoever changes it may say so by SIGHUP or not say it;
-// either way its text is read about once a second and judged once it has come to rest. What can
-// change in a running daemon is taken up, the rest is named as waiting for a restart, and a file
-// that is not understood is refused whole.
+// Reloads the settings file while the daemon runs, with or without a SIGHUP. The file is read about
+// once a second, and its text is evaluated once two consecutive reads agree. Settings that a
+// running daemon can change are applied, others are reported as needing a restart, and a file that
+// can't be parsed is rejected as a whole.
 #include <absl/status/statusor.h>
 
 #include <chrono>
@@ -17,64 +17,65 @@
 
 namespace quayrill {
 
-// From the text of a settings file to settings; an error names the field and the remedy.
+// Parses the text of a settings file. An error names the field and the remedy.
 using SettingsParser = std::function<absl::StatusOr<Settings>(const std::string& text)>;
 
-// Where a program's settings come from, and how it reads them.
+// Where a program's settings come from, and how they are parsed.
 struct SettingsSource {
-  std::string file;  // "": there is none, and `text` stands for it
-  std::string text;  // as it was read at the start
+  std::string file;  // path; empty: there is no file, and `text` is used instead
+  std::string text;  // the text that the daemon started with
   SettingsParser read;
 };
 
-// The file's text, or nothing where it can't be read or is longer than any settings file.
+// Returns the file's text, or nullopt if it can't be read or is too long for a settings file.
 std::optional<std::string> readSettingsFile(const std::string& file);
 
-// The settings to start by. Keeps the text they were made of in `source`.
+// Reads the settings to start with. Stores the text they were parsed from in `source`.
 absl::StatusOr<Settings> loadSettings(SettingsSource* source);
 
 // Names of the settings that differ and that a running daemon can't change: its addresses, data
-// folder, role and the bounds that its parts were built with.
+// folder, role and the limits that its components were constructed with.
 std::vector<std::string> settingsNeedingRestart(const Settings& before, const Settings& after);
 
-// `before`, with what a running daemon can change as it is in `after`: the seeds, the platform's
-// address, how often its list is read, and the grace of SIGTERM.
+// Returns `before` with the settings that a running daemon can change taken from `after`: the
+// seeds, the platform's address, the interval and rate limit for reading the server list, and the
+// grace period after SIGTERM.
 Settings withLiveSettings(const Settings& before, const Settings& after);
 
-// What came of one look at the file.
+// Result of one poll of the file.
 struct SettingsPollResult {
-  std::optional<Settings> changed;  // take these up
-  std::string error;                // one line for the log; "" where nothing is refused
-  std::string notice;               // the same, of what is no error
-  bool pollSoon = false;            // the text has just changed: it may be half written
+  std::optional<Settings> changed;  // settings to apply
+  std::string error;                // one line for the error log; empty if there is none
+  std::string notice;               // one line for the info log; empty if there is none
+  bool pollSoon = false;            // the text has just changed and may be half written
 };
 
-// Judges the texts that were seen. No clock, file or thread of its own.
+// Decides what to do with each text that was read. Uses no clock, file or thread.
 class SettingsReloader {
  public:
   SettingsReloader(SettingsSource source, Settings inForce);
 
-  // `text` is what the file holds now, or nothing where it can't be read; `asked` is true where
-  // SIGHUP came since the last look. A text is judged once, when two looks have shown the same, and
-  // again at each SIGHUP.
-  SettingsPollResult onPoll(const std::optional<std::string>& text, bool asked);
+  // `text` is the file's current text, or nullopt if it can't be read. `reloadRequested` is true if
+  // SIGHUP came since the last poll. A text is evaluated once, when two consecutive polls returned
+  // it, and again at each SIGHUP.
+  SettingsPollResult onPoll(const std::optional<std::string>& text, bool reloadRequested);
   const Settings& inForce() const { return inForce_; }
 
  private:
-  SettingsPollResult judge(const std::optional<std::string>& text);
+  SettingsPollResult evaluate(const std::optional<std::string>& text);
 
   SettingsSource source_;
   Settings inForce_;
   std::string appliedText_;
-  std::optional<std::string> seen_;    // at the last look
-  std::optional<std::string> judged_;  // taken or refused
-  bool asked_ = false;                 // by SIGHUP, and not judged since
+  std::optional<std::string> polledText_;     // of the last poll
+  std::optional<std::string> evaluatedText_;  // last text that was applied or rejected
+  bool reloadRequested_ = false;              // by SIGHUP, and not evaluated since
 };
 
-// Looks at the file on a thread of its own.
+// Polls the file on its own thread.
 class SettingsWatch {
  public:
-  // Called on the watch's thread, once for each change.
+  // Called on the watch's thread, once per change.
   using ApplyCallback = std::function<void(const Settings&)>;
 
   SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback takeUp);
@@ -82,21 +83,22 @@
   SettingsWatch(const SettingsWatch&) = delete;
   SettingsWatch& operator=(const SettingsWatch&) = delete;
 
+  // Reads the file now instead of at the next poll.
   void requestReload();
-  // Ends the watch; the settings in force then.
+  // Ends the watch and returns the settings in force.
   Settings stop();
 
  private:
   void run();
-  bool waitForPoll(std::chrono::milliseconds span, bool* asked);
+  bool waitForPoll(std::chrono::milliseconds interval, bool* reloadRequested);
 
   const std::string file_;
-  SettingsReloader judge_;  // the thread's own until it has ended
+  SettingsReloader reloader_;  // used by thread_ only, until it has ended
   ApplyCallback applyCallback_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  bool hup_ = false;
-  bool ended_ = false;
+  bool reloadRequested_ = false;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
