--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -120,7 +120,7 @@
     agent->stop();
     controlThread.join();
   }
-  LOG(INFO) << "shutdown complete";
+  LOG(INFO) << "ended";
   google::FlushLogFiles(google::INFO);
   std::_Exit(0);  // threads that still run have nothing to write
 }
--- a/src/net/asio.h
+++ b/src/net/asio.h
@@ -1,5 +1,5 @@
 #pragma once
-// The parts of Asio and Beast that the shells use, under short names.
+// Short names for the parts of Asio and Beast that the daemon's I/O code uses, and small helpers.
 #include <absl/status/status.h>
 
 #include <boost/asio.hpp>
@@ -25,16 +25,18 @@
 using ErrorCode = boost::system::error_code;
 using Connection = beast::tcp_stream;
 
+// Completion token for co_await that stores the error in `code` instead of throwing.
 inline asio::redirect_error_t<std::decay_t<decltype(use_awaitable)>> into(ErrorCode& code) {
   return asio::redirect_error(use_awaitable, code);
 }
 
+// Parses "ip:port"; returns a default endpoint if the IP address is invalid.
 Tcp::endpoint endpointOf(const Address& address);
 
-// Opens, binds and listens; the error names the address and the remedy.
+// Opens, binds and listens. An error names the address and the remedy.
 absl::Status listenAt(Tcp::acceptor& acceptor, const Address& address, int backlog);
 
-// Waits on the executor's own timer.
+// Suspends the calling coroutine for `span`, using a timer on its executor.
 awaitable<void> pauseFor(Span span);
 
 }  // namespace quayrill
--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -11,16 +11,16 @@
 namespace {
 constexpr std::chrono::seconds kOpenTimeout{1};
 constexpr char kProbeKey[] = "probe";
-constexpr char kChecksumKey[] = "sum";  // of all others; synced with each batch
+constexpr char kChecksumKey[] = "sum";  // checksum over all other rows; synced with each batch
 
-absl::Status damaged(const std::string& what) {
+absl::Status damagedError(const std::string& what) {
   return absl::DataLossError("data folder: " + what +
                              ": start with an empty folder; the machine joins as a new member");
 }
 }  // namespace
 
-Disk::Disk(DiskSettings settings, ReopenedCallback readAnew)
-    : settings_(std::move(settings)), onReopened_(std::move(readAnew)) {
+Disk::Disk(DiskSettings settings, ReopenedCallback onReopened)
+    : settings_(std::move(settings)), onReopened_(std::move(onReopened)) {
   env_ = syncedFolderEnv(settings_.files.env ? settings_.files : hostFileSystem());
   if (!settings_.syncDelayFile.empty())
     slowSyncEnv_ = slowSyncEnv(settings_.syncDelayFile, env_.get());
@@ -35,14 +35,14 @@
   if (thread_.joinable()) thread_.join();
 }
 
-// Opening writes: LevelDB rewrites its log into a table and syncs it, so what is read afterwards is
-// on the disk, whatever became of the write that failed.
+// Opening also writes: LevelDB rewrites its log into a table and syncs it. What is read afterwards
+// is therefore on the disk, whatever happened to the write that failed.
 absl::Status Disk::openFolder() {
   absl::Status status = openDatabase(true);
   if (status.ok()) status = readRows();
   if (absl::IsDataLoss(status)) {
-    // A loss of power may leave a hole in the last batch of a log, which was not synced then.
-    // Read past it; the sum tells whether anything else is missing.
+    // A power loss may leave a hole in the last batch of a log, if that batch was not synced yet.
+    // Open again tolerating it; the checksum detects whether anything else is missing.
     status = openDatabase(false);
     if (status.ok()) status = readRows();
     if (status.ok()) status = openDatabase(true);
@@ -61,7 +61,7 @@
   options.env = slowSyncEnv_ ? slowSyncEnv_.get() : env_.get();
   leveldb::DB* db = nullptr;
   auto status = leveldb::DB::Open(options, settings_.folder + "/register", &db);
-  if (status.IsCorruption()) return damaged(status.ToString());
+  if (status.IsCorruption()) return damagedError(status.ToString());
   if (!status.ok() && status.ToString().find("lock") != std::string::npos)
     return absl::FailedPreconditionError("data folder: " + status.ToString() +
                                          ": end the other process or name another folder");
@@ -87,14 +87,14 @@
   std::unique_ptr<leveldb::Iterator> row(db_->NewIterator(options));
   for (row->SeekToFirst(); row->Valid(); row->Next())
     rows_[row->key().ToString()] = row->value().ToString();
-  if (row->status().IsCorruption()) return damaged(row->status().ToString());
+  if (row->status().IsCorruption()) return damagedError(row->status().ToString());
   if (!row->status().ok()) return absl::UnavailableError(row->status().ToString());
   rows_.erase(kProbeKey);
   std::optional<std::string> sum;
   if (auto kept = rows_.extract(kChecksumKey)) sum = std::move(kept.mapped());
   for (const auto& [key, bytes] : rows_) addRowHash({key, bytes});
-  // A folder of an earlier build has no sum yet.
-  if (sum && *sum != std::to_string(rowHashSum_)) return damaged("rows are missing");
+  // A folder written by an earlier build has no checksum yet.
+  if (sum && *sum != std::to_string(rowHashSum_)) return damagedError("rows are missing");
   return absl::OkStatus();
 }
 
@@ -122,16 +122,16 @@
   const absl::Status status = openFolder();
   std::optional<Rows> rows;
   if (status.ok()) rows = std::move(rows_);
-  bool waits = false;
+  bool isOpenWaiting = false;
   {
     std::lock_guard lock(mutex_);
-    waits = isOpenWaiting_;
+    isOpenWaiting = isOpenWaiting_;
     firstOpening_ = status;
-    if (waits) firstRows_ = rows;
+    if (isOpenWaiting) firstRows_ = rows;
   }
   wake_.notify_all();
   error_ = status;
-  if (waits || !status.ok()) return;
+  if (isOpenWaiting || !status.ok()) return;
   error_ = absl::UnavailableError("the rows of a late opening are not taken yet");
   rowsDelivered_ = true;
   onReopened_(*rows);
@@ -161,15 +161,15 @@
 
 void Disk::put(const std::deque<Job>& batch) {
   leveldb::WriteBatch changes;
-  bool any = false;
+  bool hasWrites = false;
   for (const Job& job : batch) {
     for (const DiskWrite& write : job.writes) {
       changes.Put(write.key, write.bytes);
       addRowHash(write);
-      any = true;
+      hasWrites = true;
     }
   }
-  if (!any) return;
+  if (!hasWrites) return;
   changes.Put(kChecksumKey, std::to_string(rowHashSum_));
   leveldb::WriteOptions options;
   options.sync = true;
@@ -190,7 +190,8 @@
       else
         wake_.wait_for(lock, settings_.retryInterval, woken);
       if (stopping_ && jobs_.empty()) return;
-      // A batch ends before a mark, so that what came earlier fails and what comes later is kept.
+      // A batch ends before a resume mark, so that writes before it fail and writes after it are
+      // kept.
       while (!jobs_.empty() && jobs_.front().done) {
         batch.push_back(std::move(jobs_.front()));
         jobs_.pop_front();
--- a/src/net/disk.h
+++ b/src/net/disk.h
@@ -1,6 +1,6 @@
 #pragma once
-// The data folder: LevelDB behind one thread. Everything waiting is synced in one batch, then
-// answered in order.
+// The data folder: a LevelDB database that one thread owns. All waiting writes are synced as one
+// batch and then acknowledged in order.
 #include <absl/status/statusor.h>
 
 #include <chrono>
@@ -24,40 +24,43 @@
 
 namespace quayrill {
 
-// Ours, in bytes: a log that has grown past it is turned into a table. LevelDB lets writes wait
-// when twelve tables are not compacted yet, so with batches of up to 1 MB the folder holds at most
-// about 13 tables and two logs of up to 2 MB each; and an opening has little to read.
+// LevelDB turns a log that has grown past this size into a table. It stalls writes while twelve
+// tables wait for compaction, so with batches of up to 1 MB the folder holds at most about 13
+// tables and two logs of up to 2 MB each, and opening it has little to read.
 inline constexpr std::size_t kWriteBufferBytes = 1 << 20;
 
 struct DiskSettings {
   std::string folder;
-  std::string syncDelayFile;                      // "" but in runs with a slow disk
-  std::chrono::milliseconds retryInterval{1000};  // how often a defective disk is opened anew
-  FileSystem files{};                             // none: the system's
+  std::string syncDelayFile;                      // for tests with a slow disk; else empty
+  std::chrono::milliseconds retryInterval{1000};  // between attempts to reopen a failed disk
+  FileSystem files{};                             // default: the host's file system
   std::size_t writeBuffer = kWriteBufferBytes;
 };
 
+// Stores the register replica's rows durably. After an I/O error it reopens the database until that
+// works, and then hands over the rows that are really there.
 class Disk {
  public:
   using Done = std::function<void(absl::Status)>;
   using Rows = std::map<std::string, std::string>;
-  // Told on the disk's thread, each time that a defective folder was opened and read anew.
+  // Called on the disk's thread, each time that a failed folder was reopened and read again.
   using ReopenedCallback = std::function<void(Rows)>;
-  Disk(DiskSettings settings, ReopenedCallback readAnew);
+  Disk(DiskSettings settings, ReopenedCallback onReopened);
   ~Disk();
-  // The rows kept; nothing where the folder can't be written now (full) or takes over a second
-  // (stalled): the rows come by readAnew then. An error is for the operator: a folder that is
-  // damaged, or in use by another process.
+  // Returns the stored rows. Returns nullopt if the folder can't be written now (full) or takes
+  // over a second (stalled); the rows are then passed to the reopened callback later. An error is
+  // meant for the operator: the folder is damaged, or in use by another process.
   absl::StatusOr<std::optional<Rows>> open();
-  // `done` is called on the disk's thread, after the sync. After one error every later call fails
-  // until the folder was read anew and the reader, who has taken those rows, said resume.
+  // Calls `done` on the disk's thread, after the sync. After an error every later write fails until
+  // the folder was reopened and resume() was called.
   void write(std::vector<DiskWrite> writes, Done done);
+  // To be called once the rows that the reopened callback passed have been adopted.
   void resume();
 
  private:
   struct Job {
     std::vector<DiskWrite> writes;
-    Done done;  // empty: the mark of a resume
+    Done done;  // empty: marks a resume()
   };
   void work();
   void openFirst();
@@ -67,30 +70,30 @@
   absl::Status openFolder();
   absl::Status openDatabase(bool strictly);
   absl::Status probe();
-  // Reads all rows and checks them against the sum that was synced with the last of them.
+  // Reads all rows and checks them against the checksum that was synced with the last batch.
   absl::Status readRows();
-  // Adds a row's hash to the sum, in place of that of the row it replaces.
+  // Adds a row's hash to the sum, replacing the hash of the row's previous value.
   void addRowHash(const DiskWrite& write);
 
   DiskSettings settings_;
   ReopenedCallback onReopened_;
   std::unique_ptr<leveldb::Env> env_;
-  std::unique_ptr<leveldb::Env> slowSyncEnv_;  // null but in runs with a slow disk
+  std::unique_ptr<leveldb::Env> slowSyncEnv_;  // null unless syncDelayFile is set
   std::unique_ptr<leveldb::DB> db_;            // null while the folder can't be opened
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Job> jobs_;  // bounded by the core's limit on replica work
+  std::deque<Job> jobs_;  // bounded by AgentCore's limit on pending replica work
   bool stopping_ = false;
-  // What the first opening came to, and whether open() still waits for it.
+  // Result of the first opening, and whether open() still waits for it.
   std::optional<absl::Status> firstOpening_;
   std::optional<Rows> firstRows_;
   bool isOpenWaiting_ = true;
-  // Of the disk's thread.
-  Rows rows_;  // of the present opening, until they are handed over
+  // The members below are used by the disk's thread only.
+  Rows rows_;  // read at the latest opening, until they are handed over
   std::map<std::string, std::uint64_t> rowHashes_;
   std::uint64_t rowHashSum_ = 0;
-  // Once set, nothing is written until a resume; rowsDelivered_ says that the rows of
-  // the present opening were handed over.
+  // While an error is set, nothing is written. It is cleared by a resume() after the rows of the
+  // latest opening were handed over (rowsDelivered_).
   absl::Status error_;
   bool rowsDelivered_ = false;
   Instant nextOpening_{};
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -35,7 +35,8 @@
 
 awaitable<absl::StatusOr<HttpResponse>> httpCall(HttpCall call) {
   Connection connection(co_await asio::this_coro::executor);
-  // One expiry for everything below: it is never pushed back, so a dripping peer can't stretch it.
+  // One expiry for the whole call. It is never extended, so a peer that sends byte by byte can't
+  // prolong the call.
   connection.expires_after(call.timeout);
   ErrorCode code;
   if (!call.from.value.empty()) {
@@ -47,7 +48,7 @@
   co_await connection.async_connect(endpoint, into(code));
   if (code) co_return absl::UnavailableError("connect: " + code.message());
   if (call.sendDeadline && BootClock::now() > *call.sendDeadline)
-    co_return absl::DeadlineExceededError("connect: it took too long to send after it");
+    co_return absl::DeadlineExceededError("connect: took too long, the request was not sent");
   HttpRequest request(call.verb, call.target, 11);
   request.set(http::field::host, call.to.value);
   request.set(http::field::connection, "close");
@@ -93,19 +94,19 @@
     co_await acceptor_.async_accept(socket, into(code));
     if (stopping_) co_return;
     if (code) {
-      co_await pauseFor(10ms);  // out of descriptors: let some go
+      co_await pauseFor(10ms);  // out of file descriptors: wait until some are closed
       continue;
     }
-    if (connections_->load() >= settings_.connectionLimit) continue;  // closes it
+    if (connections_->load() >= settings_.connectionLimit) continue;  // closes the socket
     asio::co_spawn(executor, serve(std::move(socket)), asio::detached);
   }
 }
 
-// Waits for the next request's first byte, in short steps so that a stop is seen.
+// Waits for the next request's first byte. Waits in short steps to notice stopAccepting().
 awaitable<bool> HttpServer::waitReadable(Tcp::socket& socket) {
-  const Instant idleTimeout = BootClock::now() + settings_.idleTimeout;
+  const Instant idleDeadline = BootClock::now() + settings_.idleTimeout;
   asio::steady_timer step(co_await asio::this_coro::executor);
-  while (!stopping_ && BootClock::now() < idleTimeout) {
+  while (!stopping_ && BootClock::now() < idleDeadline) {
     step.expires_after(250ms);
     step.async_wait([&socket](const ErrorCode& ended) {
       ErrorCode ignored;
@@ -113,7 +114,7 @@
     });
     ErrorCode code;
     co_await socket.async_wait(Tcp::socket::wait_read, into(code));
-    // The step's handler must have run or be gone before `socket` and `step` are.
+    // The timer's handler must have run or been dropped before `socket` and `step` are destroyed.
     ErrorCode posted;
     if (step.cancel() == 0) co_await asio::post(into(posted));
     if (!code) co_return true;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,6 +1,6 @@
 #pragma once
-// HTTP/1.1 for everything but the streams: bounded in size and in time, whatever the other end
-// does.
+// HTTP/1.1 client and server for everything except streamed answers. Sizes and durations are
+// limited whatever the peer does.
 #include <absl/status/statusor.h>
 
 #include <functional>
@@ -16,6 +16,7 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
+// An outgoing request.
 struct HttpCall {
   Address to;
   http::verb verb = http::verb::get;
@@ -24,33 +25,38 @@
   std::map<std::string, std::string> headers;
   Span timeout = std::chrono::seconds(1);  // for the whole call, connecting included
   std::size_t bodyLimit = 4 << 20;
-  Address from;  // local address to call from; "" lets the system choose
-  // Nothing is sent later than this, also where the process stood still while it connected.
+  Address from;  // local address to call from; empty: the system chooses
+  // The request is not sent after this, even if the process was suspended while connecting.
   std::optional<Instant> sendDeadline{};
 };
 
+// Sends the request on a new connection and reads the answer. Fails with kUnavailable if nothing
+// was sent because the connection failed, with kDeadlineExceeded if nothing was sent because
+// `sendDeadline` had passed, and with kUnknown if the request may have arrived.
 awaitable<absl::StatusOr<HttpResponse>> httpCall(HttpCall call);
 
-// Answers one request. A handler that streams writes to the connection itself and returns nullopt;
-// the connection is then closed.
+// Answers one request. A handler that streams its answer writes to the connection itself and
+// returns nullopt; the connection is then closed.
 using HttpHandler =
     std::function<awaitable<std::optional<HttpResponse>>(Connection&, HttpRequest&)>;
 
 struct HttpServerSettings {
   Address listen;
-  std::size_t bodyLimit = 1 << 20;
-  std::size_t headerLimit = 16 << 10;
+  std::size_t bodyLimit = 1 << 20;     // bytes
+  std::size_t headerLimit = 16 << 10;  // bytes
   std::size_t connectionLimit = 4096;
-  Span readTimeout = std::chrono::seconds(10);
-  Span idleTimeout = std::chrono::seconds(60);
+  Span readTimeout = std::chrono::seconds(10);  // for one request, and for writing its answer
+  Span idleTimeout = std::chrono::seconds(60);  // for the next request on a kept connection
 };
 
+// Serves keep-alive connections; each one runs on its own strand.
 class HttpServer {
  public:
   HttpServer(asio::io_context& io, HttpServerSettings settings, HttpHandler handler);
   absl::Status start();
-  // No new connections; those that wait for a next request are closed, the others finish.
+  // Accepts no new connections and closes idle ones; requests in progress finish. Thread-safe.
   void stopAccepting();
+  // Open connections. Thread-safe.
   std::size_t connections() const { return connections_->load(); }
 
  private:
@@ -68,10 +74,12 @@
 
 HttpResponse jsonResponse(unsigned status, const nlohmann::json& body);
 HttpResponse textResponse(unsigned status, std::string body);
+// The error's HTTP status, with its name and message as JSON.
 HttpResponse errorResponse(const Error& error);
 
-// The target's path, and one value of its query.
+// The target without its query.
 std::string pathOf(const HttpRequest& request);
-std::string queryValue(const HttpRequest& request, const std::string& name);  // "" if absent
+// The value of a query parameter; empty if it is absent.
+std::string queryValue(const HttpRequest& request, const std::string& name);
 
 }  // namespace quayrill
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -1,5 +1,6 @@
 #pragma once
-// Every detail of the model servers' wire, in one place: it may change.
+// Client for the HTTP protocol of model servers, the platform's server list and the store. All
+// details of these protocols are kept here.
 #include <optional>
 
 #include "net/http.h"
@@ -15,43 +16,50 @@
 inline constexpr char kSalt[] = "Quayrill-Cache-Salt";
 inline constexpr char kPrefix[] = "Quayrill-Prompt-Prefix";
 inline constexpr char kModel[] = "Quayrill-Model";
-// In an answer other than 200: the server vouches that it did not run the request.
+// In an answer other than 200: the server guarantees that it did not run the request.
 inline constexpr char kNotRun[] = "Quayrill-Not-Run";
 }  // namespace wire
 
-// GET /burden. Name, zone and leaving come from the platform's list, not from here.
+// GET /burden: reads a server's identity, weights and load. Zone and leaving are not included; they
+// come from the platform's list.
 awaitable<absl::StatusOr<ServerState>> readServer(Address server, Span timeout);
 
-// POST /weights: switch to `weights`. Servers turn away orders with a fence below the highest seen.
+// POST /weights: orders the server to switch to `weights`. Servers reject orders with a fence below
+// the highest one they have seen.
 awaitable<absl::Status> orderWeights(Address server, Address from, WeightsVersion weights,
                                      Fence fence, Span timeout);
 
-// GET /kv-events?since=N
+// A page of a server's cache events. `first` is above the requested position if earlier events are
+// no longer available; `next` is the position to continue from.
 struct CacheEvents {
   ServerIdentity identity;
   std::uint64_t first = 0, next = 0;
   std::vector<CacheEvent> events;
 };
+// GET /kv-events?since=N
 awaitable<absl::StatusOr<CacheEvents>> readCacheEvents(Address server, std::uint64_t since,
                                                        Span timeout);
 
-// POST /kv-pull: have `server` pull the first `tokens` of a prefix from a peer or the store.
-// Neither end checks weights, so no more may be asked for than was seen to be there under these.
+// POST /kv-pull: makes `server` pull the first `tokens` tokens of a prefix from another server or
+// the store. Neither side checks the weights, so the caller must request no more tokens than the
+// source was seen to hold under these weights.
 awaitable<absl::Status> pullPrefix(Address server, Address source, ModelName model, CacheSalt salt,
                                    WeightsVersion weights, PromptPrefix prefix, std::size_t tokens,
                                    Span timeout);
-// POST /kv-drop: forget what was pulled under this prefix.
+// POST /kv-drop: makes the server discard what it pulled under this prefix.
 awaitable<absl::Status> dropPrefix(Address server, CacheSalt salt, PromptPrefix prefix,
                                    Span timeout);
 
-// True for a stream's last line, the server's own end mark. `pieces` is what it says it sent.
+// Returns true for a stream's last line, the server's end mark. Sets `pieces` to the number of
+// pieces that the server says it sent.
 bool isEndMark(const std::string& line, std::uint64_t* pieces);
 
-// GET /servers of the platform, from this machine's own address.
+// GET /servers of the platform, called from the address `from`.
 awaitable<absl::StatusOr<std::vector<ListRow>>> readPlatformList(Address platform, Address from,
                                                                  Span timeout);
 
-// GET /kept of the store: how many tokens of the prefix it keeps under that salt and weights.
+// POST /kept of the store: returns how many tokens of the prefix it holds under this salt and these
+// weights.
 awaitable<absl::StatusOr<std::size_t>> readStoredPrefixTokens(Address store, Address from,
                                                               ModelName model, CacheSalt salt,
                                                               WeightsVersion weights,
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -10,9 +10,9 @@
 namespace {
 constexpr std::size_t kQueueFrameLimit = 256;
 constexpr std::size_t kPeerLimit = 1024;
-// Ours: frames that wait for one daemon, and for all: a slow link must not fill the memory.
+// Limits on queued frames, per daemon and in total, so that a slow link can't exhaust memory.
 constexpr std::size_t kQueueByteLimit = 2 << 20, kTotalByteLimit = 48 << 20;
-constexpr Span kConnectDue = 500ms;  // a dropped opening packet is sent again only after a second
+constexpr Span kConnectTimeout = 500ms;  // TCP resends a lost SYN only after a second
 constexpr int kUserTimeoutMs = 2000;
 
 std::string framed(const std::string& bytes) {
@@ -67,7 +67,7 @@
     co_await asio::async_read(connection, asio::buffer(bytes), into(code));
     if (code) co_return;
     auto envelope = decodeEnvelope(bytes);
-    if (!envelope.ok()) co_return;  // the sender opens a fresh connection
+    if (!envelope.ok()) co_return;  // the sender will open a new connection
     if (envelope->to == self_) receiver_(std::move(*envelope));
   }
 }
@@ -77,54 +77,54 @@
     asio::post(io_, [this, envelope] { receiver_(envelope); });
     return;
   }
-  auto& lane = queues_[envelope.to];
-  if (!lane) {
+  auto& queue = queues_[envelope.to];
+  if (!queue) {
     if (queues_.size() > kPeerLimit) {
-      queues_.erase(envelope.to);  // it was made just now and holds nothing
+      queues_.erase(envelope.to);  // inserted just above, and empty
       ++dropped_;
       return;
     }
-    lane = std::make_shared<SendQueue>(io_);
+    queue = std::make_shared<SendQueue>(io_);
   }
   std::string frame = framed(encodeEnvelope(envelope));
   const auto isOver = [&] {
-    return lane->frames.size() >= kQueueFrameLimit ||
-           lane->bytes + frame.size() > kQueueByteLimit ||
+    return queue->frames.size() >= kQueueFrameLimit ||
+           queue->bytes + frame.size() > kQueueByteLimit ||
            queuedBytes_ + frame.size() > kTotalByteLimit;
   };
-  while (!lane->frames.empty() && isOver()) {
-    takeOldest(*lane);  // the least worth sending
+  while (!queue->frames.empty() && isOver()) {
+    takeOldest(*queue);  // the oldest message has the least value
     ++dropped_;
   }
-  lane->bytes += frame.size();
+  queue->bytes += frame.size();
   queuedBytes_ += frame.size();
-  lane->frames.push_back(std::move(frame));
-  lane->wake.cancel();
-  if (!lane->running) {
-    lane->running = true;
-    asio::co_spawn(io_, drain(envelope.to, lane), asio::detached);
+  queue->frames.push_back(std::move(frame));
+  queue->wake.cancel();
+  if (!queue->running) {
+    queue->running = true;
+    asio::co_spawn(io_, drain(envelope.to, queue), asio::detached);
   }
 }
 
-std::string PeerLink::takeOldest(SendQueue& lane) {
-  std::string frame = std::move(lane.frames.front());
-  lane.frames.pop_front();
-  lane.bytes -= frame.size();
+std::string PeerLink::takeOldest(SendQueue& queue) {
+  std::string frame = std::move(queue.frames.front());
+  queue.frames.pop_front();
+  queue.bytes -= frame.size();
   queuedBytes_ -= frame.size();
   return frame;
 }
 
-void PeerLink::clear(SendQueue& lane) {
-  dropped_ += lane.frames.size();
-  while (!lane.frames.empty()) takeOldest(lane);
+void PeerLink::clear(SendQueue& queue) {
+  dropped_ += queue.frames.size();
+  while (!queue.frames.empty()) takeOldest(queue);
 }
 
-awaitable<void> PeerLink::drain(Address to, std::shared_ptr<SendQueue> lane) {
+awaitable<void> PeerLink::drain(Address to, std::shared_ptr<SendQueue> queue) {
   Connection connection(io_);
   ErrorCode code;
-  connection.expires_after(kConnectDue);
+  connection.expires_after(kConnectTimeout);
   connection.socket().open(Tcp::v4(), code);
-  // A machine without power answers nothing: what is sent there must not wait for hours.
+  // A machine that lost power never answers; frames for it must not wait for hours.
   using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
   connection.socket().set_option(UserTimeout(kUserTimeoutMs), code);
   const Tcp::endpoint from(endpointOf(self_).address(), 0);
@@ -132,30 +132,30 @@
   const Tcp::endpoint endpoint = endpointOf(relay_.value.empty() ? to : relay_);
   co_await connection.async_connect(endpoint, into(code));
   if (!code && !relay_.value.empty()) {
-    // A relay is told whose connection this is and where it leads.
+    // The relay needs to know the connection's source and destination.
     const std::string line = self_.value + " " + to.value + "\n";
     co_await asio::async_write(connection, asio::buffer(line), into(code));
   }
   if (!code) connection.socket().set_option(Tcp::no_delay(true), code);
   while (!code) {
-    if (lane->frames.empty()) {
-      lane->wake.expires_after(30s);
+    if (queue->frames.empty()) {
+      queue->wake.expires_after(30s);
       ErrorCode woken;
-      co_await lane->wake.async_wait(into(woken));
-      if (lane->frames.empty()) break;
+      co_await queue->wake.async_wait(into(woken));
+      if (queue->frames.empty()) break;
     }
-    const std::string frame = takeOldest(*lane);
+    const std::string frame = takeOldest(*queue);
     connection.expires_after(2s);
     co_await asio::async_write(connection, asio::buffer(frame), into(code));
   }
   if (code) {
-    clear(*lane);
-    co_await pauseFor(100ms);  // a dead end costs one attempt per pause, not per envelope
+    clear(*queue);
+    co_await pauseFor(100ms);  // an unreachable peer costs one attempt per pause, not per envelope
   }
-  lane->running = false;
-  if (!lane->frames.empty()) {
-    lane->running = true;
-    asio::co_spawn(io_, drain(to, lane), asio::detached);
+  queue->running = false;
+  if (!queue->frames.empty()) {
+    queue->running = true;
+    asio::co_spawn(io_, drain(to, queue), asio::detached);
   }
 }
 
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,6 +1,7 @@
 #pragma once
-// Carries envelopes between daemons: frames over TCP, one connection each way, lossy by policy.
-// A full queue or a broken connection drops envelopes; the control logic is built for that.
+// Carries messages (envelopes) between daemons: frames over TCP, with one connection per direction.
+// Delivery is best-effort by design: a full queue or a broken connection drops envelopes, and the
+// control logic tolerates that.
 #include <deque>
 #include <functional>
 #include <map>
@@ -11,11 +12,13 @@
 
 namespace quayrill {
 
-inline constexpr std::size_t kFrameLimit = 8 << 20;
+inline constexpr std::size_t kFrameLimit = 8 << 20;  // bytes
 
+// All methods must be called on the io_context's single thread, which also calls the receiver.
 class PeerLink {
  public:
   using Receiver = std::function<void(Envelope)>;
+  // `relay`: address to connect to instead of the peers' own addresses; empty: connect directly.
   PeerLink(asio::io_context& io, Address self, Address relay, Receiver receiver);
   absl::Status start();
   void send(const Envelope& envelope);
@@ -23,8 +26,8 @@
   std::size_t queuedBytes() const { return queuedBytes_; }
 
  private:
-  // Frames wait here for one connection. Past kQueueFrameLimit of them, or kQueueByteLimit, the
-  // oldest are dropped; one frame may always wait.
+  // Frames waiting for one peer's connection. Beyond kQueueFrameLimit frames or kQueueByteLimit
+  // bytes the oldest are dropped; one frame may always wait, whatever its size.
   struct SendQueue {
     std::deque<std::string> frames;
     std::size_t bytes = 0;  // of `frames`
@@ -34,16 +37,16 @@
   };
   awaitable<void> accept();
   awaitable<void> receive(Tcp::socket socket);
-  std::string takeOldest(SendQueue& lane);
-  void clear(SendQueue& lane);
-  awaitable<void> drain(Address to, std::shared_ptr<SendQueue> lane);
+  std::string takeOldest(SendQueue& queue);
+  void clear(SendQueue& queue);
+  awaitable<void> drain(Address to, std::shared_ptr<SendQueue> queue);
 
   asio::io_context& io_;
   Address self_, relay_;
   Receiver receiver_;
   Tcp::acceptor acceptor_;
   std::map<Address, std::shared_ptr<SendQueue>> queues_;
-  std::size_t queuedBytes_ = 0;  // of all lanes' frames
+  std::size_t queuedBytes_ = 0;  // of all queues
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/net/precompiled.h
+++ b/src/net/precompiled.h
@@ -1,5 +1,5 @@
 #pragma once
-// Compiled once for all sources of the shells: what takes longest to read.
+// Precompiled header: the headers that take longest to parse, compiled once for all I/O sources.
 #include <nlohmann/json.hpp>
 
 #include "net/asio.h"
--- a/src/net/request_sender.cpp
+++ b/src/net/request_sender.cpp
@@ -19,7 +19,7 @@
   asio::co_spawn(socket_.get_executor(), sendRest(), asio::detached);
 }
 
-// One call of the system, with nothing awaited between the question and the bytes.
+// Makes a single system call. Nothing is awaited between the permission check and the write.
 void RequestSender::sendPiece() {
   if (!mayContinue_()) {
     code_ = asio::error::operation_aborted;
@@ -44,7 +44,7 @@
       break;
     }
     sendPiece();
-    // No answer may come to a request that stays without its end.
+    // The server may never answer a request that remains incomplete.
     if (code_ == asio::error::operation_aborted) socket_.close(code);
   }
   isRunning_ = false;
--- a/src/net/request_sender.h
+++ b/src/net/request_sender.h
@@ -1,7 +1,7 @@
 #pragma once
-// Sends one request while its answer may already be read: a server may answer before it has read a
-// long body. Right before each piece leaves, what lets the request run is asked again, so that a
-// process that stood still sends nothing more of what has lapsed meanwhile.
+// Sends a request while its answer may already be read, since a server may answer before it has
+// read a long body. The permission to run is checked again right before each write, so that a
+// process that was suspended sends nothing more of a request that has expired meanwhile.
 #include <functional>
 #include <string>
 #include <string_view>
@@ -10,20 +10,26 @@
 
 namespace quayrill {
 
+// Sends the head and body of one request over a connected socket.
 class RequestSender {
  public:
-  // `socket` doesn't block; it and `body` outlive this. `mayContinue` is asked before each piece.
+  // `socket` must be non-blocking; it and `body` must outlive this object. `mayContinue` is called
+  // before each write; sending stops once it returns false.
   RequestSender(Tcp::socket& socket, std::string head, std::string_view body,
                 std::function<bool()> mayContinue);
-  // Sends what the socket takes at once; the rest goes by itself as room comes.
+  // Sends what the socket accepts immediately; the rest follows in the background as buffer space
+  // becomes free.
   void begin();
-  // All bytes were handed to the system. Only then may another request follow on the connection.
+  // True if all bytes were passed to the kernel. Only then may the connection be reused.
   bool isComplete() const { return sent_ == head_.size() + body_.size(); }
-  // No byte left: the server can't know of the request.
+  // True if no byte was sent, so that the server can't know of the request.
   bool hasSentNothing() const { return sent_ == 0; }
+  // True if no background send is in progress.
   bool hasStopped() const { return !isRunning_; }
+  // Why sending stopped early; unset if it did not.
   const ErrorCode& code() const { return code_; }
-  // Returns once nothing is under way any more. Where it isn't whole, close the socket first.
+  // Returns once no background send is in progress. If the request isn't complete, close the socket
+  // first.
   awaitable<void> waitUntilStopped();
 
  private:
@@ -34,7 +40,7 @@
   const std::string head_;
   const std::string_view body_;
   const std::function<bool()> mayContinue_;
-  std::size_t sent_ = 0;  // bytes of head and body
+  std::size_t sent_ = 0;  // bytes sent of head and body together
   bool isRunning_ = false;
   ErrorCode code_;  // why it stopped early
   asio::steady_timer wake_;
--- a/src/net/slow_sync_env.cpp
+++ b/src/net/slow_sync_env.cpp
@@ -30,17 +30,18 @@
  public:
   SlowSyncEnv(std::string syncDelayFile, leveldb::Env* target)
       : leveldb::EnvWrapper(target), syncDelayFile_(std::move(syncDelayFile)) {}
-  leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** made) override {
-    return wrapped(target()->NewWritableFile(name, made), made);
+  leveldb::Status NewWritableFile(const std::string& name,
+                                  leveldb::WritableFile** result) override {
+    return wrapped(target()->NewWritableFile(name, result), result);
   }
   leveldb::Status NewAppendableFile(const std::string& name,
-                                    leveldb::WritableFile** made) override {
-    return wrapped(target()->NewAppendableFile(name, made), made);
+                                    leveldb::WritableFile** result) override {
+    return wrapped(target()->NewAppendableFile(name, result), result);
   }
 
  private:
-  leveldb::Status wrapped(leveldb::Status status, leveldb::WritableFile** made) const {
-    if (status.ok()) *made = new SlowSyncFile(*made, syncDelayFile_);
+  leveldb::Status wrapped(leveldb::Status status, leveldb::WritableFile** result) const {
+    if (status.ok()) *result = new SlowSyncFile(*result, syncDelayFile_);
     return status;
   }
   std::string syncDelayFile_;
--- a/src/net/slow_sync_env.h
+++ b/src/net/slow_sync_env.h
@@ -1,6 +1,6 @@
 #pragma once
-// A disk that is slow on purpose: LevelDB's own environment, but for syncs that last as many
-// milliseconds longer as a file says at the time. Runs with faults use it; nothing else does.
+// Simulates a slow disk for fault injection: a LevelDB environment that delays each sync by the
+// number of milliseconds that a file contains at that time.
 #include <leveldb/env.h>
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace quayrill {
 
-// `target` outlives it.
+// Wraps `target`, which must outlive the result.
 std::unique_ptr<leveldb::Env> slowSyncEnv(std::string syncDelayFile, leveldb::Env* target);
 
 }  // namespace quayrill
--- a/src/net/synced_folder_env.cpp
+++ b/src/net/synced_folder_env.cpp
@@ -20,7 +20,7 @@
   return path.size() >= end.size() && path.compare(path.size() - end.size(), end.size(), end) == 0;
 }
 
-// As LevelDB syncs its folder.
+// Syncs a directory in the way LevelDB does.
 leveldb::Status syncSystemFolder(const std::string& folder) {
   const auto failed = [&] { return leveldb::Status::IOError(folder, std::strerror(errno)); };
   const int handle = ::open(folder.c_str(), O_RDONLY | O_CLOEXEC);
@@ -35,18 +35,19 @@
   explicit SyncedFolderEnv(FileSystem files)
       : leveldb::EnvWrapper(files.env), syncFolder_(std::move(files.syncFolder)) {}
 
-  leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** made) override {
-    auto status = target()->NewWritableFile(name, made);
+  leveldb::Status NewWritableFile(const std::string& name,
+                                  leveldb::WritableFile** result) override {
+    auto status = target()->NewWritableFile(name, result);
     if (!status.ok() || !(endsWith(name, ".log") || endsWith(name, ".ldb"))) return status;
     auto synced = syncFolder_(folderOf(name));
     if (synced.ok()) return synced;
-    delete *made;
-    *made = nullptr;
+    delete *result;
+    *result = nullptr;
     return synced;
   }
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override {
     auto status = target()->RenameFile(from, to);
-    // LevelDB's diary of itself; nobody reads it back.
+    // LOG.old is LevelDB's informational log and is never read back.
     if (!status.ok() || endsWith(to, "/LOG.old")) return status;
     return syncFolder_(folderOf(to));
   }
--- a/src/net/synced_folder_env.h
+++ b/src/net/synced_folder_env.h
@@ -1,8 +1,8 @@
 #pragma once
-// LevelDB's environment with the folder syncs that it leaves out. Without them a loss of power may
-// take back the making of a log, with all that was synced to it, or the renaming of CURRENT, while
-// the files that the older state needs are gone: the folder then shows an older state as a whole
-// one.
+// A LevelDB environment that adds the directory syncs which LevelDB omits. Without them a power
+// loss may undo the creation of a log, including everything synced to it, or the renaming of
+// CURRENT: the folder then presents an older state as if it were complete, although files of that
+// state may be gone.
 #include <leveldb/env.h>
 
 #include <functional>
@@ -11,18 +11,19 @@
 
 namespace quayrill {
 
-// Files, and the sync of a folder by its path, which LevelDB's own interface lacks.
+// A LevelDB environment, and the sync of a directory by its path, which LevelDB's interface lacks.
 struct FileSystem {
   leveldb::Env* env = nullptr;
   std::function<leveldb::Status(const std::string&)> syncFolder;
 };
 
+// The file system of this machine.
 FileSystem hostFileSystem();
 
-// Syncs a folder when a log, a table or a folder was made in it, and when a file was renamed in it,
-// before the call returns. LevelDB syncs the folder before the manifest that names a table, but
-// after it has written there, and what was written may last without a sync. A removal that is taken
-// back does no harm: the manifest no longer names the file.
+// Syncs a directory after a log, a table or a directory was created in it and after a file was
+// renamed in it, before the call returns. LevelDB itself syncs the directory before it syncs a
+// manifest that names a table, but after writing the manifest, and those bytes may become durable
+// without a sync. Removals need no sync: the manifest no longer names a file that reappears.
 std::unique_ptr<leveldb::Env> syncedFolderEnv(FileSystem files);
 
 }  // namespace quayrill
