--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -10,9 +10,10 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kFetchTimeout = 300ms;    // ours: past this, prefill is the better bet
-constexpr std::size_t kFetchGain = 256;  // ours: fewer tokens than this are not worth the calls
-constexpr Span kBeginsWithin = 2s;       // ours: from a request's sending to its first piece
+constexpr Span kFetchTimeout = 300ms;  // ours: past this, prefill is the better bet
+constexpr std::size_t kMinFetchGainTokens =
+    256;                             // ours: fewer tokens than this are not worth the calls
+constexpr Span kMaxStartDelay = 2s;  // ours: from a request's sending to its first piece
 
 // The first try of what may be repeated leaves half of the time to another, where one could be
 // paid.
@@ -96,7 +97,7 @@
     const auto currentView = view();
     // What is sent now may wait at the server before it begins.
     asked.mayUse = [currentView, bound = Span(settings_.rolloutDue)](const ServerState& server) {
-      return currentView->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
+      return currentView->usableUntil(server, bound) > BootClock::now() + kMaxStartDelay;
     };
     const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
       return placement.place(asked, BootClock::now());
@@ -230,7 +231,7 @@
     co_return kept.ok() ? *kept : 0;
   };
   const std::size_t before = co_await heldBySource();
-  if (before < placed.matchedTokens + kFetchGain)
+  if (before < placed.matchedTokens + kMinFetchGainTokens)
     co_return FetchResult{from + ": not there under these weights", true};
   ++counters_.fetches;
   const auto pulled = co_await pullPrefix(chosenAddress, source, job.policy.model, job.salt,
