--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -10,23 +10,25 @@
 
 namespace {
 constexpr std::size_t kLineLimit = 64 << 10;
-constexpr Span kCallerTimeout = 10s;  // a caller who takes no bytes for this long has left
+constexpr Span kCallerTimeout = 10s;  // a caller that reads no bytes for this long counts as gone
 
+// State of the server's answer while it is parsed line by line.
 struct Stream {
-  std::string held;          // bytes after the last whole line
-  std::string endMark;       // held back until the server's answer is whole
-  std::uint64_t pieces = 0;  // whole lines passed on
-  std::uint64_t markPieces = 0;
-  bool broken = false;  // a line after the end mark, or one that is too long
+  std::string partialLine;       // bytes after the last complete line
+  std::string endMark;           // held back until the server's answer is complete
+  std::uint64_t pieces = 0;      // complete lines passed on
+  std::uint64_t markPieces = 0;  // pieces that the end mark says were sent
+  bool broken = false;           // there was a line after the end mark, or an overlong one
 };
 
-// Moves whole lines out of `held`; the end mark stays behind in endMark.
+// Returns the complete lines in `partialLine` and removes them. An end mark is moved to endMark
+// instead.
 std::string takeLines(Stream* stream) {
   std::string lines;
   std::size_t start = 0;
-  for (std::size_t end; (end = stream->held.find('\n', start)) != std::string::npos;
+  for (std::size_t end; (end = stream->partialLine.find('\n', start)) != std::string::npos;
        start = end + 1) {
-    const std::string line = stream->held.substr(start, end + 1 - start);
+    const std::string line = stream->partialLine.substr(start, end + 1 - start);
     if (!stream->endMark.empty()) {
       stream->broken = true;
     } else if (isEndMark(line, &stream->markPieces)) {
@@ -36,12 +38,12 @@
       lines += line;
     }
   }
-  stream->held.erase(0, start);
-  stream->broken = stream->broken || stream->held.size() > kLineLimit;
+  stream->partialLine.erase(0, start);
+  stream->broken = stream->broken || stream->partialLine.size() > kLineLimit;
   return lines;
 }
 
-Span left(Instant deadline) { return std::max<Span>(deadline - BootClock::now(), Span(1)); }
+Span remaining(Instant deadline) { return std::max<Span>(deadline - BootClock::now(), Span(1)); }
 
 std::string requestHead(const Delivery& delivery) {
   http::request<http::empty_body> request(http::verb::post, wire::kGenerate, 11);
@@ -65,31 +67,33 @@
   co_await asio::async_write(caller, http::make_chunk(asio::buffer(bytes)), into(code));
   co_return !code;
 }
-// The server's answer, and its pieces on their way to the caller.
-awaitable<DeliveryResult> passBack(const Delivery& delivery, Connection& server, Connection& caller,
-                                   Instant begun) {
+
+// Reads the server's answer and streams its pieces to the caller.
+awaitable<DeliveryResult> streamAnswer(const Delivery& delivery, Connection& server,
+                                       Connection& caller, Instant startedAt) {
   ErrorCode code;
-  const auto afterSend = [&](const std::string& what) {
-    const bool late =
+  const auto failedAfterSend = [&](const std::string& what) {
+    const bool isLate =
         code == beast::error::timeout || BootClock::now() >= delivery.firstPieceDeadline;
-    return DeliveryResult{late ? DeliveryOutcome::DeadlineExceeded : DeliveryOutcome::Unknown,
+    return DeliveryResult{isLate ? DeliveryOutcome::DeadlineExceeded : DeliveryOutcome::Unknown,
                           what + ": " + code.message()};
   };
-  server.expires_after(left(delivery.firstPieceDeadline));
+  server.expires_after(remaining(delivery.firstPieceDeadline));
   beast::flat_buffer buffer;
-  std::optional<http::response_parser<http::buffer_body>> answered;
+  std::optional<http::response_parser<http::buffer_body>> answerParser;
   do {
-    answered.emplace();
-    // Streams have no limit of their own. (Boost 1.74 takes 'none' for a limit below every length.)
-    answered->body_limit(std::numeric_limits<std::uint64_t>::max());
-    answered->header_limit(16 << 10);
-    co_await http::async_read_header(server, buffer, *answered, into(code));
-    if (code) co_return afterSend("answer");
-  } while (answered->get().result_int() / 100 == 1);
-  auto& parser = *answered;
+    answerParser.emplace();
+    // Streamed answers have no size limit. (Boost 1.74 treats boost::none as a limit that every
+    // length exceeds.)
+    answerParser->body_limit(std::numeric_limits<std::uint64_t>::max());
+    answerParser->header_limit(16 << 10);
+    co_await http::async_read_header(server, buffer, *answerParser, into(code));
+    if (code) co_return failedAfterSend("answer");
+  } while (answerParser->get().result_int() / 100 == 1);
+  auto& parser = *answerParser;
   const auto& head = parser.get();
   if (head.result_int() != 200) {
-    // The connection carries nothing else, so an answer without an id is this request's.
+    // The connection carries only this request, so an answer without an id belongs to it.
     const auto id = head.find(wire::kRequestId);
     const bool isOurs = id == head.end() || id->value() == delivery.request.value;
     const bool notRun = isOurs && head[wire::kNotRun] == "true";
@@ -108,13 +112,14 @@
   while (!parser.is_done()) {
     parser.get().body().data = block;
     parser.get().body().size = sizeof block;
-    // Nothing more is read from the server until the caller has taken what came before.
-    server.expires_after(headSent ? std::max<Span>(left(delivery.deadline), 5s)
-                                  : left(delivery.firstPieceDeadline));
+    // Backpressure: nothing more is read from the server until the caller has taken what came
+    // before.
+    server.expires_after(headSent ? std::max<Span>(remaining(delivery.deadline), 5s)
+                                  : remaining(delivery.firstPieceDeadline));
     co_await http::async_read_some(server, buffer, parser, into(code));
     if (code == http::error::need_buffer) code = {};
     if (code) break;
-    stream.held.append(block, sizeof block - parser.get().body().size);
+    stream.partialLine.append(block, sizeof block - parser.get().body().size);
     const std::string lines = takeLines(&stream);
     if (stream.broken) break;
     if (lines.empty()) continue;
@@ -129,7 +134,7 @@
       ErrorCode callerCode;
       co_await http::async_write_header(caller, serializer, into(callerCode));
       headSent = true;
-      result.firstPieceAfter = BootClock::now() - begun;
+      result.firstPieceAfter = BootClock::now() - startedAt;
       if (callerCode) co_return DeliveryResult{DeliveryOutcome::CallerGone, callerCode.message()};
     }
     const bool taken = co_await sendChunk(caller, lines);
@@ -139,21 +144,22 @@
       co_return result;
     }
   }
-  const bool whole = !code && parser.is_done() && !stream.broken && stream.held.empty() &&
-                     !stream.endMark.empty() && stream.markPieces == stream.pieces;
+  const bool isComplete = !code && parser.is_done() && !stream.broken &&
+                          stream.partialLine.empty() && !stream.endMark.empty() &&
+                          stream.markPieces == stream.pieces;
   if (!headSent) {
-    if (code) co_return afterSend("answer");
+    if (code) co_return failedAfterSend("answer");
     co_return DeliveryResult{DeliveryOutcome::Unknown, "an answer with no piece"};
   }
-  if (!whole) {
+  if (!isComplete) {
     result.end = DeliveryOutcome::Truncated;
     result.detail = code ? code.message() : "no end mark, or one that names other pieces";
     co_return result;
   }
-  const bool marked = co_await sendChunk(caller, stream.endMark);
+  const bool endMarkSent = co_await sendChunk(caller, stream.endMark);
   caller.expires_after(kCallerTimeout);
-  if (marked) co_await asio::async_write(caller, http::make_chunk_last(), into(code));
-  result.end = marked && !code ? DeliveryOutcome::Done : DeliveryOutcome::CallerGone;
+  if (endMarkSent) co_await asio::async_write(caller, http::make_chunk_last(), into(code));
+  result.end = endMarkSent && !code ? DeliveryOutcome::Done : DeliveryOutcome::CallerGone;
   co_return result;
 }
 }  // namespace
@@ -166,10 +172,10 @@
 
 awaitable<DeliveryResult> deliver(Delivery delivery, Connection& caller,
                                   std::function<bool()> mayStart) {
-  const Instant begun = BootClock::now();
+  const Instant startedAt = BootClock::now();
   Connection server(co_await asio::this_coro::executor);
   ErrorCode code;
-  server.expires_after(std::min<Span>(left(delivery.firstPieceDeadline), 1s));
+  server.expires_after(std::min<Span>(remaining(delivery.firstPieceDeadline), 1s));
   const Tcp::endpoint endpoint = endpointOf(Address{delivery.server.name.value});
   co_await server.async_connect(endpoint, into(code));
   if (code) co_return DeliveryResult{DeliveryOutcome::NeverSent, "connect: " + code.message()};
@@ -177,17 +183,17 @@
   if (BootClock::now() >= delivery.deadline)
     co_return DeliveryResult{DeliveryOutcome::NeverSent, "the due passed before anything left"};
 
-  bool isAsked = false;
+  bool hasStarted = false;
   RequestSender sender(server.socket(), requestHead(delivery), delivery.body, [&] {
     if (BootClock::now() >= delivery.deadline) return false;
-    if (isAsked) return true;
-    isAsked = true;
+    if (hasStarted) return true;
+    hasStarted = true;
     return mayStart();
   });
   sender.begin();
   if (sender.hasSentNothing() && sender.hasStopped())
     co_return DeliveryResult{DeliveryOutcome::NeverSent, "no longer confirmed at the point of use"};
-  const DeliveryResult result = co_await passBack(delivery, server, caller, begun);
+  const DeliveryResult result = co_await streamAnswer(delivery, server, caller, startedAt);
   if (!sender.isComplete()) {
     server.close();
     co_await sender.waitUntilStopped();
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -1,5 +1,6 @@
 #pragma once
-// Carries one request to one server and its pieces back. Knows what a error on the way means.
+// Sends one request to one model server and streams the answer back to the caller. Classifies each
+// failure by whether the request may have run.
 #include <functional>
 #include <string>
 
@@ -8,6 +9,7 @@
 
 namespace quayrill {
 
+// One attempt to run a request on a server.
 struct Delivery {
   RequestId request;
   ServerState server;
@@ -15,32 +17,35 @@
   std::string prefixHeader;
   std::string body;
   Instant deadline;
-  // By when the first piece must have come; never after `due`. Past it the delivery ends as
-  // DuePassed, and whether it ran is not known.
+  // When the first piece must have arrived; never after `deadline`. If it is missed, the delivery
+  // ends as DeadlineExceeded, and whether the request ran is unknown.
   Instant firstPieceDeadline;
 };
 
 enum class DeliveryOutcome {
-  NeverSent,         // no byte left for the server
-  NotRun,            // the server's own reply says that it did not run it
+  NeverSent,         // no byte was sent to the server
+  NotRun,            // the server answered that it did not run the request
   Unknown,           // a byte may have reached the server, nothing has reached the caller
-  DeadlineExceeded,  // the same, since the due passed
-  Done,              // the server's end mark was passed on and the answer closed whole
-  Truncated,         // pieces reached the caller, then the answer broke: closed with no terminator
-  CallerGone,        // the caller left
+  DeadlineExceeded,  // as Unknown, because a deadline passed
+  Done,              // the answer was passed on completely, including the server's end mark
+  Truncated,         // some pieces reached the caller, then the answer broke off; the caller's
+                     // connection is closed without the chunked terminator
+  CallerGone,        // the caller disconnected or stopped reading
 };
 
 struct DeliveryResult {
   DeliveryOutcome end{};
-  std::string detail;
+  std::string detail;  // for the decision log
   std::uint64_t pieces = 0;
-  Span firstPieceAfter{};
+  Span firstPieceAfter{};  // from the start of the delivery
 };
 
-// `mayStart` is asked right before the first byte leaves; false ends the delivery as NeverSent.
+// Delivers the request. `mayStart` is called right before the first byte is sent; if it returns
+// false, the delivery ends as NeverSent.
 awaitable<DeliveryResult> deliver(Delivery delivery, Connection& caller,
                                   std::function<bool()> mayStart);
 
+// The outcome's name in the decision log.
 const char* deliveryOutcomeName(DeliveryOutcome end);
 
 }  // namespace quayrill
--- a/src/proxy/owned_table.h
+++ b/src/proxy/owned_table.h
@@ -1,6 +1,6 @@
 #pragma once
-// A stage: one table, one owner thread, one bounded queue of commands. Nobody else touches the
-// table. A full queue is told at once; it is how a stage pushes back.
+// An actor: a table that only one thread accesses, with a bounded queue of commands for it.
+// Commands are rejected immediately when the queue is full, which is the backpressure of the stage.
 #include <condition_variable>
 #include <deque>
 #include <functional>
@@ -12,6 +12,7 @@
 
 namespace quayrill {
 
+// Owns a Table and the thread that runs all commands on it, in order.
 template <class Table>
 class OwnedTable {
  public:
@@ -29,12 +30,14 @@
     thread_.join();
   }
 
-  // False when the queue is full: the command will never run.
+  // Returns false if the queue is full; the command will then never run.
   bool tryPost(Command command) { return push(std::move(command), limit_); }
-  // For what must not be lost, releases above all: these are bounded by what they release.
+  // Ignores the queue limit. For commands that must not be lost, mainly releases; their number is
+  // bounded by the number of grants that they release.
   void mustPost(Command command) { push(std::move(command), SIZE_MAX); }
 
-  // Runs `command` on the owner and resumes the caller with its result; nullopt: queue full.
+  // Runs `command` on the owner thread and resumes the calling coroutine with its result. Returns
+  // nullopt if the queue is full.
   template <class Result>
   awaitable<std::optional<Result>> ask(std::function<Result(Table&)> command) {
     auto executor = co_await asio::this_coro::executor;
@@ -82,7 +85,7 @@
   }
 
   std::size_t limit_;
-  Table table_;  // touched by thread_ alone
+  Table table_;  // accessed by thread_ only
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Command> commands_;
--- a/src/proxy/parse_request.cpp
+++ b/src/proxy/parse_request.cpp
@@ -1,4 +1,4 @@
-// Intake: what a request must be before it may ask for anything.
+// Parses, authenticates and validates a caller's request.
 #include <algorithm>
 
 #include "base/digest.h"
@@ -29,14 +29,14 @@
   if (owner == currentView.configuration->tenantOfDigest.end())
     return Error{ErrorKind::UnknownKey, "the key is of no tenant"};
   job->tenant = owner->second;
-  const auto way =
+  const auto route =
       currentView.configuration->ways.find(path.substr(std::min<std::size_t>(4, path.size())));
-  if (path.rfind("/v1/", 0) != 0 || way == currentView.configuration->ways.end())
+  if (path.rfind("/v1/", 0) != 0 || route == currentView.configuration->ways.end())
     return Error{ErrorKind::UnknownWay, "no way '" + path + "'"};
   if (request.method() != http::verb::post)
     return Error{ErrorKind::MalformedRequest, "ways take POST"};
-  job->policyName = way->second;
-  job->policy = currentView.configuration->policies.at(way->second);
+  job->policyName = route->second;
+  job->policy = currentView.configuration->policies.at(route->second);
   if (request.body().size() > job->policy.bodyLimit)
     return Error{ErrorKind::Oversize, "the body is over the policy's limit"};
   const std::string salt = headerOf(request, wire::kSalt);
@@ -53,11 +53,11 @@
     return Error{ErrorKind::MalformedRequest, "the body is not JSON"};
   job->body = request.body();
   job->deadline = job->begun + job->policy.due;
-  if (const std::string due = headerOf(request, "Quayrill-Due-Ms"); !due.empty()) {
-    if (due.size() > 6 || due.find_first_not_of("0123456789") != std::string::npos)
+  if (const std::string limitMs = headerOf(request, "Quayrill-Due-Ms"); !limitMs.empty()) {
+    if (limitMs.size() > 6 || limitMs.find_first_not_of("0123456789") != std::string::npos)
       return Error{ErrorKind::MalformedRequest, "Quayrill-Due-Ms: whole milliseconds"};
-    job->deadline =
-        std::min<Instant>(job->deadline, job->begun + std::chrono::milliseconds(std::stoul(due)));
+    job->deadline = std::min<Instant>(job->deadline,
+                                      job->begun + std::chrono::milliseconds(std::stoul(limitMs)));
   }
   return std::nullopt;
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -11,7 +11,8 @@
 namespace {
 constexpr std::size_t kCommandQueueLimit = 1024;
 constexpr Span kSnapshotInterval = 100ms;
-// A server that is leaving gets nothing after 3 s: the list's reading and its way here must fit.
+// A leaving server must receive nothing after 3 s. Reading the list and passing it on must fit into
+// that time.
 constexpr Span kListMaxAge = 2500ms;
 
 PlacementSettings placementSettings(const Settings& settings) {
@@ -31,7 +32,7 @@
       admission_(kCommandQueueLimit),
       placement_(kCommandQueueLimit, placementSettings(settings_)) {
   std::random_device entropy;
-  // The address leads `quayrillctl explain` to the daemon that knows the request.
+  // `quayrillctl explain` uses the address to find the daemon that handled the request.
   idPrefix_ = settings_.callers.value + "/" + std::to_string(entropy()) + "/";
 }
 
@@ -45,7 +46,7 @@
       io_, serverSettings,
       [this](Connection& connection, HttpRequest& request) { return handle(connection, request); });
   if (auto status = callerServer_->start(); !status.ok()) return status;
-  // A connection's timer and its reads must never run at once on two threads: each chain has a
+  // A connection's timer and its reads must never run concurrently, so each loop has its own
   // strand.
   asio::co_spawn(asio::make_strand(io_), snapshotLoop(), asio::detached);
   asio::co_spawn(asio::make_strand(io_), cacheEventLoop(), asio::detached);
@@ -70,7 +71,8 @@
          now - currentView.listedAt < kListMaxAge;
 }
 
-// Asked right before a request's first byte leaves: what let it in must still stand.
+// Called right before a request's first byte is sent: the conditions that admitted it must still
+// hold.
 bool Proxy::mayRun(const Job& job, const ServerState& server) const {
   const auto currentView = view();
   if (!isFresh(*currentView, BootClock::now())) return false;
@@ -110,7 +112,8 @@
   }
 }
 
-// Cache events come late and with gaps; each pull is one try, bounded, and none waits for another.
+// Polls all servers independently, with one bounded attempt each: events may be late or missing,
+// and placement tolerates that.
 awaitable<void> Proxy::cacheEventLoop() {
   for (;;) {
     const auto currentView = view();
@@ -132,15 +135,15 @@
   const Address address{server.value};
   const auto events = co_await readCacheEvents(address, *position, 700ms);
   if (!events.ok()) co_return;
-  placement_.tryPost([this, server, snapshot = *events](Placement& placement) {
+  placement_.tryPost([this, server, batch = *events](Placement& placement) {
     const std::uint64_t gapsBefore = placement.gaps();
-    placement.takeEvents(server, snapshot.identity, snapshot.first, snapshot.events, snapshot.next);
+    placement.takeEvents(server, batch.identity, batch.first, batch.events, batch.next);
     counters_.eventGaps += placement.gaps() - gapsBefore;
   });
 }
 
 namespace {
-// Spread over a few seconds, so that those turned away together don't come back together.
+// The delay is random within a few seconds, so that callers rejected together don't retry together.
 void setRetryAfter(HttpResponse* response) {
   thread_local std::mt19937 random{std::random_device{}()};
   response->set(http::field::retry_after, std::to_string(1 + random() % 3));
@@ -156,9 +159,9 @@
   return response;
 }
 
-// It may have run. Only what may be repeated is told when to come back: for the rest, coming back
-// would be a second run.
-HttpResponse Proxy::unknown(ErrorKind kind, const std::string& why, const Job& job) {
+// Responds that the request may have run. Retry-After is set only for repeatable requests: for
+// others, a retry could run the request a second time.
+HttpResponse Proxy::respondUnknown(ErrorKind kind, const std::string& why, const Job& job) {
   ++counters_.unknown;
   HttpResponse response = errorResponse({kind, why});
   if (job.policy.repeatable) setRetryAfter(&response);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,6 +1,6 @@
 #pragma once
-// The proxy's shell: intake -> admission -> placement -> fetch -> deliver. Admission and placement
-// are tables with an owner each; the other stages run on the traffic threads.
+// The proxy: request parsing -> admission -> placement -> prefix fetch -> delivery. Admission and
+// placement are tables that one thread each owns; the other stages run on the traffic threads.
 #include <memory>
 #include <mutex>
 #include <thread>
@@ -16,20 +16,25 @@
 
 namespace quayrill {
 
+// The data plane for quayrill's own protocol. Follows the snapshots of its agent and rejects
+// requests while they are too old.
 class Proxy {
  public:
   Proxy(Settings settings, Dialect dialect);
   ~Proxy();
+  // Opens the listening socket and starts the traffic threads. An error is meant for the operator.
   absl::Status start();
+  // Reports "not ready" from now on. Requests are still accepted.
   void beginLeaving() { leaving_ = true; }
   void stopAccepting() { callerServer_->stopAccepting(); }
-  // The longest that a request accepted now may last.
+  // The longest time that a request accepted now may take.
   Span longestRequestTimeout() const;
   std::size_t openConnections() const { return callerServer_->connections(); }
+  // Stops the traffic threads; open requests are abandoned.
   void stop();
 
  private:
-  // What is known of a request when it has passed the intake.
+  // A parsed and authenticated request.
   struct Job {
     RequestId id;
     TenantName tenant;
@@ -38,17 +43,18 @@
     CacheSalt salt;
     PromptPrefix prefix;
     std::string body;
-    std::string digest;
+    std::string digest;  // of the caller's key
     Instant begun, deadline;
-    Entered entered;  // how it stood when it came in
+    Entered entered;  // result of admission
   };
-  // One row of the decision stream, filled on the way.
+  // One row of the decision log, filled in while the request is handled.
   struct Trace {
     nlohmann::json tries = nlohmann::json::array();
     std::string outcome;
   };
 
   std::shared_ptr<const ProxyView> view() const;
+  // True if the configuration and the server list were confirmed recently enough to serve requests.
   bool isFresh(const ProxyView& view, Instant now) const;
   bool mayRun(const Job& job, const ServerState& server) const;
 
@@ -59,14 +65,14 @@
   awaitable<std::optional<HttpResponse>> serve(Connection& connection, HttpRequest& request);
   std::optional<Error> parseRequest(const HttpRequest& request, const ProxyView& now, Job* job);
   awaitable<std::optional<HttpResponse>> run(Connection& connection, const Job& job, Trace* trace);
-  // safe == false: the chosen server may hold cache of doubtful weights, so nothing is sent to it.
   struct FetchResult {
-    std::string text = "none";
+    std::string text = "none";  // for the decision log
+    // False if the chosen server may hold cache of other weights. Nothing may be sent to it then.
     bool safe = true;
   };
   awaitable<FetchResult> fetch(const Job& job, const Placed& placed);
   HttpResponse reject(ErrorKind kind, const std::string& why, const RequestId& id);
-  HttpResponse unknown(ErrorKind kind, const std::string& why, const Job& job);
+  HttpResponse respondUnknown(ErrorKind kind, const std::string& why, const Job& job);
   void record(const Job& job, const Trace& trace);
   HttpResponse readDecisions(const HttpRequest& request) const;
   HttpResponse explain(const std::string& id) const;
@@ -82,7 +88,8 @@
   Counters counters_;
   DecisionLog decisions_{20000};
   std::atomic<bool> leaving_{false};
-  // Below all that a request's coroutine lets go of when it is destroyed with io_.
+  // Declared after the tables: destroying io_ destroys suspended request coroutines, which still
+  // post their releases to the tables.
   asio::io_context io_;
   std::unique_ptr<HttpServer> callerServer_;
   std::vector<std::thread> threads_;
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -1,4 +1,4 @@
-// A request's way from admission to its last piece.
+// Handles a request from admission to the last piece of its answer: attempts, fetches and outcome.
 #include <glog/logging.h>
 
 #include "base/at_end.h"
@@ -10,13 +10,12 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Span kFetchTimeout = 300ms;  // ours: past this, prefill is the better bet
-constexpr std::size_t kMinFetchGainTokens =
-    256;                             // ours: fewer tokens than this are not worth the calls
-constexpr Span kMaxStartDelay = 2s;  // ours: from a request's sending to its first piece
+constexpr Span kFetchTimeout = 300ms;             // beyond this, prefill is likely faster
+constexpr std::size_t kMinFetchGainTokens = 256;  // fewer are not worth the calls
+constexpr Span kMaxStartDelay = 2s;               // allowed from sending to the first piece
 
-// The first try of what may be repeated leaves half of the time to another, where one could be
-// paid.
+// The first attempt of a repeatable request leaves half of the remaining time for another one, if
+// the retry budget may allow it.
 Instant firstPieceDeadlineOf(const RoutePolicy& policy, const Entered& entered, std::size_t attempt,
                              Instant deadline) {
   if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.couldTryAgain)
@@ -71,7 +70,7 @@
     response =
         reject(ErrorKind::TurnedAwayBusy, "the tenant or the policy is at its limit", job.id);
   } else {
-    AtEnd exit([this, name = job.tenant, policy = job.policyName] {
+    AtEnd leaveAdmission([this, name = job.tenant, policy = job.policyName] {
       admission_.mustPost([=](Admission& admission) { admission.leave(name, policy); });
     });
     job.entered = *entered;
@@ -84,43 +83,45 @@
 awaitable<std::optional<HttpResponse>> Proxy::run(Connection& connection, const Job& job,
                                                   Trace* trace) {
   std::set<ServerName> tried;
-  // mayHaveRun only rises. While it is false, turning the request away is the truth.
-  bool mayHaveRun = false, late = false, wasSent = false;
+  // mayHaveRun is never reset. While it is false, reporting the request as rejected is correct.
+  bool mayHaveRun = false, isLate = false, wasSent = false;
   std::string lastDetail = "no server is free";
   for (std::size_t attempt = 0; attempt < std::max<std::size_t>(1, job.policy.tries); ++attempt) {
     if (BootClock::now() >= job.deadline) {
-      late = true;
+      isLate = true;
       break;
     }
     PlacementAsked asked{job.policy.model, job.tenant, job.salt,
                          job.prefix,       tried,      job.entered.overShare};
     const auto currentView = view();
-    // What is sent now may wait at the server before it begins.
+    // A request sent now may queue at the server before it starts.
     asked.mayUse = [currentView, bound = Span(settings_.rolloutDue)](const ServerState& server) {
       return currentView->usableUntil(server, bound) > BootClock::now() + kMaxStartDelay;
     };
     const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
       return placement.place(asked, BootClock::now());
     };
-    const auto answered = co_await placement_.ask<std::optional<Placed>>(place);
-    if (!answered || !*answered) break;
-    const Placed placed = **answered;
+    const auto placeResult = co_await placement_.ask<std::optional<Placed>>(place);
+    if (!placeResult || !*placeResult) break;
+    const Placed placed = **placeResult;
     tried.insert(placed.chosenServer.name);
     counters_.promptTokens += placed.promptTokens;
     counters_.matchedTokens += placed.matchedTokens;
     bool ran = false;
-    AtEnd unlock([this, &ran, ticket = placed.ticket] {
+    AtEnd releaseTicket([this, &ran, ticket = placed.ticket] {
       placement_.mustPost([ticket, didRun = ran](Placement& placement) {
         placement.release(ticket, didRun, BootClock::now());
       });
     });
-    // An extra try is one more send; where nothing was sent before, this is still the first.
+    // Only a further send counts as an extra attempt. If nothing was sent yet, this is the first
+    // one.
     if (wasSent) {
-      const std::function<bool(Admission&)> pay = [model = job.policy.model](Admission& admission) {
-        return admission.takeExtra(model, BootClock::now());
-      };
-      const auto paid = co_await admission_.ask<bool>(pay);
-      if (!paid || !*paid) break;
+      const std::function<bool(Admission&)> takeBudget =
+          [model = job.policy.model](Admission& admission) {
+            return admission.takeExtra(model, BootClock::now());
+          };
+      const auto granted = co_await admission_.ask<bool>(takeBudget);
+      if (!granted || !*granted) break;
       ++counters_.extraTries;
     }
     const FetchResult fetched = co_await fetch(job, placed);
@@ -173,29 +174,30 @@
         break;
       case DeliveryOutcome::DeadlineExceeded:
         mayHaveRun = true;
-        late = BootClock::now() >= job.deadline;
+        isLate = BootClock::now() >= job.deadline;
         break;
       case DeliveryOutcome::Unknown:
         mayHaveRun = true;
         break;
     }
-    if (late || (mayHaveRun && !job.policy.repeatable)) break;
+    if (isLate || (mayHaveRun && !job.policy.repeatable)) break;
   }
   if (mayHaveRun) {
     trace->outcome = "unknown";
     const ErrorKind kind =
         job.policy.repeatable
-            ? (late ? ErrorKind::DuePassedRepeatable : ErrorKind::OutcomeUnknownRepeatable)
-            : (late ? ErrorKind::DuePassed : ErrorKind::OutcomeUnknown);
-    co_return unknown(kind, "the request may have run (" + lastDetail + ")", job);
+            ? (isLate ? ErrorKind::DuePassedRepeatable : ErrorKind::OutcomeUnknownRepeatable)
+            : (isLate ? ErrorKind::DuePassed : ErrorKind::OutcomeUnknown);
+    co_return respondUnknown(kind, "the request may have run (" + lastDetail + ")", job);
   }
   trace->outcome = "turned away";
-  co_return reject(ErrorKind::TurnedAway, late ? "the due passed before it ran" : lastDetail,
+  co_return reject(ErrorKind::TurnedAway, isLate ? "the due passed before it ran" : lastDetail,
                    job.id);
 }
 
-// Has the chosen server pull what it lacks, where that is cheaper than prefill. Neither end of a
-// pull checks weights, so the source is checked before and after, and a doubt drops what came.
+// Makes the chosen server pull the missing part of the prefix if that is cheaper than prefill.
+// Neither side of a pull checks the weights, so the source is checked before and after it. If a
+// check fails, the pulled part is dropped.
 awaitable<Proxy::FetchResult> Proxy::fetch(const Job& job, const Placed& placed) {
   const ServerState& server = placed.chosenServer;
   const Address chosenAddress{server.name.value};
@@ -208,7 +210,7 @@
     source = settings_.store;
     from = "store";
   }
-  // A model whose weights are on the move is no time for fetching: a source may switch any moment.
+  // No fetches during a rollout of the model's weights: the source may switch at any moment.
   const auto currentView = view();
   const auto named = currentView->configuration->weights.find(job.policy.model);
   const bool steady =
@@ -216,8 +218,8 @@
   if (!settings_.fetch || !steady || source.value.empty() ||
       job.deadline - BootClock::now() < 2 * kFetchTimeout)
     co_return FetchResult{};
-  // How many tokens the source is seen to hold under the request's weights; 0 where in doubt. A
-  // store keeps blocks of several weights side by side: only the part it vouches for is pulled.
+  // How many tokens the source holds under the request's weights; 0 if that is uncertain. A store
+  // keeps blocks of several weights side by side, so only the part that it confirms is pulled.
   const auto heldBySource = [&]() -> awaitable<std::size_t> {
     if (placed.source) {
       const auto state = co_await readServer(source, kFetchTimeout);
@@ -243,7 +245,7 @@
   if (pulled.ok() && after >= before && sameTarget) co_return FetchResult{from + ": fetched", true};
   ++counters_.fetchErrors;
   const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchTimeout);
-  // A pull that failed here may still land there until its own due has passed.
+  // A pull that failed from this side may still complete on the server until its deadline.
   const bool safe = pulled.ok() && dropped.ok();
   co_return FetchResult{from + (safe ? ": dropped, a check failed" : ": failed"), safe};
 }
