--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -22,7 +22,7 @@
 // The names of the headers that a relayed request and its answer carry.
 struct HeaderNames {
   // of callers, passed on
-  std::string requestId, dueMs, prefix, model, lastEventId, tokenCount;
+  std::string requestId, deadlineMs, prefix, model, lastEventId, tokenCount;
   // of callers, kept back, and what servers are told in their place
   std::string key, tenant;
   // what the daemon tells servers; a caller's own are dropped
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -35,7 +35,7 @@
 // The route's time, or the caller's own where that is shorter.
 Span Relay::dueOf(const http::request_header<>& head, const RoutePolicy& policy) const {
   const Span due = policy.due;
-  const auto named = numberOf(headerOf(head, names_.dueMs));
+  const auto named = numberOf(headerOf(head, names_.deadlineMs));
   if (!named) return due;
   return std::min<Span>(due, std::chrono::milliseconds(std::min(*named, kLongestDueMs)));
 }
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -29,12 +29,13 @@
     bool isOurs = false;
     for (const std::string* own :
          {&names_.key, &names_.tenant, &names_.identityWanted, &names_.weightsWanted, &names_.salt,
-          &names_.fetchSource, &names_.keepAt, &names_.urgency, &names_.dueMs, &names_.lastEventId})
+          &names_.fetchSource, &names_.keepAt, &names_.urgency, &names_.deadlineMs,
+          &names_.lastEventId})
       isOurs = isOurs || isSameName(name, *own);
     if (!isOurs) addHeader(&head, name, view(field.value()));
   }
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, names_.dueMs, std::to_string(std::max<std::int64_t>(1, left.count())));
+  addHeader(&head, names_.deadlineMs, std::to_string(std::max<std::int64_t>(1, left.count())));
   addHeader(&head, names_.identityWanted, server.identity.value);
   if (!server.weights.value.empty()) addHeader(&head, names_.weightsWanted, server.weights.value);
   if (job.needsKey) addHeader(&head, names_.tenant, job.tenant.value);
