--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -190,8 +190,8 @@
   const auto verb = request.method();
   ++openOperatorCalls_;
   AtEnd callGuard([this] { --openOperatorCalls_; });
-  if (dialect_.operatorCall) {
-    auto answer = co_await dialect_.operatorCall(*this, request);
+  if (dialect_.handleOperatorCall) {
+    auto answer = co_await dialect_.handleOperatorCall(*this, request);
     if (answer) co_return std::move(*answer);
   }
   if (path == "/q/spec" && (verb == http::verb::put || verb == http::verb::patch))
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -62,7 +62,7 @@
       orderWeights;
   // Calls of operators beyond the product's own; nullopt: not one of these.
   std::function<awaitable<std::optional<HttpResponse>>(Agent& agent, HttpRequest& request)>
-      operatorCall;
+      handleOperatorCall;
 };
 
 Dialect nativeDialect();
