--- a/src/operator/fleet_tables.cpp
+++ b/src/operator/fleet_tables.cpp
@@ -21,18 +21,18 @@
   X("ways", "/q/spec", "/spec/ways", "name,contract")                                              \
   X("decisions", "/q/decisions", "/lines", "decision,server,weights,fence,daemon,result")
 
-struct Close {
+struct SqliteDeleter {
   void operator()(sqlite3* db) const { sqlite3_close(db); }
   void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
 };
-using Db = std::unique_ptr<sqlite3, Close>;
-using Statement = std::unique_ptr<sqlite3_stmt, Close>;
+using Db = std::unique_ptr<sqlite3, SqliteDeleter>;
+using Statement = std::unique_ptr<sqlite3_stmt, SqliteDeleter>;
 
-absl::Status bad(sqlite3* db, const std::string& remedy) {
+absl::Status sqliteError(sqlite3* db, const std::string& remedy) {
   return absl::InvalidArgumentError(std::string(sqlite3_errmsg(db)) + ": " + remedy);
 }
 
-std::vector<std::string> split(const std::string& list) {
+std::vector<std::string> splitList(const std::string& list) {
   std::vector<std::string> parts;
   for (std::size_t start = 0; start <= list.size();) {
     const std::size_t end = std::min(list.find(',', start), list.size());
@@ -55,44 +55,44 @@
 }
 
 // Rows come as a list of objects, as JSON texts, or as an object by name.
-std::vector<Json> rowsOf(const Json& answer, const std::string& pointer) {
+std::vector<Json> extractRows(const Json& answer, const std::string& pointer) {
   std::vector<Json> rows;
   const Json::json_pointer where(pointer);
   if (!answer.contains(where)) return rows;
-  const Json& held = answer.at(where);
-  for (const auto& [name, value] : held.items()) {
+  const Json& rowsJson = answer.at(where);
+  for (const auto& [name, value] : rowsJson.items()) {
     Json row = value;
-    if (held.is_object())
+    if (rowsJson.is_object())
       row = value.is_object() ? value : Json{{"contract", value}};
     else if (value.is_string())
       row = Json::parse(value.get<std::string>(), nullptr, false);
-    if (held.is_object()) row["name"] = name;
+    if (rowsJson.is_object()) row["name"] = name;
     if (row.is_object()) rows.push_back(std::move(row));
   }
   return rows;
 }
 
-absl::Status fill(sqlite3* db, const std::string& table, const std::string& columns,
-                  const std::vector<Json>& rows) {
-  const std::vector<std::string> names = split(columns);
-  std::string marks = "?";
-  for (std::size_t i = 1; i < names.size(); ++i) marks += ",?";
-  const std::string insert = "INSERT INTO " + table + " VALUES (" + marks + ")";
-  sqlite3_stmt* made = nullptr;
-  if (sqlite3_prepare_v2(db, insert.c_str(), -1, &made, nullptr) != SQLITE_OK)
-    return bad(db, "report this");
-  const Statement statement(made);
+absl::Status fillTable(sqlite3* db, const std::string& table, const std::string& columns,
+                       const std::vector<Json>& rows) {
+  const std::vector<std::string> names = splitList(columns);
+  std::string placeholders = "?";
+  for (std::size_t i = 1; i < names.size(); ++i) placeholders += ",?";
+  const std::string insert = "INSERT INTO " + table + " VALUES (" + placeholders + ")";
+  sqlite3_stmt* prepared = nullptr;
+  if (sqlite3_prepare_v2(db, insert.c_str(), -1, &prepared, nullptr) != SQLITE_OK)
+    return sqliteError(db, "report this");
+  const Statement statement(prepared);
   for (const Json& row : rows) {
     for (std::size_t i = 0; i < names.size(); ++i)
-      bindCell(made, static_cast<int>(i) + 1, row.value(names[i], Json()));
-    sqlite3_step(made);
-    sqlite3_reset(made);
+      bindCell(prepared, static_cast<int>(i) + 1, row.value(names[i], Json()));
+    sqlite3_step(prepared);
+    sqlite3_reset(prepared);
   }
   return absl::OkStatus();
 }
 
 // Once the tables are filled: a query reads, and does nothing else.
-int readsOnly(void*, int action, const char*, const char*, const char*, const char*) {
+int authorizeReadOnly(void*, int action, const char*, const char*, const char*, const char*) {
   const bool reads = action == SQLITE_SELECT || action == SQLITE_READ ||
                      action == SQLITE_FUNCTION || action == SQLITE_RECURSIVE;
   return reads ? SQLITE_OK : SQLITE_DENY;
@@ -118,44 +118,46 @@
     return absl::ResourceExhaustedError("no memory for the tables: free some");
   const Db db(opened);
   std::map<std::string, Json> answers;  // one reading for each path, so that tables agree
-#define QUAYRILL_FILL(name, path, pointer, columns)                                                \
-  {                                                                                                \
-    sqlite3_exec(opened, "CREATE TABLE " name "(" columns ")", nullptr, nullptr, nullptr);         \
-    if (sql.find(name) != std::string::npos) {                                                     \
-      if (!answers.contains(path)) {                                                               \
-        auto answer = read(path);                                                                  \
-        if (!answer.ok()) return answer.status();                                                  \
-        answers[path] = std::move(*answer);                                                        \
-      }                                                                                            \
-      if (auto status = fill(opened, name, columns, rowsOf(answers[path], pointer)); !status.ok()) \
-        return status;                                                                             \
-    }                                                                                              \
+#define QUAYRILL_FILL_TABLE(name, path, pointer, columns)                                      \
+  {                                                                                            \
+    sqlite3_exec(opened, "CREATE TABLE " name "(" columns ")", nullptr, nullptr, nullptr);     \
+    if (sql.find(name) != std::string::npos) {                                                 \
+      if (!answers.contains(path)) {                                                           \
+        auto answer = read(path);                                                              \
+        if (!answer.ok()) return answer.status();                                              \
+        answers[path] = std::move(*answer);                                                    \
+      }                                                                                        \
+      if (auto status = fillTable(opened, name, columns, extractRows(answers[path], pointer)); \
+          !status.ok())                                                                        \
+        return status;                                                                         \
+    }                                                                                          \
   }
-  QUAYRILL_TABLES(QUAYRILL_FILL)
-#undef QUAYRILL_FILL
-  sqlite3_set_authorizer(opened, readsOnly, nullptr);
-  sqlite3_stmt* made = nullptr;
-  const char* rest = nullptr;
+  QUAYRILL_TABLES(QUAYRILL_FILL_TABLE)
+#undef QUAYRILL_FILL_TABLE
+  sqlite3_set_authorizer(opened, authorizeReadOnly, nullptr);
+  sqlite3_stmt* prepared = nullptr;
+  const char* remainder = nullptr;
   std::string tables;
-#define QUAYRILL_NAME(name, path, pointer, columns) tables += std::string(" ") + name;
-  QUAYRILL_TABLES(QUAYRILL_NAME)
-#undef QUAYRILL_NAME
-  if (sqlite3_prepare_v2(opened, sql.c_str(), -1, &made, &rest) != SQLITE_OK || made == nullptr)
-    return bad(opened, "give one SELECT over" + tables);
-  const Statement statement(made);
-  if (std::string(rest).find_first_not_of(" ;\n\t") != std::string::npos)
+#define QUAYRILL_APPEND_TABLE_NAME(name, path, pointer, columns) tables += std::string(" ") + name;
+  QUAYRILL_TABLES(QUAYRILL_APPEND_TABLE_NAME)
+#undef QUAYRILL_APPEND_TABLE_NAME
+  if (sqlite3_prepare_v2(opened, sql.c_str(), -1, &prepared, &remainder) != SQLITE_OK ||
+      prepared == nullptr)
+    return sqliteError(opened, "give one SELECT over" + tables);
+  const Statement statement(prepared);
+  if (std::string(remainder).find_first_not_of(" ;\n\t") != std::string::npos)
     return absl::InvalidArgumentError("more than one statement: give one SELECT over" + tables);
-  QueryResult text;
-  for (int i = 0; i < sqlite3_column_count(made); ++i)
-    text.columns.emplace_back(sqlite3_column_name(made, i));
+  QueryResult result;
+  for (int i = 0; i < sqlite3_column_count(prepared); ++i)
+    result.columns.emplace_back(sqlite3_column_name(prepared, i));
   int step = 0;
-  while ((step = sqlite3_step(made)) == SQLITE_ROW) {
+  while ((step = sqlite3_step(prepared)) == SQLITE_ROW) {
     Json row = Json::array();
-    for (int i = 0; i < sqlite3_column_count(made); ++i) row.push_back(cell(made, i));
-    text.rows.push_back(std::move(row));
+    for (int i = 0; i < sqlite3_column_count(prepared); ++i) row.push_back(cell(prepared, i));
+    result.rows.push_back(std::move(row));
   }
-  if (step != SQLITE_DONE) return bad(opened, "correct the query");
-  return text;
+  if (step != SQLITE_DONE) return sqliteError(opened, "correct the query");
+  return result;
 }
 
 }  // namespace quayrill
