--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -1,7 +1,7 @@
 #pragma once
-// What a deployment's surroundings speak: how configurations are written, how servers are listed
-// and ordered, what operators call. Formats and calls only; every decision stays with the product.
-// `nativeDialect()` is the product's own.
+// Protocol adapter for the environment of a deployment: the configuration format, the calls that
+// list servers and order their weights, and further operator calls. A dialect covers formats and
+// calls only; all decisions are made elsewhere. nativeDialect() implements quayrill's own protocol.
 #include <absl/status/statusor.h>
 
 #include <functional>
@@ -21,50 +21,53 @@
 
 // The names of the headers that a relayed request and its answer carry.
 struct HeaderNames {
-  // of callers, passed on
+  // Sent by callers and forwarded to servers.
   std::string requestId, deadlineMs, prefix, model, lastEventId, tokenCount;
-  // of callers, kept back, and what servers are told in their place
+  // The caller's key is removed; servers receive the tenant instead.
   std::string key, tenant;
-  // what the daemon tells servers; a caller's own are dropped
+  // Set by the daemon for servers; values sent by callers are dropped.
   std::string identityWanted, weightsWanted, salt, fetchSource, keepAt, urgency;
-  // what servers answer
+  // Sent by servers with the answer.
   std::string seal, load, notRun, identity, weights;
 };
 
-// How the parts that a server or store keeps are asked for, on a kept connection.
+// How the events about the prompt parts that a server or store caches are requested, on a
+// keep-alive connection.
 struct PartEventProtocol {
   std::function<std::string(std::uint64_t since)> target;
   std::function<absl::StatusOr<PartEvents>(const std::string& body)> parse;
 };
 
 struct Dialect {
-  // Requests are relayed by the configuration's routes, unchanged, under these names; empty: the
-  // product's own calls.
+  // If set, requests are relayed unchanged according to the configuration's routes, with these
+  // header names. If empty, callers use quayrill's own calls.
   std::optional<HeaderNames> relayHeaderNames;
-  // Empty: parts are not asked for.
+  // If empty, part events are not requested.
   std::optional<PartEventProtocol> partEvents;
-  // The register's body to a configuration; the message starts with the path of the offending
-  // field.
+  // Parses the register's body. An error message starts with the path of the offending field.
   std::function<absl::StatusOr<Configuration>(const std::string& body)> readConfiguration;
-  // The platform's whole list, all of its pages. `calls` is raised by the calls it took.
+  // Reads the platform's complete list, with all pages. Adds the number of calls made to `calls`.
   std::function<awaitable<absl::StatusOr<std::vector<ListRow>>>(Address platform, Address from,
                                                                 Span timeout, std::size_t* calls)>
       readList;
-  // One server's own word about itself; empty where the list tells all.
+  // Reads one server's state; empty if the list already includes it.
   std::function<awaitable<absl::StatusOr<ServerState>>(Address server, Span timeout)> readServer;
+  // Reads which weights a server uses.
   std::function<awaitable<absl::StatusOr<WeightsReport>>(Address server, Address from,
                                                          ModelName model, Span timeout)>
       readWeights;
-  // `owner` names the holder of the fence, and no other life of a daemon has the same.
+  // Orders a server to switch to `weights`. `owner` names the holder of the fence and is unique
+  // among all runs of all daemons.
   std::function<awaitable<OrderAnswer>(Address server, Address from, ServerIdentity identity,
                                        ModelName model, WeightsVersion weights, std::string owner,
                                        Fence fence, Span timeout)>
       orderWeights;
-  // Calls of operators beyond the product's own; nullopt: not one of these.
+  // Handles operator calls beyond quayrill's own; returns nullopt for any other call.
   std::function<awaitable<std::optional<HttpResponse>>(Agent& agent, HttpRequest& request)>
       handleOperatorCall;
 };
 
+// Quayrill's own protocol.
 Dialect nativeDialect();
 
 }  // namespace quayrill
--- a/src/dialect/native.cpp
+++ b/src/dialect/native.cpp
@@ -1,4 +1,4 @@
-// The product's own words, as docs/protocol.md has them.
+// Quayrill's own protocol, as specified in docs/protocol.md.
 #include "dialect/dialect.h"
 #include "net/model_server.h"
 
--- a/src/operator/fleet_tables.cpp
+++ b/src/operator/fleet_tables.cpp
@@ -9,7 +9,7 @@
 namespace {
 using Json = nlohmann::json;
 
-// table, path, what in the answer holds the rows, columns
+// Table name, path of the operator API, JSON pointer to the rows in the answer, columns.
 #define QUAYRILL_TABLES(X)                                                                         \
   X("members", "/q/members", "/members",                                                           \
     "cohort,callers,zone,store,spec_in_force,incarnation,leaving")                                 \
@@ -54,7 +54,7 @@
     sqlite3_bind_null(statement, at);
 }
 
-// Rows come as a list of objects, as JSON texts, or as an object by name.
+// The rows may be an array of objects, an array of JSON texts, or an object keyed by name.
 std::vector<Json> extractRows(const Json& answer, const std::string& pointer) {
   std::vector<Json> rows;
   const Json::json_pointer where(pointer);
@@ -91,7 +91,7 @@
   return absl::OkStatus();
 }
 
-// Once the tables are filled: a query reads, and does nothing else.
+// Authorizer that is set once the tables are filled: a query may only read.
 int authorizeReadOnly(void*, int action, const char*, const char*, const char*, const char*) {
   const bool reads = action == SQLITE_SELECT || action == SQLITE_READ ||
                      action == SQLITE_FUNCTION || action == SQLITE_RECURSIVE;
@@ -117,7 +117,7 @@
   if (sqlite3_open(":memory:", &opened) != SQLITE_OK)
     return absl::ResourceExhaustedError("no memory for the tables: free some");
   const Db db(opened);
-  std::map<std::string, Json> answers;  // one reading for each path, so that tables agree
+  std::map<std::string, Json> answers;  // each path is read once, so that tables are consistent
 #define QUAYRILL_FILL_TABLE(name, path, pointer, columns)                                      \
   {                                                                                            \
     sqlite3_exec(opened, "CREATE TABLE " name "(" columns ")", nullptr, nullptr, nullptr);     \
--- a/src/operator/fleet_tables.h
+++ b/src/operator/fleet_tables.h
@@ -1,5 +1,5 @@
 #pragma once
-// What a fleet says of itself, as tables in memory that SQL can be asked of.
+// SQL over the state of a fleet: answers of the operator API, loaded into in-memory SQLite tables.
 #include <absl/status/statusor.h>
 
 #include <functional>
@@ -9,14 +9,16 @@
 
 namespace quayrill {
 
+// Result of a query.
 struct QueryResult {
   std::vector<std::string> columns;
-  std::vector<nlohmann::json> rows;  // each an array, one value a column
+  std::vector<nlohmann::json> rows;  // each an array with one value per column
 };
 
-// `read` answers a path of the operator API with its JSON; a table is read only where the query
-// names it. Nothing but reading is allowed; a error names the remedy.
+// Fetches a path of the operator API and returns its JSON.
 using PathReader = std::function<absl::StatusOr<nlohmann::json>(const std::string& path)>;
+// Runs one SELECT. Fetches only the tables that the query names; statements that write are
+// rejected. An error names the remedy.
 absl::StatusOr<QueryResult> queryFleet(const std::string& sql, const PathReader& read);
 
 }  // namespace quayrill
--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -1,4 +1,4 @@
-// quayrillctl: the operator's command line.
+// quayrillctl: command line tool for operators.
 #include <docopt/docopt.h>
 
 #include <fstream>
@@ -52,6 +52,7 @@
             4 the daemon can't be reached.
 )";
 
+// Exit codes, as documented in kUsage.
 enum Exit { kDone = 0, kRejected = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
 
 struct CallResult {
@@ -220,7 +221,8 @@
   return kDone;
 }
 
-// The newest configuration that any live daemon serves by, so that as little as can be is lost.
+// Returns the newest configuration that any live daemon has in force, to lose as few changes as
+// possible.
 Json newestConfiguration(const Json& members, const Address& daemon) {
   Json newest;
   std::vector<std::string> asked{daemon.value};
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -1,4 +1,4 @@
-// quayrilld: the one daemon. Every machine runs it; all are equal.
+// quayrilld: the daemon that runs on every machine of a fleet.
 #include <docopt/docopt.h>
 #include <iostream>
 
