--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-constexpr char kUsage[] = R"(quayrillctl: talks to a quayrill fleet. Any daemon will do.
+constexpr char kUsage[] = R"(quayrillctl: operates a quayrill fleet through any one of its daemons.
 
 Usage:
   quayrillctl [--daemon=ADDR] [--json] spec get
@@ -32,46 +32,48 @@
 
 Options:
   --daemon=ADDR      Operator address of a daemon [default: 127.0.0.1:7101].
-  --expect=VERSION   The version you read; a change on top of another is turned away.
-  --spec=FILE        A spec saved with 'spec get', to found again with.
-  --confirm=FLEET    The fleet that is given up; without it, refound only says what would be lost.
+  --expect=VERSION   The version you read; the change is rejected if another one came in between.
+  --spec=FILE        A spec saved with 'spec get', for the new register.
+  --confirm=FLEET    The fleet to give up; without it, refound only reports what would be lost.
   --from=POSITION    Read decisions from this position on [default: 0].
   --callers=ADDR     Read the decisions of the proxy at this callers' address, not the agent's.
-  --follow           Go on reading as decisions are made.
-  --json             Bare JSON on stdout, one object a line.
+  --follow           Keep reading as decisions are made.
+  --json             Bare JSON on stdout, one object per line.
   -h --help          Show this text.
   --version          Show the version.
 
 SQL is one SELECT over members, copies, servers, tenants, contracts, ways and decisions, as the
 daemon knows them now. refound is the last resort when a majority of the register's disks is lost:
-it founds the register anew on the disk of the daemon that is asked.
+it founds a new register on the disk of the called daemon.
 
 FILE may be - for standard input. A request's id is in its answer's Quayrill-Request-Id.
 
-Exit codes: 0 done, 1 turned away or not found, 2 bad usage, 3 unknown whether it was done,
+Exit codes: 0 done, 1 rejected or not found, 2 bad usage, 3 unknown whether it was done,
             4 the daemon can't be reached.
 )";
 
 // Exit codes, as documented in kUsage.
 enum Exit { kDone = 0, kRejected = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
 
+// Result of a call to a daemon. `response` is set unless the call failed before an answer came.
 struct CallResult {
   int exit = kDone;
   HttpResponse response;
 };
 
+// Calls a daemon; prints an error to stderr, if any.
 CallResult call(const Address& to, http::verb verb, const std::string& target,
                 std::string body = {}) {
   asio::io_context io;
   absl::StatusOr<HttpResponse> response = absl::UnknownError("no answer");
-  HttpCall asked;
-  asked.to = to;
-  asked.verb = verb;
-  asked.target = target;
-  asked.body = std::move(body);
-  asked.timeout = 8s;
+  HttpCall request;
+  request.to = to;
+  request.verb = verb;
+  request.target = target;
+  request.body = std::move(body);
+  request.timeout = 8s;
   asio::co_spawn(
-      io, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
+      io, [&]() -> awaitable<void> { response = co_await httpCall(request); }, asio::detached);
   io.run();
   if (!response.ok()) {
     const bool sent = response.status().code() != absl::StatusCode::kUnavailable;
@@ -90,6 +92,7 @@
   return {response->result_int() == 504 ? kUnknownExit : kRejected, *response};
 }
 
+// A configuration with its version; `exit` tells whether it could be read.
 struct VersionedConfiguration {
   int exit = kDone;
   std::uint64_t version = 0;
@@ -127,8 +130,7 @@
   const VersionedConfiguration held = readConfiguration(daemon);
   if (held.exit != kDone) return held.exit;
   if (!held.configuration["tenants"].contains(tenant)) {
-    std::cerr << "quayrillctl: no tenant '" << tenant
-              << "': add it with configuration patch first\n";
+    std::cerr << "quayrillctl: no tenant '" << tenant << "': add it with 'spec patch' first\n";
     return kRejected;
   }
   const std::string digest = keyDigest(secret);
@@ -139,7 +141,7 @@
     if (add || key != digest) keys.push_back(key);
   }
   if (!add && !found) {
-    std::cerr << "quayrillctl: that is no key of '" << tenant << "': nothing was withdrawn\n";
+    std::cerr << "quayrillctl: tenant '" << tenant << "' has no such key: nothing was withdrawn\n";
     return kRejected;
   }
   if (add && !found) keys.push_back(digest);
@@ -192,14 +194,14 @@
 }
 
 int query(const Address& daemon, const std::string& sql, bool json) {
-  int unread = kDone;
+  int readExit = kDone;
   const auto table = queryFleet(sql, [&](const std::string& path) -> absl::StatusOr<Json> {
     const CallResult answer = call(daemon, http::verb::get, path);
-    unread = answer.exit;
+    readExit = answer.exit;
     if (answer.exit != kDone) return absl::UnavailableError("");
     return Json::parse(answer.response.body());
   });
-  if (unread != kDone) return unread;
+  if (readExit != kDone) return readExit;
   if (!table.ok()) {
     std::cerr << "quayrillctl: " << table.status().message() << "\n";
     return kUsageExit;
@@ -225,13 +227,13 @@
 // possible.
 Json newestConfiguration(const Json& members, const Address& daemon) {
   Json newest;
-  std::vector<std::string> asked{daemon.value};
+  std::vector<std::string> addresses{daemon.value};
   for (const auto& row : members["members"]) {
     const std::string peer = row["cohort"].get<std::string>();
     const std::string port = daemon.value.substr(daemon.value.rfind(':'));
-    asked.push_back(peer.substr(0, peer.rfind(':')) + port);
+    addresses.push_back(peer.substr(0, peer.rfind(':')) + port);
   }
-  for (const std::string& address : asked) {
+  for (const std::string& address : addresses) {
     const CallResult answer = call(Address{address}, http::verb::get, "/q/spec");
     if (answer.exit != kDone) continue;
     const Json reply = Json::parse(answer.response.body());
@@ -250,17 +252,17 @@
       file.empty() ? newestConfiguration(all, daemon) : Json::parse(readFile(file), nullptr, false);
   if (!configuration.is_object() || !configuration.contains("version") ||
       !configuration.contains("spec")) {
-    std::cerr << "quayrillctl: no daemon that lives serves by a configuration, or FILE is none "
-                 "that 'configuration get' "
-                 "printed: give one with --spec\n";
+    std::cerr << "quayrillctl: no live daemon has a configuration in force, or FILE was not "
+                 "written by 'spec get': "
+                 "name a saved one with --spec\n";
     return kUsageExit;
   }
   if (confirm != fleet) {
-    std::cerr << "quayrillctl: this gives fleet " << fleet << " up and founds another on "
+    std::cerr << "quayrillctl: this gives up fleet " << fleet << " and founds a new one on "
               << daemon.value << " with configuration version " << configuration["version"]
-              << ". Changes acknowledged after that version are lost for good, and disks of the "
-                 "old fleet never vote again: empty them before they join. Do it only when a "
-                 "majority of the register's disks can't come back, with --confirm="
+              << ". Changes acknowledged after that version are lost permanently, and disks of the "
+                 "old fleet never vote again: empty them before they join. Use it only if a "
+                 "majority of the register's disks can't be recovered, with --confirm="
               << fleet << "\n";
     return confirm.empty() ? kRejected : kUsageExit;
   }
@@ -296,7 +298,8 @@
 int explain(const std::string& id, bool json) {
   const Address daemon{id.substr(0, id.find('/'))};
   if (const auto status = checkAddress("REQUEST", daemon.value); !status.ok()) {
-    std::cerr << "quayrillctl: '" << id << "' is no request id: take it from Quayrill-Request-Id\n";
+    std::cerr << "quayrillctl: '" << id
+              << "' is not a request id: use the value of the answer's Quayrill-Request-Id\n";
     return kUsageExit;
   }
   const CallResult answer = call(daemon, http::verb::get, "/q/explain?id=" + id);
@@ -328,7 +331,7 @@
     std::cout << "quayrillctl " QUAYRILL_VERSION "\n";
     return kDone;
   } catch (const std::exception&) {
-    std::cerr << "quayrillctl: the command is not understood: see --help\n";
+    std::cerr << "quayrillctl: unknown command or option: see --help\n";
     return kUsageExit;
   }
   const auto text = [&](const char* name) {
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -19,31 +19,31 @@
   --settings=FILE      JSON settings; flags win over it. Names are those below with '_' for '-'.
   --role=ROLE          proxy, agent (a pair on loopback) or both in one process.
   --cohort=ADDR        ip:port where other daemons connect.
-  --operators=ADDR     ip:port of the operator API; a proxy asks its agent here.
+  --operators=ADDR     ip:port of the operator API; a proxy reaches its agent here.
   --callers=ADDR       ip:port where callers' requests arrive.
   --zone=ZONE          The zone of this machine.
-  --seeds=LIST         Three cohort addresses, split by commas, the same on every machine.
-  --data-folder=DIR    Keep a register copy in DIR.
+  --seeds=LIST         Three cohort addresses, separated by commas, the same on every machine.
+  --data-folder=DIR    Keep a register replica in DIR.
   --platform=ADDR      ip:port of the platform's list of servers.
-  --store=ADDR         ip:port of the store of kept prompt parts.
-  --cohort-via=ADDR    Send cohort circuits through this relay.
-  --disk-drag=FILE     Let each sync last as many ms longer as FILE says (runs with slow disks).
+  --store=ADDR         ip:port of the store of cached prompt parts.
+  --cohort-via=ADDR    Connect to other daemons through the relay at this address.
+  --disk-drag=FILE     Delay each disk sync by the milliseconds in FILE (to simulate slow disks).
   --placement=RULE     prefix, least-burden or round-robin (the last two for comparison).
   --fetch=ON           on or off: let servers pull missing prefixes.
-  --without=NAMES      Mechanisms to switch off, split by commas, to measure what each is worth.
-  --copies-wanted=N    Register copies to keep.
-  --block-tokens=N     Tokens of one cache block.
+  --without=NAMES      Mechanisms to switch off, separated by commas, to measure their effect.
+  --copies-wanted=N    Register replicas to keep.
+  --block-tokens=N     Tokens per cache block.
   --traffic-threads=N  Threads for traffic.
-  --fresh-limit-ms=MS  Turn requests away when the spec is unconfirmed for this long.
-  --grace-ms=MS        How long SIGTERM lets streams finish, at least; never less than the
-                       longest due of a contract.
+  --fresh-limit-ms=MS  Reject requests when the spec is unconfirmed for this long.
+  --grace-ms=MS        Minimum time that SIGTERM lets streams finish; never less than the
+                       longest due_ms of a contract.
   --check              Check the settings and exit.
   -h --help            Show this text.
   --version            Show the version.
 
-Exit codes: 0 ended as asked, 1 a failure while running, 2 bad settings.
+Exit codes: 0 shut down as requested, 1 a failure while running, 2 bad settings.
 
-Mechanisms that --without takes, and what is done without each:
+Mechanisms that --without accepts, and what happens without each:
 )";
 
 std::string settingName(const std::string& flag) {
