--- a/src/operator/fleet_tables.cpp
+++ b/src/operator/fleet_tables.cpp
@@ -55,7 +55,7 @@
 }
 
 // The rows may be an array of objects, an array of JSON texts, or an object keyed by name.
-std::vector<Json> extractRows(const Json& answer, const std::string& pointer) {
+std::vector<Json> rowsOf(const Json& answer, const std::string& pointer) {
   std::vector<Json> rows;
   const Json::json_pointer where(pointer);
   if (!answer.contains(where)) return rows;
@@ -72,8 +72,8 @@
   return rows;
 }
 
-absl::Status fillTable(sqlite3* db, const std::string& table, const std::string& columns,
-                       const std::vector<Json>& rows) {
+absl::Status fill(sqlite3* db, const std::string& table, const std::string& columns,
+                  const std::vector<Json>& rows) {
   const std::vector<std::string> names = splitList(columns);
   std::string placeholders = "?";
   for (std::size_t i = 1; i < names.size(); ++i) placeholders += ",?";
@@ -118,19 +118,18 @@
     return absl::ResourceExhaustedError("no memory for the tables: free some");
   const Db db(opened);
   std::map<std::string, Json> answers;  // each path is read once, so that tables are consistent
-#define QUAYRILL_FILL_TABLE(name, path, pointer, columns)                                      \
-  {                                                                                            \
-    sqlite3_exec(opened, "CREATE TABLE " name "(" columns ")", nullptr, nullptr, nullptr);     \
-    if (sql.find(name) != std::string::npos) {                                                 \
-      if (!answers.contains(path)) {                                                           \
-        auto answer = read(path);                                                              \
-        if (!answer.ok()) return answer.status();                                              \
-        answers[path] = std::move(*answer);                                                    \
-      }                                                                                        \
-      if (auto status = fillTable(opened, name, columns, extractRows(answers[path], pointer)); \
-          !status.ok())                                                                        \
-        return status;                                                                         \
-    }                                                                                          \
+#define QUAYRILL_FILL_TABLE(name, path, pointer, columns)                                          \
+  {                                                                                                \
+    sqlite3_exec(opened, "CREATE TABLE " name "(" columns ")", nullptr, nullptr, nullptr);         \
+    if (sql.find(name) != std::string::npos) {                                                     \
+      if (!answers.contains(path)) {                                                               \
+        auto answer = read(path);                                                                  \
+        if (!answer.ok()) return answer.status();                                                  \
+        answers[path] = std::move(*answer);                                                        \
+      }                                                                                            \
+      if (auto status = fill(opened, name, columns, rowsOf(answers[path], pointer)); !status.ok()) \
+        return status;                                                                             \
+    }                                                                                              \
   }
   QUAYRILL_TABLES(QUAYRILL_FILL_TABLE)
 #undef QUAYRILL_FILL_TABLE
