--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -127,16 +127,16 @@
 
 int changeKey(const Address& daemon, const std::string& tenant, const std::string& secret, bool add,
               bool json) {
-  const VersionedConfiguration held = readConfiguration(daemon);
-  if (held.exit != kDone) return held.exit;
-  if (!held.configuration["tenants"].contains(tenant)) {
+  const VersionedConfiguration current = readConfiguration(daemon);
+  if (current.exit != kDone) return current.exit;
+  if (!current.configuration["tenants"].contains(tenant)) {
     std::cerr << "quayrillctl: no tenant '" << tenant << "': add it with 'spec patch' first\n";
     return kRejected;
   }
   const std::string digest = keyDigest(secret);
   Json keys = Json::array();
   bool found = false;
-  for (const auto& key : held.configuration["tenants"][tenant].value("keys", Json::array())) {
+  for (const auto& key : current.configuration["tenants"][tenant].value("keys", Json::array())) {
     found = found || key == digest;
     if (add || key != digest) keys.push_back(key);
   }
@@ -146,7 +146,7 @@
   }
   if (add && !found) keys.push_back(digest);
   const Json patch{{"tenants", {{tenant, {{"keys", keys}}}}}};
-  return sendConfiguration(daemon, http::verb::patch, held.version, patch.dump(), json);
+  return sendConfiguration(daemon, http::verb::patch, current.version, patch.dump(), json);
 }
 
 int showMembers(const Address& daemon, bool json) {
@@ -344,12 +344,12 @@
     if (const auto status = checkAddress("--daemon", daemon.value); !status.ok())
       throw std::invalid_argument(std::string(status.message()));
     if (is("spec") && is("get")) {
-      const VersionedConfiguration held = readConfiguration(daemon);
-      if (held.exit == kDone)
-        std::cout << Json{{"version", held.version}, {"spec", held.configuration}}.dump(json ? -1
-                                                                                             : 2)
+      const VersionedConfiguration current = readConfiguration(daemon);
+      if (current.exit == kDone)
+        std::cout << Json{{"version", current.version}, {"spec", current.configuration}}.dump(
+                         json ? -1 : 2)
                   << "\n";
-      return held.exit;
+      return current.exit;
     }
     if (is("spec")) {
       const bool put = is("put");
@@ -357,19 +357,19 @@
       if (!text("--expect").empty()) {
         expect = std::stoull(text("--expect"));
       } else {
-        const VersionedConfiguration held = readConfiguration(daemon);
-        if (held.exit != kDone) return held.exit;
-        expect = held.version;
+        const VersionedConfiguration current = readConfiguration(daemon);
+        if (current.exit != kDone) return current.exit;
+        expect = current.version;
       }
       return sendConfiguration(daemon, put ? http::verb::put : http::verb::patch, expect,
                                readFile(text("FILE")), json);
     }
     if (is("key")) return changeKey(daemon, text("TENANT"), text("SECRET"), is("add"), json);
     if (is("weights")) {
-      const VersionedConfiguration held = readConfiguration(daemon);
-      if (held.exit != kDone) return held.exit;
+      const VersionedConfiguration current = readConfiguration(daemon);
+      if (current.exit != kDone) return current.exit;
       const Json patch{{"models", {{text("MODEL"), {{"weights", text("VERSION")}}}}}};
-      return sendConfiguration(daemon, http::verb::patch, held.version, patch.dump(), json);
+      return sendConfiguration(daemon, http::verb::patch, current.version, patch.dump(), json);
     }
     if (is("query")) return query(daemon, text("SQL"), json);
     if (is("refound")) return recover(daemon, text("--spec"), text("--confirm"), json);
