--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -1,16 +1,18 @@
-// Callers who don't keep to the manner of it: none of them holds up the others.
+// Tests with misbehaving callers (slow, disconnecting, idle, pipelining). None may block others or
+// leak a place.
 #include "proxy_stage.h"
 
 using namespace quayrill;
 using namespace quayrill::tests;
 
 namespace {
+// A caller that writes raw bytes to its connection.
 struct RawCaller {
   asio::io_context io;
   Tcp::socket socket{io};
   explicit RawCaller(const Address& to) { socket.connect(endpointOf(to)); }
   void send(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
-  // Everything until the other end closes.
+  // Reads until the proxy closes the connection.
   std::string readAll() {
     std::string bytes;
     ErrorCode code;
--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -1,5 +1,4 @@
-// A delivery against a server that is split, cut off, reset or garbled at every byte boundary of
-// its answers.
+// Tests of a delivery whose answer is split, cut off, reset or garbled at each byte boundary.
 #include "boundary.h"
 #include "deliver_stage.h"
 
@@ -39,8 +38,8 @@
   };
 }
 
-// One thread: server, delivery and caller take turns, so what was sent has been read a few turns
-// later.
+// Yields several times. Server, delivery and caller run on one thread, so everything sent has been
+// read afterwards.
 awaitable<void> yieldRepeatedly() {
   for (int i = 0; i < 8; ++i)
     co_await asio::post(co_await asio::this_coro::executor, use_awaitable);
@@ -113,7 +112,7 @@
     fail("its end and what the caller sees differ");
   if (end == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
     fail("a cut looks complete");
-  // Garbage inside of a body is the server's own bytes; in front of it stands what was sent.
+  // Garbage within the body counts as the server's bytes; only the part before it must match.
   const std::string own = callerAnswer.body.substr(0, callerAnswer.body.find(kGarbage[0]));
   if (all.rfind(own, 0) != 0) fail("the caller got other bytes");
   if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n') fail("part of a piece");
--- a/tests/deliver_stage.h
+++ b/tests/deliver_stage.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the tests of a single delivery share: the request, and the caller's connection.
+// Shared by the tests of a single delivery: the request, and the caller's connection.
 #include "proxy/deliver.h"
 
 namespace quayrill::tests {
@@ -23,7 +23,8 @@
   }
 };
 
-// Request r1 on weights w1 to the server that listens there, due in `due` with its first piece too.
+// A delivery of request r1, under weights w1, to the server that listens on `server`. Both
+// deadlines are `timeout` from now.
 inline Delivery deliveryTo(const Tcp::acceptor& server, std::string body, Span timeout) {
   Delivery delivery;
   delivery.request = RequestId{"r1"};
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -1,4 +1,4 @@
-// One delivery against a scripted model server: the bytes it answers are the script.
+// Tests of one delivery against a model server that answers with the bytes of a script.
 #include <catch2/catch.hpp>
 
 #include "deliver_stage.h"
@@ -103,10 +103,10 @@
   const std::string piece = chunk("{\"piece\":0}\n");
   for (const std::string& script : {
            kHead + piece,                                          // connection lost
-           kHead + piece + "0\r\n\r\n",                            // closed whole, no end mark
-           kHead + piece + endMarkChunk(2) + "0\r\n\r\n",          // the mark names other pieces
-           kHead + piece + endMarkChunk(1),                        // mark, then lost
-           kHead + piece + endMarkChunk(1) + piece + "0\r\n\r\n",  // a piece after the mark
+           kHead + piece + "0\r\n\r\n",                            // complete body, no end mark
+           kHead + piece + endMarkChunk(2) + "0\r\n\r\n",          // end mark with another count
+           kHead + piece + endMarkChunk(1),                        // end mark, then lost
+           kHead + piece + endMarkChunk(1) + piece + "0\r\n\r\n",  // a piece after the end mark
            kHead + piece + chunk("{\"pie") + "0\r\n\r\n",          // half a line
        }) {
     const auto played = play({script});
--- a/tests/disk_tests.cpp
+++ b/tests/disk_tests.cpp
@@ -1,5 +1,5 @@
-// The data folder on a real disk that is full for a while: a file size limit makes every write
-// fail.
+// Tests of the data folder on a real file system that is temporarily full. A file size limit of
+// zero makes every write fail.
 #include <sys/resource.h>
 #include <unistd.h>
 #include <catch2/catch.hpp>
@@ -53,10 +53,10 @@
   CHECK(failed);
   CHECK(failedAgain);
   const Disk::Rows rows = readAnew.get_future().get();
-  // Whether the failed write is there is open; the one after it never is.
+  // The failed write may or may not have reached the disk; the write after it was never attempted.
   CHECK((rows.at("a") == "1" || rows.at("a") == "2"));
   CHECK_FALSE(rows.contains("b"));
-  CHECK_FALSE(writeOne(disk, "c", "1").ok());  // read, but nobody has taken the rows yet
+  CHECK_FALSE(writeOne(disk, "c", "1").ok());  // reopened, but resume() was not called yet
   disk.resume();
   CHECK(writeOne(disk, "d", "1").ok());
 }
--- a/tests/fleet/jumping_clock.cpp
+++ b/tests/fleet/jumping_clock.cpp
@@ -1,5 +1,5 @@
-// Loaded before the C library into the daemons of a run with jumping clocks: their wall clock leaps
-// by up to two days, forwards and backwards, several times a second. Other clocks are untouched.
+// Preloaded (LD_PRELOAD) into daemons to test that they don't rely on the wall clock: it jumps by
+// up to two days, forwards and backwards, several times a second. Other clocks are unchanged.
 #include <dlfcn.h>
 #include <sys/time.h>
 
--- a/tests/fleet/jumping_daemon.cpp
+++ b/tests/fleet/jumping_daemon.cpp
@@ -1,5 +1,5 @@
-// Stands in for the daemon in runs with jumping wall clocks (`quayrill-local --quayrilld=`):
-// becomes the quayrilld beside it, with jumping_clock.so loaded before the C library.
+// Wrapper used in place of the daemon in runs with jumping wall clocks (`quayrill-local
+// --quayrilld=`): executes the quayrilld in its directory with jumping_clock.so preloaded.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -10,7 +10,7 @@
   const auto folder = std::filesystem::canonical("/proc/self/exe").parent_path();
   const std::string clock = folder / "jumping_clock.so";
   std::string daemon = folder / "quayrilld";
-  // The loader only warns where the library is missing, and the run would prove nothing.
+  // If the library is missing the loader only warns, and the run would test nothing.
   if (::access(clock.c_str(), R_OK) == 0) {
     ::setenv("LD_PRELOAD", clock.c_str(), 1);
     argv[0] = daemon.data();
--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -1,4 +1,4 @@
-// What waits for a daemon that takes nothing stays bounded.
+// Tests that the queues for peers that read nothing stay bounded.
 #include <catch2/catch.hpp>
 
 #include "net/peer_link.h"
@@ -16,7 +16,7 @@
 }  // namespace
 
 TEST_CASE("peer link: frames that wait are bounded in bytes, for one daemon and for all") {
-  asio::io_context io;  // never run: nothing leaves
+  asio::io_context io;  // never run, so nothing is sent
   PeerLink link(io, Address{"127.9.9.1:7100"}, Address{}, [](const Envelope&) {});
   for (int i = 0; i < 100; ++i) link.send(envelopeTo("127.9.9.2:7100", 200000));
   CHECK(link.queuedBytes() > kMegabyte);
@@ -27,7 +27,7 @@
     for (int i = 0; i < 10; ++i) link.send(envelopeTo(to, 200000));
   }
   CHECK(link.queuedBytes() > 40 * kMegabyte);
-  // Past the bound over all, one frame for each daemon may still wait.
+  // Beyond the total limit, one frame per daemon may still wait.
   CHECK(link.queuedBytes() <= 48 * kMegabyte + 100 * 201000);
 }
 
--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -44,7 +44,7 @@
   PowerLossFile(PowerLossEnv& env, std::string name, std::shared_ptr<PowerLossEnv::File> file)
       : env_(env), name_(std::move(name)), file_(std::move(file)) {}
   ~PowerLossFile() override { Flush(); }
-  // What comes between two flushes is one write, as with LevelDB's own files.
+  // Bytes appended between two flushes form one write, as with LevelDB's own files.
   Status Append(const leveldb::Slice& bytes) override {
     buffered_.append(bytes.data(), bytes.size());
     return buffered_.size() < kFlushThresholdBytes ? Status::OK() : Flush();
@@ -187,43 +187,43 @@
   return Status::OK();
 }
 
-Status PowerLossEnv::NewSequentialFile(const std::string& name, leveldb::SequentialFile** made) {
+Status PowerLossEnv::NewSequentialFile(const std::string& name, leveldb::SequentialFile** result) {
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *made = new InMemoryReader(file->now);
+  *result = new InMemoryReader(file->now);
   return Status::OK();
 }
 
 Status PowerLossEnv::NewRandomAccessFile(const std::string& name,
-                                         leveldb::RandomAccessFile** made) {
+                                         leveldb::RandomAccessFile** result) {
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *made = new InMemoryReader(file->now);
+  *result = new InMemoryReader(file->now);
   return Status::OK();
 }
 
-Status PowerLossEnv::NewWritableFile(const std::string& name, leveldb::WritableFile** made) {
+Status PowerLossEnv::NewWritableFile(const std::string& name, leveldb::WritableFile** result) {
   std::lock_guard lock(mutex_);
   if (operations_ >= powerLossAt_) return powerLostError();
   auto file = std::make_shared<File>();
   change({{}, name, file});
   if (Status status = countOperation(); !status.ok()) return status;
-  *made = new PowerLossFile(*this, name, std::move(file));
+  *result = new PowerLossFile(*this, name, std::move(file));
   return Status::OK();
 }
 
-Status PowerLossEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** made) {
+Status PowerLossEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** result) {
   {
     std::lock_guard lock(mutex_);
     if (operations_ >= powerLossAt_) return powerLostError();
     if (auto file = find(name)) {
-      *made = new PowerLossFile(*this, name, std::move(file));
+      *result = new PowerLossFile(*this, name, std::move(file));
       return Status::OK();
     }
   }
-  return NewWritableFile(name, made);
+  return NewWritableFile(name, result);
 }
 
 bool PowerLossEnv::FileExists(const std::string& name) {
--- a/tests/power_loss_env.h
+++ b/tests/power_loss_env.h
@@ -1,6 +1,6 @@
 #pragma once
-// Files in memory for LevelDB, with what a loss of power does to them. Every call that changes
-// something is counted, and the power can be lost at any of them.
+// An in-memory file system for LevelDB that simulates power loss. Every modifying call is counted
+// as an operation, and the power can be lost at any operation.
 #include <leveldb/env.h>
 
 #include <cstdint>
@@ -15,24 +15,30 @@
 
 namespace quayrill {
 
-// A file's bytes are lasting up to its last sync; each later append survives, goes missing or comes
-// back torn. A name that was made, renamed or removed since the last sync of the folder is kept or
-// lost by itself. As LevelDB's own environment does, a sync of a manifest syncs the folder first.
+// A file's bytes are durable up to its last sync; each later append independently survives, is lost
+// or is torn. Names that were created, renamed or removed since the last directory sync are
+// independently kept or lost. As in LevelDB's own environment, syncing a manifest syncs the
+// directory first.
 class PowerLossEnv : public leveldb::EnvWrapper {
  public:
   PowerLossEnv() : leveldb::EnvWrapper(leveldb::Env::Default()) {}
 
-  FileSystem files();                   // with folder syncs
-  FileSystem filesWithoutFolderSync();  // a planted defect: folder syncs do nothing
+  // The file system with working directory syncs.
+  FileSystem files();
+  // Planted defect: directory syncs do nothing.
+  FileSystem filesWithoutFolderSync();
 
-  // A full disk refuses every write; syncs and names that are removed still work.
+  // A full disk rejects every write; syncs and removals still work.
   void setFull(bool full);
-  std::size_t operations() const;  // counted since the last loss
+  // Operations since the last restore().
+  std::size_t operations() const;
   bool hasPower() const;
-  std::size_t peakBytes() const;  // of all files at once, names that are removed left out
-  // The power goes at the operation of this number; from there on every call fails.
+  // Largest total size of all files at any time, without removed ones.
+  std::size_t peakBytes() const;
+  // Loses power at the operation with this number; from then on every modifying call fails.
   void losePowerAt(std::size_t operation);
-  // What the next start finds; `seed` 0: nothing survives that was not synced, 1: all of it.
+  // Restores power and determines what survived. `seed` 0: nothing that was not synced, 1: all of
+  // it, others: a random choice.
   void restore(std::uint64_t seed);
 
   leveldb::Status NewSequentialFile(const std::string&, leveldb::SequentialFile**) override;
@@ -59,10 +65,10 @@
   struct File {
     std::string now;
     std::string synced;
-    std::vector<Append> unsynced;  // since the last sync
+    std::vector<Append> unsynced;  // appends since the last sync
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
-  // Made: `from` is empty. Removed: `to` is empty.
+  // A rename. `from` is empty for a creation, `to` is empty for a removal.
   struct NameChange {
     std::string from, to;
     std::shared_ptr<File> file;
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -1,5 +1,6 @@
-// The data folder through losses of power at every write and sync: what a register replica was told
-// is synced must be there under its store id, and nothing that was lost may vote under it.
+// Tests of the data folder with a power loss at each write and sync. Everything that was
+// acknowledged to a register replica as synced must still be there under its store id; a replica
+// that lost state must not vote under the old id.
 #include <catch2/catch.hpp>
 
 #include <leveldb/db.h>
@@ -15,17 +16,17 @@
 
 namespace {
 constexpr char kFolder[] = "/data";
-constexpr std::size_t kMinWriteBufferBytes = 64 << 10;  // the least that LevelDB takes
-constexpr std::size_t kBodyBytes = 40 << 10;            // more than one block of a log
+constexpr std::size_t kMinWriteBufferBytes = 64 << 10;  // the minimum that LevelDB accepts
+constexpr std::size_t kBodyBytes = 40 << 10;            // larger than one block of a log
 constexpr std::size_t kChangesPerProcess = 10;
 constexpr auto kReopenPollInterval = 20ms;
-constexpr auto kReopenTimeout = 10s;  // of a machine that has much else to do
+constexpr auto kReopenTimeout = 10s;  // generous, for heavily loaded machines
 
-// What a replica was told is synced, and what it went on to try.
+// What was acknowledged to a replica as synced, and what it attempted.
 struct Acknowledged {
-  StoreId store;  // 0: none was
-  std::uint64_t round = 0;
-  std::uint64_t tried = 0;
+  StoreId store;            // 0: none
+  std::uint64_t round = 0;  // last acknowledged round
+  std::uint64_t tried = 0;  // last attempted round
 };
 enum class OpenResult { All, Older, Emptied, Damaged, NoPower, Unopened };
 
@@ -38,9 +39,10 @@
   return set;
 }
 
-std::uint64_t lastStoreId = 0;  // each folder that is empty gets a new identity
+std::uint64_t lastStoreId = 0;  // every process offers a new store id, for an empty folder
 
-// One life of a replica and its disk, until its changes are made or the power goes.
+// One run of a process with a replica and its disk, until its changes are done or the power is
+// lost.
 class ReplicaProcess {
  public:
   ReplicaProcess(PowerLossEnv& env, FileSystem files, Acknowledged* acknowledged)
@@ -87,14 +89,15 @@
     acknowledged_->store = replica_.store();
     return emptied && !wasThere ? OpenResult::All : openResult;
   }
-  // The old identity, and all that it promised and accepted, or more.
+  // Checks that the replica has its old store id and everything that it promised and accepted, or
+  // more.
   OpenResult compare() {
     if (acknowledged_->store.value > 0 && replica_.store() != acknowledged_->store)
       return OpenResult::Older;
     if (acknowledged_->round == 0) return OpenResult::All;
     const auto value = replica_.valueOf(kConfigurationKey);
     if (!value || value->version < acknowledged_->round) return OpenResult::Older;
-    // A ballot of an earlier round must find the promise kept.
+    // The promise must be kept: a ballot of an earlier round is rejected.
     const Ballot earlier{Epoch{1}, acknowledged_->round - 1, ProposerId{9}};
     const auto made =
         replica_.onPrepare({{}, kConfigurationKey, earlier, replica_.store(), replica_.replicas()});
@@ -134,21 +137,24 @@
   std::size_t bad() const { return older + emptied + damaged + unopened; }
 };
 
-// `before` lives end well, but for the loss of power after them; the next one loses it at `at`.
+// The first `before` processes finish their changes before the power is lost; the next one loses it
+// at operation `at`.
 void run(bool syncsFolders, std::size_t before, std::size_t at, std::uint64_t seed, Tally* tally) {
   PowerLossEnv env;
   const auto files = [&] { return syncsFolders ? env.files() : env.filesWithoutFolderSync(); };
   Acknowledged acknowledged;
   OpenResult openResult = OpenResult::All;
-  for (std::size_t life = 0; life < before + 3 && openResult == OpenResult::All; ++life) {
-    if (life == before) env.losePowerAt(at);
+  for (std::size_t processIndex = 0; processIndex < before + 3 && openResult == OpenResult::All;
+       ++processIndex) {
+    if (processIndex == before) env.losePowerAt(at);
     {
-      ReplicaProcess machine(env, files(), &acknowledged);
-      openResult = machine.open();
-      if (openResult == OpenResult::All) machine.change(life > before ? 2 : kChangesPerProcess);
+      ReplicaProcess process(env, files(), &acknowledged);
+      openResult = process.open();
+      if (openResult == OpenResult::All)
+        process.change(processIndex > before ? 2 : kChangesPerProcess);
     }
     if (openResult == OpenResult::NoPower) openResult = OpenResult::All;
-    env.restore(seed + (seed > 1 ? life : 0));
+    env.restore(seed + (seed > 1 ? processIndex : 0));
   }
   ++tally->runs;
   tally->older += openResult == OpenResult::Older;
@@ -156,17 +162,17 @@
   tally->damaged += openResult == OpenResult::Damaged;
   tally->unopened += openResult == OpenResult::Unopened;
   if (syncsFolders && openResult != OpenResult::All)
-    FAIL_CHECK("lives before " << before << ", power lost at " << at << ", seed " << seed
-                               << ": found " << static_cast<int>(openResult));
+    FAIL_CHECK("processes before " << before << ", power lost at " << at << ", seed " << seed
+                                   << ": found " << static_cast<int>(openResult));
 }
 
 std::size_t countOperationsPerProcess() {
   PowerLossEnv env;
   Acknowledged acknowledged;
   {
-    ReplicaProcess machine(env, env.files(), &acknowledged);
-    REQUIRE(machine.open() == OpenResult::All);
-    REQUIRE(machine.change(kChangesPerProcess));
+    ReplicaProcess process(env, env.files(), &acknowledged);
+    REQUIRE(process.open() == OpenResult::All);
+    REQUIRE(process.change(kChangesPerProcess));
   }
   return env.operations();
 }
@@ -206,9 +212,9 @@
     PowerLossEnv env;
     Acknowledged acknowledged;
     {
-      ReplicaProcess machine(env, env.files(), &acknowledged);
-      REQUIRE(machine.open() == OpenResult::All);
-      REQUIRE(machine.change(kChangesPerProcess));
+      ReplicaProcess process(env, env.files(), &acknowledged);
+      REQUIRE(process.open() == OpenResult::All);
+      REQUIRE(process.change(kChangesPerProcess));
     }
     env.restore(1);
     const std::string folder = std::string(kFolder) + "/register";
@@ -218,8 +224,8 @@
       if (("/" + name).rfind(gone, 0) == 0) REQUIRE(env.RemoveFile(folder + "/" + name).ok());
     }
     const StoreId old = acknowledged.store;
-    ReplicaProcess machine(env, env.files(), &acknowledged);
-    const OpenResult openResult = machine.open();
+    ReplicaProcess process(env, env.files(), &acknowledged);
+    const OpenResult openResult = process.open();
     CHECK((openResult == OpenResult::Emptied || openResult == OpenResult::Damaged));
     if (openResult == OpenResult::Emptied) CHECK(acknowledged.store != old);
   }
@@ -298,14 +304,14 @@
   PowerLossEnv env;
   std::size_t written = 0;
   Span longestOpening{};
-  for (int life = 0; life < 60; ++life) {  // each opening rewrites the log
+  for (int processIndex = 0; processIndex < 60; ++processIndex) {  // each opening rewrites the log
     Disk disk({kFolder, "", 1h, env.files()}, [](Disk::Rows) {});
     const Instant begun = BootClock::now();
     const auto opened = disk.open();
     longestOpening = std::max(longestOpening, BootClock::now() - begun);
     REQUIRE(opened.ok());
     REQUIRE(opened->has_value());
-    if (life > 0)
+    if (processIndex > 0)
       CHECK((**opened).at("slot/spec").back() == static_cast<char>('a' + (written - 1) % 26));
     for (int i = 0; i < 10; ++i) {
       std::string body(kMegabyte, static_cast<char>('a' + written % 26));
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -1,5 +1,5 @@
 #pragma once
-// A whole proxy between a scripted agent, scripted model servers and callers on loopback.
+// Test fixture: a complete proxy with a fake agent and fake model servers on loopback.
 #include <unistd.h>
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-// Each test process has loopback addresses of its own.
+// Derives the address from the process id, so that test processes can run in parallel.
 inline Address localAddress(int host, int port) {
   const int process = static_cast<int>(::getpid());
   return Address{"127." + std::to_string(100 + process / 250 % 100) + "." +
@@ -21,9 +21,11 @@
                  std::to_string(port)};
 }
 
-// What a scripted model server does with a request that it is sent.
+// What a fake model server does with a request: answers it, answers that it did not run it, closes
+// the connection without an answer, or keeps the connection open without an answer.
 enum class ServerBehavior { Answer, NotRun, Vanish, Hang };
 
+// A model server that counts requests and treats them as its current behavior says.
 struct FakeModelServer {
   Address address;
   std::atomic<ServerBehavior> behavior{ServerBehavior::Answer};
@@ -42,7 +44,7 @@
     ++arrivals;
     const ServerBehavior now = behavior.load();
     if (now == ServerBehavior::Vanish) co_return std::nullopt;
-    if (now == ServerBehavior::Hang) {  // until it is told otherwise
+    if (now == ServerBehavior::Hang) {  // until the behavior is changed
       while (behavior.load() == ServerBehavior::Hang) co_await pauseFor(5ms);
       co_return std::nullopt;
     }
@@ -58,6 +60,7 @@
   }
 };
 
+// A configuration in which `key` belongs to tenant "north"; empty: the tenant has no key.
 inline std::string configurationBody(const std::string& key) {
   const Json keys = key.empty() ? Json::array() : Json{keyDigest(key)};
   return Json{
@@ -78,7 +81,7 @@
       .dump();
 }
 
-// Waits on a condition, however long a busy machine takes for it within reason.
+// Waits until the condition holds. The timeout is generous, for heavily loaded machines.
 inline void eventually(const std::function<bool()>& holds) {
   const Instant giveUpAt = BootClock::now() + 30s;
   while (!holds()) {
@@ -87,6 +90,7 @@
   }
 }
 
+// The running fixture. The constructor returns once the proxy is ready.
 struct Stage {
   asio::io_context io;
   std::mutex mutex;
@@ -149,7 +153,7 @@
     asio::co_spawn(
         own, [&]() -> awaitable<void> { response = co_await httpCall(request); }, asio::detached);
     own.run();
-    // Callers have threads of their own, and Catch's macros may only be used on one.
+    // Called on several threads, but Catch's macros may only be used on one.
     if (!response.ok()) throw std::runtime_error(response.status().ToString());
     return *response;
   }
@@ -178,11 +182,12 @@
   }
 };
 
+// The proxy rejected the request and set Retry-After.
 inline bool isTurnedAway(const HttpResponse& response) {
   return response["Quayrill-Outcome"] == "turned-away" &&
          response.count(http::field::retry_after) == 1;
 }
-// Only what may be repeated is told when to come back.
+// Retry-After must be set only if the request may be repeated.
 inline bool isUnknown(const HttpResponse& response, bool mayRepeat = false) {
   return response["Quayrill-Outcome"] == "unknown" &&
          response["Quayrill-May-Repeat"] == (mayRepeat ? "yes" : "no") &&
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -1,4 +1,4 @@
-// What the proxy does with requests, whatever the servers do.
+// Tests of the proxy's request handling against failing and misbehaving model servers.
 #include "proxy_stage.h"
 
 using namespace quayrill;
@@ -36,11 +36,12 @@
 
 TEST_CASE("proxy: one silent server does not eat the whole due of what may be repeated") {
   Stage stage(2);
-  // Pays for an extra try: one daemon's share is a tenth, of the last two seconds too.
+  // Earns budget for an extra attempt: one daemon may add a tenth of the first sends, also over the
+  // last two seconds alone.
   for (int i = 0; i < 20; ++i) stage.post("again");
   const int before = stage.arrivals();
   stage.servers[0]->behavior = ServerBehavior::Hang;
-  // Whichever server is chosen first: of two prompts with names of their own one meets the silence.
+  // Different prefixes spread over both servers, so one of the requests reaches the hanging server.
   int second = 0;
   for (int i = 0; i < 12 && second == 0; ++i) {
     const std::string prefix = "p" + std::to_string(i) + ":64,own:16";
@@ -100,7 +101,8 @@
     snapshot.configurationVersion = 2;
     snapshot.configurationBody = configurationBody("");
   });
-  // In between, a request let in under the old configuration may be stopped at the point of use.
+  // Until then, a request admitted under the old configuration may still fail the check before
+  // sending.
   eventually([&] { return stage.post("once").result_int() == 401; });
   const int before = stage.arrivals();
   CHECK(stage.post("once").result_int() == 401);
@@ -121,7 +123,7 @@
     CHECK(isTurnedAway(response));
   }
   CHECK(stage.post("slow", "{}", {{"Authorization", "Bearer none"}}).result_int() == 401);
-  stage.setAllBehaviors(ServerBehavior::Answer);  // the two that hung are dropped without an answer
+  stage.setAllBehaviors(ServerBehavior::Answer);  // closes the two hanging requests unanswered
   for (std::thread& caller : callers) caller.join();
   CHECK(unknown == 2);
   eventually([&] { return stage.post("slow").result_int() == 200; });
@@ -132,7 +134,7 @@
   const HttpResponse done = stage.post("again", "{}", {{"Quayrill-Prompt-Prefix", "rules:64"}});
   HttpCall request;
   request.target = "/q/explain?id=" + std::string(done["Quayrill-Request-Id"]);
-  // The row is written when the request has left, which may be just after its last piece.
+  // The row is written once the request has ended, which may be just after its last piece.
   eventually([&] { return stage.call(request).result_int() == 200; });
   const Json row = Json::parse(stage.call(request).body());
   CHECK(row["outcome"] == "done");
@@ -144,7 +146,7 @@
 }
 
 namespace {
-// Has the proxy take the first server for one with weights that were the newest `ago`.
+// Makes the first server appear to use weights that were superseded `ago`.
 void supersede(Stage* stage, std::chrono::microseconds ago) {
   stage->updateSnapshot([&](Snapshot& snapshot) {
     ++snapshot.configurationVersion;
@@ -175,7 +177,7 @@
   stage.setAllBehaviors(ServerBehavior::Hang);
   const int before = stage.arrivals();
   supersede(&stage, kWeightsBound - 3s);
-  // Its own due is a minute, and the call waits for five seconds.
+  // The request's own deadline is a minute; the caller gives up after five seconds.
   HttpResponse answer;
   eventually([&] { return (answer = stage.post("slow")).result_int() != 503; });
   CHECK(stage.arrivals() == before + 1);
--- a/tests/query_tests.cpp
+++ b/tests/query_tests.cpp
@@ -1,4 +1,4 @@
-// SQL over what a scripted daemon says.
+// Tests of SQL queries over the answers of a fake daemon.
 #include <catch2/catch.hpp>
 
 #include "operator/fleet_tables.h"
--- a/tests/request_sender_tests.cpp
+++ b/tests/request_sender_tests.cpp
@@ -1,4 +1,4 @@
-// A request's bytes: what leaves, and what does not once it may no longer run.
+// Tests of which bytes of a request are sent, and that none are once it may no longer run.
 #include "net/request_sender.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
   const std::string body(20 << 20, 'b');
   RequestSender sender(sockets.near, kHead, body, [] { return true; });
   sender.begin();
-  CHECK_FALSE(sender.isComplete());  // more than the system holds
+  CHECK_FALSE(sender.isComplete());  // more than the socket buffers hold
   std::string bytes;
   asio::async_read(sockets.far, asio::dynamic_buffer(bytes),
                    asio::transfer_exactly(kHead.size() + body.size()),
@@ -58,7 +58,7 @@
   RequestSender sender(sockets.near, kHead, body, [&] { return mayContinue; });
   sender.begin();
   REQUIRE_FALSE(sender.hasStopped());
-  mayContinue = false;  // as for a process that stood still with the rest in hand
+  mayContinue = false;  // as after a suspension of the process in the middle of the body
   std::string bytes;
   asio::async_read(sockets.far, asio::dynamic_buffer(bytes), [](const ErrorCode&, std::size_t) {});
   bool hasEnded = false;
