--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -59,9 +59,9 @@
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.operators;
   serverSettings.bodyLimit = 4 << 20;
-  operators_ = std::make_unique<HttpServer>(
+  operatorServer_ = std::make_unique<HttpServer>(
       io_, serverSettings, [this](Connection&, HttpRequest& request) { return handle(request); });
-  if (auto status = operators_->start(); !status.ok()) return status;
+  if (auto status = operatorServer_->start(); !status.ok()) return status;
   AgentEffects effects;
   effects.replicaWork = core_->start();
   apply(std::move(effects));
@@ -293,7 +293,7 @@
 }
 
 Snapshot Agent::snapshot(std::uint64_t knownConfiguration, Instant now) const {
-  const auto ago = [&](const std::optional<Instant>& at) -> std::int64_t {
+  const auto ageMicros = [&](const std::optional<Instant>& at) -> std::int64_t {
     if (!at) return -1;
     return std::chrono::duration_cast<std::chrono::microseconds>(now - *at).count();
   };
@@ -304,8 +304,8 @@
   // A configuration that this build can't parse is not in force here, even if it is confirmed.
   const bool inForce = configurationVersion_ == core_->freshness().configuration().value.version &&
                        configurationVersion_ > 0;
-  snapshot.confirmedAgoMicros = inForce ? ago(core_->freshness().confirmedAt()) : -1;
-  snapshot.listedAgoMicros = ago(appliedListReadAt_);
+  snapshot.confirmedAgoMicros = inForce ? ageMicros(core_->freshness().confirmedAt()) : -1;
+  snapshot.listedAgoMicros = ageMicros(appliedListReadAt_);
   for (const NewsItem& item : core_->live(now))
     snapshot.proxies += item.proxyAddress.empty() ? 0 : 1;
   for (const auto& [name, row] : servers_) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -124,7 +124,7 @@
   std::optional<AgentCore> core_;
   std::unique_ptr<Disk> disk_;
   std::unique_ptr<PeerLink> link_;
-  std::unique_ptr<HttpServer> operators_;
+  std::unique_ptr<HttpServer> operatorServer_;
   Counters counters_;
   DecisionLog decisions_{20000};
   std::atomic<std::size_t> openOperatorCalls_{0};
