--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -119,18 +119,19 @@
           {ErrorKind::BadConfiguration, std::string(parsed.status().message())});
   }
   AgentEffects effects;
-  const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
+  const auto recovered =
+      core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.turnedAway.empty())
-    co_return errorResponse({ErrorKind::RegisterLives, made.turnedAway});
+  if (!recovered.turnedAway.empty())
+    co_return errorResponse({ErrorKind::RegisterLives, recovered.turnedAway});
   // A successful round of the new register shows that its founding state is synced to disk.
   const ChangeDone done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
     co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
-  LOG(INFO) << "new register founded as fleet " << made.replicas.fleet;
-  co_return jsonResponse(200, {{"fleet", made.replicas.fleet},
-                               {"epoch", made.replicas.epoch.value},
-                               {"version", made.configurationVersion}});
+  LOG(INFO) << "new register founded as fleet " << recovered.replicas.fleet;
+  co_return jsonResponse(200, {{"fleet", recovered.replicas.fleet},
+                               {"epoch", recovered.replicas.epoch.value},
+                               {"version", recovered.configurationVersion}});
 }
 
 Json Agent::membersJson(Instant now) const {
@@ -210,8 +211,9 @@
   if (path == "/q/members") co_return jsonResponse(200, membersJson(now));
   if (path == "/q/servers") co_return jsonResponse(200, serversJson(now));
   if (path == "/q/feed") {
-    const std::string known = queryValue(request, "spec");
-    const Snapshot current = snapshot(static_cast<std::uint64_t>(std::atoll(known.c_str())), now);
+    const std::string knownVersion = queryValue(request, "spec");
+    const Snapshot current =
+        snapshot(static_cast<std::uint64_t>(std::atoll(knownVersion.c_str())), now);
     co_return textResponse(200, encodeValue(current));
   }
   if (path == "/q/decisions") {
