--- a/src/agent/configuration_update.cpp
+++ b/src/agent/configuration_update.cpp
@@ -14,8 +14,8 @@
 }  // namespace
 
 bool Agent::isRegisterReachable() const {
-  const auto confirmed = core_->freshness().confirmedAt();
-  return confirmed && BootClock::now() - *confirmed < kRegisterContactMaxAge;
+  const auto confirmedAt = core_->freshness().confirmedAt();
+  return confirmedAt && BootClock::now() - *confirmedAt < kRegisterContactMaxAge;
 }
 
 bool Agent::hasReplicasToSpare() const {
--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -202,9 +202,9 @@
     co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
-    const auto confirmed = core_->freshness().confirmedAt();
+    const auto confirmedAt = core_->freshness().confirmedAt();
     const bool ready =
-        configurationVersion_ > 0 && confirmed && now - *confirmed < settings_.freshLimit;
+        configurationVersion_ > 0 && confirmedAt && now - *confirmedAt < settings_.freshLimit;
     co_return textResponse(ready ? 200 : 503, ready ? "ready\n" : "configuration unconfirmed\n");
   }
   if (path == "/metrics") co_return textResponse(200, renderCounters(counters_));
--- a/src/agent/weights_orders.cpp
+++ b/src/agent/weights_orders.cpp
@@ -35,8 +35,8 @@
     view.servers.push_back(
         {name, state.identity, state.weights, state.healthy && !state.leaving, state.switching});
   }
-  const auto confirmed = core_->freshness().confirmedAt();
-  if (confirmed && now - *confirmed < settings_.freshLimit)
+  const auto confirmedAt = core_->freshness().confirmedAt();
+  if (confirmedAt && now - *confirmedAt < settings_.freshLimit)
     view.fence = core_->held(rolloutLeaseKey(model), kOrderTimeout + kLeaseMargin, now);
   return view;
 }
