--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -48,13 +48,14 @@
     if (!kept) LOG(ERROR) << kDataFolderNotWritable;
   }
   core_.emplace(coreSettings(settings_), kept);
-  link_ = std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerVia, [this](Envelope e) {
-    AgentEffects effects;
-    const Instant now = BootClock::now();
-    core_->onMessage(e, now, &effects);
-    apply(std::move(effects));
-    publishPlaneDigests(now);
-  });
+  link_ =
+      std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerVia, [this](Envelope envelope) {
+        AgentEffects effects;
+        const Instant now = BootClock::now();
+        core_->onMessage(envelope, now, &effects);
+        apply(std::move(effects));
+        publishPlaneDigests(now);
+      });
   if (auto status = link_->start(); !status.ok()) return status;
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.operators;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -44,8 +44,9 @@
   // replica's vote; the process must not exit until then. May be called on any thread; valid one
   // tick after beginLeaving().
   bool isHandingOver() const { return handingOver_; }
-  // Receives snapshots for the data plane in this process: on each configuration change, and every
-  // 100 ms. Must be set before start(); called on the control thread.
+  // Receives snapshots for the data plane in this process, with the time at which each was taken:
+  // on each configuration change, and every 100 ms. Must be set before start(); called on the
+  // control thread.
   using SnapshotListener = std::function<void(Snapshot, Instant)>;
   void setSnapshotListener(SnapshotListener listener) { snapshotListener_ = std::move(listener); }
   // Receives what the fleet's other data planes observe, under the same rules as the snapshot
@@ -105,12 +106,14 @@
   void applyConfiguration();
 
   awaitable<std::optional<HttpResponse>> handle(HttpRequest& request);
+  // Handles the call that founds a new register after the loss of a majority of its disks.
   awaitable<HttpResponse> recover(HttpRequest& request);
   awaitable<HttpResponse> changeConfiguration(HttpRequest& request, bool isPatch);
   // Submits a read or a change to the register and waits for its result.
   awaitable<ChangeDone> submitChange(ChangeAsked change);
   // True if there are enough register replicas that a change survives the loss of one.
   bool hasReplicasToSpare() const;
+  // The server's state as known from all sources. `row.state` must be set.
   ServerState stateOf(const PolledServer& row, Instant now) const;
   // Omits the configuration's body if `knownConfiguration` is the version in force.
   Snapshot snapshot(std::uint64_t knownConfiguration, Instant now) const;
--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -52,11 +52,11 @@
   return status;
 }
 
-absl::Status Disk::openDatabase(bool strictly) {
+absl::Status Disk::openDatabase(bool strict) {
   db_.reset();
   leveldb::Options options;
   options.create_if_missing = true;
-  options.paranoid_checks = strictly;
+  options.paranoid_checks = strict;
   options.write_buffer_size = settings_.writeBuffer;
   options.env = slowSyncEnv_ ? slowSyncEnv_.get() : env_.get();
   leveldb::DB* db = nullptr;
@@ -132,7 +132,7 @@
   wake_.notify_all();
   error_ = status;
   if (isOpenWaiting || !status.ok()) return;
-  error_ = absl::UnavailableError("the rows of a late opening are not taken yet");
+  error_ = absl::UnavailableError("the rows read by a late opening have not been adopted yet");
   rowsDelivered_ = true;
   onReopened_(*rows);
 }
--- a/src/net/disk.h
+++ b/src/net/disk.h
@@ -62,13 +62,18 @@
     std::vector<DiskWrite> writes;
     Done done;  // empty: marks a resume()
   };
+  // The loop of the disk's thread.
   void work();
   void openFirst();
+  // Retries a failed opening or reopens after an error.
   void reopen();
+  // Writes and syncs a batch and then acknowledges its jobs.
   void sync(const std::deque<Job>& batch);
   void put(const std::deque<Job>& batch);
   absl::Status openFolder();
-  absl::Status openDatabase(bool strictly);
+  // `strict`: treats any damage to the logs as an error.
+  absl::Status openDatabase(bool strict);
+  // Checks that the folder can be written, with a synced write.
   absl::Status probe();
   // Reads all rows and checks them against the checksum that was synced with the last batch.
   absl::Status readRows();
