--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -15,7 +15,7 @@
 constexpr Span kConnectTimeout = 500ms;  // TCP resends a lost SYN only after a second
 constexpr int kUserTimeoutMs = 2000;
 
-std::string framed(const std::string& bytes) {
+std::string makeFrame(const std::string& bytes) {
   const auto size = static_cast<std::uint32_t>(bytes.size());
   std::string frame(4, '\0');
   for (int i = 0; i < 4; ++i)
@@ -24,10 +24,10 @@
 }
 }  // namespace
 
-PeerLink::PeerLink(asio::io_context& io, Address self, Address relay, Receiver receiver)
+PeerLink::PeerLink(asio::io_context& io, Address self, Address forwarder, Receiver receiver)
     : io_(io),
       self_(std::move(self)),
-      relay_(std::move(relay)),
+      forwarder_(std::move(forwarder)),
       receiver_(std::move(receiver)),
       acceptor_(io) {}
 
@@ -86,7 +86,7 @@
     }
     queue = std::make_shared<SendQueue>(io_);
   }
-  std::string frame = framed(encodeEnvelope(envelope));
+  std::string frame = makeFrame(encodeEnvelope(envelope));
   const auto isOver = [&] {
     return queue->frames.size() >= kQueueFrameLimit ||
            queue->bytes + frame.size() > kQueueByteLimit ||
@@ -100,8 +100,8 @@
   queuedBytes_ += frame.size();
   queue->frames.push_back(std::move(frame));
   queue->wake.cancel();
-  if (!queue->running) {
-    queue->running = true;
+  if (!queue->isDraining) {
+    queue->isDraining = true;
     asio::co_spawn(io_, drain(envelope.to, queue), asio::detached);
   }
 }
@@ -129,9 +129,9 @@
   connection.socket().set_option(UserTimeout(kUserTimeoutMs), code);
   const Tcp::endpoint from(endpointOf(self_).address(), 0);
   connection.socket().bind(from, code);
-  const Tcp::endpoint endpoint = endpointOf(relay_.value.empty() ? to : relay_);
+  const Tcp::endpoint endpoint = endpointOf(forwarder_.value.empty() ? to : forwarder_);
   co_await connection.async_connect(endpoint, into(code));
-  if (!code && !relay_.value.empty()) {
+  if (!code && !forwarder_.value.empty()) {
     // The relay needs to know the connection's source and destination.
     const std::string line = self_.value + " " + to.value + "\n";
     co_await asio::async_write(connection, asio::buffer(line), into(code));
@@ -152,9 +152,9 @@
     clear(*queue);
     co_await pauseFor(100ms);  // an unreachable peer costs one attempt per pause, not per envelope
   }
-  queue->running = false;
+  queue->isDraining = false;
   if (!queue->frames.empty()) {
-    queue->running = true;
+    queue->isDraining = true;
     asio::co_spawn(io_, drain(to, queue), asio::detached);
   }
 }
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -19,7 +19,7 @@
  public:
   using Receiver = std::function<void(Envelope)>;
   // `relay`: address to connect to instead of the peers' own addresses; empty: connect directly.
-  PeerLink(asio::io_context& io, Address self, Address relay, Receiver receiver);
+  PeerLink(asio::io_context& io, Address self, Address forwarder, Receiver receiver);
   absl::Status start();
   void send(const Envelope& envelope);
   std::uint64_t dropped() const { return dropped_; }
@@ -31,7 +31,7 @@
   struct SendQueue {
     std::deque<std::string> frames;
     std::size_t bytes = 0;  // of `frames`
-    bool running = false;
+    bool isDraining = false;
     asio::steady_timer wake;
     explicit SendQueue(asio::io_context& io) : wake(io) {}
   };
@@ -42,7 +42,7 @@
   awaitable<void> drain(Address to, std::shared_ptr<SendQueue> queue);
 
   asio::io_context& io_;
-  Address self_, relay_;
+  Address self_, forwarder_;
   Receiver receiver_;
   Tcp::acceptor acceptor_;
   std::map<Address, std::shared_ptr<SendQueue>> queues_;
