--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -105,10 +105,10 @@
 // Waits for the next request's first byte. Waits in short steps to notice stopAccepting().
 awaitable<bool> HttpServer::waitReadable(Tcp::socket& socket) {
   const Instant idleDeadline = BootClock::now() + settings_.idleTimeout;
-  asio::steady_timer step(co_await asio::this_coro::executor);
+  asio::steady_timer stopPollTimer(co_await asio::this_coro::executor);
   while (!stopping_ && BootClock::now() < idleDeadline) {
-    step.expires_after(250ms);
-    step.async_wait([&socket](const ErrorCode& ended) {
+    stopPollTimer.expires_after(250ms);
+    stopPollTimer.async_wait([&socket](const ErrorCode& ended) {
       ErrorCode ignored;
       if (!ended) socket.cancel(ignored);
     });
@@ -116,7 +116,7 @@
     co_await socket.async_wait(Tcp::socket::wait_read, into(code));
     // The timer's handler must have run or been dropped before `socket` and `step` are destroyed.
     ErrorCode posted;
-    if (step.cancel() == 0) co_await asio::post(into(posted));
+    if (stopPollTimer.cancel() == 0) co_await asio::post(into(posted));
     if (!code) co_return true;
   }
   co_return false;
@@ -198,9 +198,9 @@
 
 std::string queryValue(const HttpRequest& request, const std::string& name) {
   const std::string target(request.target());
-  const auto mark = target.find('?');
-  if (mark == std::string::npos) return {};
-  const cxxtools::QueryParams params(target.substr(mark + 1));
+  const auto queryStart = target.find('?');
+  if (queryStart == std::string::npos) return {};
+  const cxxtools::QueryParams params(target.substr(queryStart + 1));
   return params.param(name);
 }
 
