--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -78,7 +78,7 @@
   // Called on the watch's thread, once per change.
   using ApplyCallback = std::function<void(const Settings&)>;
 
-  SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback takeUp);
+  SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback applyCallback);
   ~SettingsWatch();
   SettingsWatch(const SettingsWatch&) = delete;
   SettingsWatch& operator=(const SettingsWatch&) = delete;
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -108,13 +108,14 @@
   asio::steady_timer stopPollTimer(co_await asio::this_coro::executor);
   while (!stopping_ && BootClock::now() < idleDeadline) {
     stopPollTimer.expires_after(250ms);
-    stopPollTimer.async_wait([&socket](const ErrorCode& ended) {
+    stopPollTimer.async_wait([&socket](const ErrorCode& timerError) {
       ErrorCode ignored;
-      if (!ended) socket.cancel(ignored);
+      if (!timerError) socket.cancel(ignored);
     });
     ErrorCode code;
     co_await socket.async_wait(Tcp::socket::wait_read, into(code));
-    // The timer's handler must have run or been dropped before `socket` and `step` are destroyed.
+    // The timer's handler must have run or been dropped before `socket` and the timer are
+    // destroyed.
     ErrorCode posted;
     if (stopPollTimer.cancel() == 0) co_await asio::post(into(posted));
     if (!code) co_return true;
@@ -125,7 +126,8 @@
 awaitable<void> HttpServer::serve(Tcp::socket socket) {
   struct Counted {
     std::shared_ptr<std::atomic<std::size_t>> count;
-    explicit Counted(std::shared_ptr<std::atomic<std::size_t>> c) : count(std::move(c)) {
+    explicit Counted(std::shared_ptr<std::atomic<std::size_t>> counter)
+        : count(std::move(counter)) {
       ++*count;
     }
     ~Counted() { --*count; }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -24,7 +24,7 @@
   std::string body;
   std::map<std::string, std::string> headers;
   Span timeout = std::chrono::seconds(1);  // for the whole call, connecting included
-  std::size_t bodyLimit = 4 << 20;
+  std::size_t bodyLimit = 4 << 20;  // bytes, of the answer
   Address from;  // local address to call from; empty: the system chooses
   // The request is not sent after this, even if the process was suspended while connecting.
   std::optional<Instant> sendDeadline{};
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -15,6 +15,7 @@
 constexpr Span kConnectTimeout = 500ms;  // TCP resends a lost SYN only after a second
 constexpr int kUserTimeoutMs = 2000;
 
+// Prefixes the bytes with their length, as 32 bits in little endian order.
 std::string makeFrame(const std::string& bytes) {
   const auto size = static_cast<std::uint32_t>(bytes.size());
   std::string frame(4, '\0');
@@ -132,7 +133,7 @@
   const Tcp::endpoint endpoint = endpointOf(forwarder_.value.empty() ? to : forwarder_);
   co_await connection.async_connect(endpoint, into(code));
   if (!code && !forwarder_.value.empty()) {
-    // The relay needs to know the connection's source and destination.
+    // Tells the forwarder the connection's source and destination.
     const std::string line = self_.value + " " + to.value + "\n";
     co_await asio::async_write(connection, asio::buffer(line), into(code));
   }
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -18,10 +18,14 @@
 class PeerLink {
  public:
   using Receiver = std::function<void(Envelope)>;
-  // `relay`: address to connect to instead of the peers' own addresses; empty: connect directly.
+  // `forwarder`: address of a TCP forwarder through which all connections go; empty: connect to the
+  // peers directly. Tests use one to simulate network faults.
   PeerLink(asio::io_context& io, Address self, Address forwarder, Receiver receiver);
+  // Starts to accept connections on the own address.
   absl::Status start();
+  // Queues the envelope. An envelope to the own address is passed to the receiver, asynchronously.
   void send(const Envelope& envelope);
+  // Number of envelopes dropped so far.
   std::uint64_t dropped() const { return dropped_; }
   std::size_t queuedBytes() const { return queuedBytes_; }
 
@@ -39,6 +43,7 @@
   awaitable<void> receive(Tcp::socket socket);
   std::string takeOldest(SendQueue& queue);
   void clear(SendQueue& queue);
+  // Connects to a peer and sends its queue until it stays empty or the connection fails.
   awaitable<void> drain(Address to, std::shared_ptr<SendQueue> queue);
 
   asio::io_context& io_;
--- a/src/net/request_sender.h
+++ b/src/net/request_sender.h
@@ -34,6 +34,7 @@
 
  private:
   void sendPiece();
+  // Sends the remaining bytes, waiting for buffer space before each write.
   awaitable<void> sendRest();
 
   Tcp::socket& socket_;
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -26,7 +26,7 @@
   --data-folder=DIR    Keep a register replica in DIR.
   --platform=ADDR      ip:port of the platform's list of servers.
   --store=ADDR         ip:port of the store of cached prompt parts.
-  --cohort-via=ADDR    Connect to other daemons through the relay at this address.
+  --cohort-via=ADDR    Connect to other daemons through the TCP forwarder at this address.
   --disk-drag=FILE     Delay each disk sync by the milliseconds in FILE (to simulate slow disks).
   --placement=RULE     prefix, least-burden or round-robin (the last two for comparison).
   --fetch=ON           on or off: let servers pull missing prefixes.
