--- a/src/proxy/parse_request.cpp
+++ b/src/proxy/parse_request.cpp
@@ -52,12 +52,12 @@
   if (!nlohmann::json::accept(request.body()))
     return Error{ErrorKind::MalformedRequest, "the body is not JSON"};
   job->body = request.body();
-  job->deadline = job->begun + job->policy.due;
+  job->deadline = job->receivedAt + job->policy.due;
   if (const std::string limitMs = headerOf(request, "Quayrill-Due-Ms"); !limitMs.empty()) {
     if (limitMs.size() > 6 || limitMs.find_first_not_of("0123456789") != std::string::npos)
       return Error{ErrorKind::MalformedRequest, "Quayrill-Due-Ms: whole milliseconds"};
-    job->deadline = std::min<Instant>(job->deadline,
-                                      job->begun + std::chrono::milliseconds(std::stoul(limitMs)));
+    job->deadline = std::min<Instant>(
+        job->deadline, job->receivedAt + std::chrono::milliseconds(std::stoul(limitMs)));
   }
   return std::nullopt;
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -44,7 +44,7 @@
     PromptPrefix prefix;
     std::string body;
     std::string digest;  // of the caller's key
-    Instant begun, deadline;
+    Instant receivedAt, deadline;
     Entered entered;  // result of admission
   };
   // One row of the decision log, filled in while the request is handled.
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -39,10 +39,10 @@
 awaitable<std::optional<HttpResponse>> Proxy::serve(Connection& connection, HttpRequest& request) {
   ++counters_.requests;
   Job job;
-  job.begun = BootClock::now();
+  job.receivedAt = BootClock::now();
   job.id = RequestId{idPrefix_ + std::to_string(++idCounter_)};
   const auto currentView = view();
-  if (!isFresh(*currentView, job.begun)) {
+  if (!isFresh(*currentView, job.receivedAt)) {
     ++counters_.unconfirmed;
     co_return reject(ErrorKind::TurnedAway, "this daemon can't confirm the configuration now",
                      job.id);
@@ -251,16 +251,16 @@
 }
 
 void Proxy::record(const Job& job, const Trace& trace) {
-  const Json row{
-      {"decision", "request"},
-      {"request", job.id.value},
-      {"tenant", job.tenant.value},
-      {"contract", job.policyName.value},
-      {"repeatable", job.policy.repeatable},
-      {"outcome", trace.outcome},
-      {"took_us",
-       std::chrono::duration_cast<std::chrono::microseconds>(BootClock::now() - job.begun).count()},
-      {"tries", trace.tries}};
+  const Json row{{"decision", "request"},
+                 {"request", job.id.value},
+                 {"tenant", job.tenant.value},
+                 {"contract", job.policyName.value},
+                 {"repeatable", job.policy.repeatable},
+                 {"outcome", trace.outcome},
+                 {"took_us", std::chrono::duration_cast<std::chrono::microseconds>(
+                                 BootClock::now() - job.receivedAt)
+                                 .count()},
+                 {"tries", trace.tries}};
   decisions_.add(job.id.value, row.dump());
 }
 
