--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -38,6 +38,7 @@
   std::function<absl::StatusOr<PartEvents>(const std::string& body)> parse;
 };
 
+// The formats and calls of one deployment environment.
 struct Dialect {
   // If set, requests are relayed unchanged according to the configuration's routes, with these
   // header names. If empty, callers use quayrill's own calls.
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -140,7 +140,7 @@
     const bool taken = co_await sendChunk(caller, lines);
     result.pieces = stream.pieces;
     if (!taken) {
-      result.end = DeliveryOutcome::CallerGone;
+      result.outcome = DeliveryOutcome::CallerGone;
       co_return result;
     }
   }
@@ -152,22 +152,22 @@
     co_return DeliveryResult{DeliveryOutcome::Unknown, "an answer with no piece"};
   }
   if (!isComplete) {
-    result.end = DeliveryOutcome::Truncated;
+    result.outcome = DeliveryOutcome::Truncated;
     result.detail = code ? code.message() : "no end mark, or one that names other pieces";
     co_return result;
   }
   const bool endMarkSent = co_await sendChunk(caller, stream.endMark);
   caller.expires_after(kCallerTimeout);
   if (endMarkSent) co_await asio::async_write(caller, http::make_chunk_last(), into(code));
-  result.end = endMarkSent && !code ? DeliveryOutcome::Done : DeliveryOutcome::CallerGone;
+  result.outcome = endMarkSent && !code ? DeliveryOutcome::Done : DeliveryOutcome::CallerGone;
   co_return result;
 }
 }  // namespace
 
-const char* deliveryOutcomeName(DeliveryOutcome end) {
+const char* deliveryOutcomeName(DeliveryOutcome outcome) {
   static constexpr const char* kNames[] = {"never sent", "not run", "unknown",    "due passed",
                                            "done",       "cut",     "caller gone"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
 awaitable<DeliveryResult> deliver(Delivery delivery, Connection& caller,
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -22,6 +22,7 @@
   Instant firstPieceDeadline;
 };
 
+// How a delivery ended. Only NeverSent and NotRun guarantee that the request did not run.
 enum class DeliveryOutcome {
   NeverSent,         // no byte was sent to the server
   NotRun,            // the server answered that it did not run the request
@@ -34,10 +35,10 @@
 };
 
 struct DeliveryResult {
-  DeliveryOutcome end{};
-  std::string detail;  // for the decision log
-  std::uint64_t pieces = 0;
-  Span firstPieceAfter{};  // from the start of the delivery
+  DeliveryOutcome outcome{};
+  std::string detail;        // for the decision log
+  std::uint64_t pieces = 0;  // passed on to the caller
+  Span firstPieceAfter{};    // from the start of the delivery
 };
 
 // Delivers the request. `mayStart` is called right before the first byte is sent; if it returns
@@ -46,6 +47,6 @@
                                   std::function<bool()> mayStart);
 
 // The outcome's name in the decision log.
-const char* deliveryOutcomeName(DeliveryOutcome end);
+const char* deliveryOutcomeName(DeliveryOutcome outcome);
 
 }  // namespace quayrill
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -55,15 +55,22 @@
 
   std::shared_ptr<const ProxyView> view() const;
   // True if the configuration and the server list were confirmed recently enough to serve requests.
-  bool isFresh(const ProxyView& view, Instant now) const;
+  bool isFresh(const ProxyView& currentView, Instant now) const;
   bool mayRun(const Job& job, const ServerState& server) const;
 
+  // Requests snapshots from the agent.
   awaitable<void> snapshotLoop();
+  // Polls the cache events of all healthy servers.
   awaitable<void> cacheEventLoop();
   awaitable<void> pollCacheEvents(ServerName server);
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
+  // Handles a request for a model: parsing, admission and run(). Returns nullopt if the answer was
+  // streamed to the connection.
   awaitable<std::optional<HttpResponse>> serve(Connection& connection, HttpRequest& request);
-  std::optional<Error> parseRequest(const HttpRequest& request, const ProxyView& now, Job* job);
+  // Fills `job`; returns an error if the request is rejected.
+  std::optional<Error> parseRequest(const HttpRequest& request, const ProxyView& currentView,
+                                    Job* job);
+  // Attempts an admitted request on one server after the other, as its policy permits.
   awaitable<std::optional<HttpResponse>> run(Connection& connection, const Job& job, Trace* trace);
   struct FetchResult {
     std::string text = "none";  // for the decision log
@@ -71,8 +78,10 @@
     bool safe = true;
   };
   awaitable<FetchResult> fetch(const Job& job, const Placed& placed);
+  // An answer that the request was rejected and did not run, with Retry-After.
   HttpResponse reject(ErrorKind kind, const std::string& why, const RequestId& id);
   HttpResponse respondUnknown(ErrorKind kind, const std::string& why, const Job& job);
+  // Adds the request to the decision log.
   void record(const Job& job, const Trace& trace);
   HttpResponse readDecisions(const HttpRequest& request) const;
   HttpResponse explain(const std::string& id) const;
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -142,8 +142,8 @@
     DeliveryResult result{DeliveryOutcome::NeverSent,
                           "a fetch left cache of doubtful weights there"};
     if (fetched.safe) result = co_await deliver(std::move(delivery), connection, mayStart);
-    wasSent = wasSent || result.end != DeliveryOutcome::NeverSent;
-    ran = result.end != DeliveryOutcome::NeverSent && result.end != DeliveryOutcome::NotRun;
+    wasSent = wasSent || result.outcome != DeliveryOutcome::NeverSent;
+    ran = result.outcome != DeliveryOutcome::NeverSent && result.outcome != DeliveryOutcome::NotRun;
     trace->tries.push_back(
         {{"server", placed.chosenServer.name.value},
          {"weights", placed.chosenServer.weights.value},
@@ -151,15 +151,15 @@
          {"matched_tokens", placed.matchedTokens},
          {"prompt_tokens", placed.promptTokens},
          {"fetch", fetched.text},
-         {"end", deliveryOutcomeName(result.end)},
+         {"end", deliveryOutcomeName(result.outcome)},
          {"detail", result.detail},
          {"pieces", result.pieces},
          {"first_piece_us",
           std::chrono::duration_cast<std::chrono::microseconds>(result.firstPieceAfter).count()},
          {"candidates", candidatesJson(placed.candidates)}});
-    trace->outcome = deliveryOutcomeName(result.end);
+    trace->outcome = deliveryOutcomeName(result.outcome);
     lastDetail = result.detail;
-    switch (result.end) {
+    switch (result.outcome) {
       case DeliveryOutcome::Done:
         ++counters_.done;
         co_return std::nullopt;
--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -97,26 +97,29 @@
                   const Played& played) {
   const auto fail = [&](const std::string& why) {
     FAIL_CHECK(script.name << ", " << breakName(fault) << " at " << cut << ": " << why << " ("
-                           << deliveryOutcomeName(played.result.end) << ", " << played.result.detail
-                           << ", body '" << played.callerAnswer.body << "')");
+                           << deliveryOutcomeName(played.result.outcome) << ", "
+                           << played.result.detail << ", body '" << played.callerAnswer.body
+                           << "')");
   };
-  const DeliveryOutcome end = played.result.end;
+  const DeliveryOutcome outcome = played.result.outcome;
   const ReadAnswer& callerAnswer = played.callerAnswer;
   const std::string all = kPieces + kEndMark;
   const bool isWholeScript = fault == Break::Not || cut == script.bytes.size();
-  if (script.hasRun && (end == DeliveryOutcome::NotRun || end == DeliveryOutcome::NeverSent))
+  if (script.hasRun &&
+      (outcome == DeliveryOutcome::NotRun || outcome == DeliveryOutcome::NeverSent))
     fail("'not run' was said of what ran");
-  if (!script.hasRun && fault == Break::Not && end != DeliveryOutcome::NotRun)
+  if (!script.hasRun && fault == Break::Not && outcome != DeliveryOutcome::NotRun)
     fail("'not run' was lost");
-  if ((end == DeliveryOutcome::Done) != (callerAnswer.isWhole && callerAnswer.status == 200))
+  if ((outcome == DeliveryOutcome::Done) != (callerAnswer.isWhole && callerAnswer.status == 200))
     fail("its end and what the caller sees differ");
-  if (end == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
+  if (outcome == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
     fail("a cut looks complete");
   // Garbage within the body counts as the server's bytes; only the part before it must match.
   const std::string own = callerAnswer.body.substr(0, callerAnswer.body.find(kGarbage[0]));
   if (all.rfind(own, 0) != 0) fail("the caller got other bytes");
   if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n') fail("part of a piece");
-  if (script.isSuccess && isWholeScript && fault != Break::Garbles && end != DeliveryOutcome::Done)
+  if (script.isSuccess && isWholeScript && fault != Break::Garbles &&
+      outcome != DeliveryOutcome::Done)
     fail("a whole answer did not come through");
   if (callerAnswer.surplus > 0) fail("bytes behind the answer");
 }
@@ -141,13 +144,13 @@
   const ScriptedAnswer whole = answers()[0];
   ScriptedAnswer early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
-  CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.end ==
+  CHECK(play(io, server, early, early.bytes.size(), Break::Not).result.outcome ==
         DeliveryOutcome::Done);
   ScriptedAnswer other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
-  CHECK(play(io, server, other, other.bytes.size(), Break::Not).result.end ==
+  CHECK(play(io, server, other, other.bytes.size(), Break::Not).result.outcome ==
         DeliveryOutcome::Unknown);
 }
 
@@ -184,6 +187,6 @@
       },
       asio::detached);
   io.run();
-  CHECK(result.end == DeliveryOutcome::Done);
+  CHECK(result.outcome == DeliveryOutcome::Done);
   CHECK(late < (20 << 20));
 }
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -92,7 +92,7 @@
 TEST_CASE("deliver: a whole answer passes through and closes with the server's end mark") {
   const auto played = play({kHead + chunk("{\"piece\":0}\n") + chunk("{\"piece\":1}\n{\"pie") +
                             chunk("ce\":2}\n") + endMarkChunk(3) + "0\r\n\r\n"});
-  CHECK(played.result.end == DeliveryOutcome::Done);
+  CHECK(played.result.outcome == DeliveryOutcome::Done);
   CHECK(played.result.pieces == 3);
   CHECK(looksComplete(played));
   CHECK(played.receivedByCaller.find("Quayrill-Outcome: done") != std::string::npos);
@@ -110,28 +110,28 @@
            kHead + piece + chunk("{\"pie") + "0\r\n\r\n",          // half a line
        }) {
     const auto played = play({script});
-    CHECK(played.result.end == DeliveryOutcome::Truncated);
+    CHECK(played.result.outcome == DeliveryOutcome::Truncated);
     CHECK_FALSE(looksComplete(played));
     CHECK(played.receivedByCaller.find("\"end\"") == std::string::npos);
   }
 }
 
 TEST_CASE("deliver: what never left, what did not run, and what nobody knows are told apart") {
-  CHECK(play({"", false, false}).result.end == DeliveryOutcome::NeverSent);
+  CHECK(play({"", false, false}).result.outcome == DeliveryOutcome::NeverSent);
   const auto stopped = play({"", false, true, false});
-  CHECK(stopped.result.end == DeliveryOutcome::NeverSent);
+  CHECK(stopped.result.outcome == DeliveryOutcome::NeverSent);
   CHECK(stopped.receivedByServer.empty());
   CHECK(play({"HTTP/1.1 503 Busy\r\nQuayrill-Not-Run: true\r\nContent-Length: 2\r\n\r\nno"})
-            .result.end == DeliveryOutcome::NotRun);
-  CHECK(play({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.end ==
+            .result.outcome == DeliveryOutcome::NotRun);
+  CHECK(play({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.outcome ==
         DeliveryOutcome::Unknown);
-  CHECK(play({""}).result.end == DeliveryOutcome::Unknown);
-  CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.end == DeliveryOutcome::Unknown);
-  CHECK(play({kHead + "0\r\n\r\n"}).result.end == DeliveryOutcome::Unknown);
+  CHECK(play({""}).result.outcome == DeliveryOutcome::Unknown);
+  CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.outcome == DeliveryOutcome::Unknown);
+  CHECK(play({kHead + "0\r\n\r\n"}).result.outcome == DeliveryOutcome::Unknown);
   Setup silent;
   silent.keepOpen = true;
   silent.due = 50ms;
-  CHECK(play(silent).result.end == DeliveryOutcome::DeadlineExceeded);
+  CHECK(play(silent).result.outcome == DeliveryOutcome::DeadlineExceeded);
 }
 
 TEST_CASE("deliver: an answer that names another request or other weights reaches no caller") {
@@ -140,7 +140,7 @@
         std::string("Quayrill-Request-Id: r1\r\nQuayrill-Weights: w0\r\n"), std::string()}) {
     const auto played = play({"HTTP/1.1 200 OK\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n" +
                               chunk("{\"piece\":0}\n") + endMarkChunk(1) + "0\r\n\r\n"});
-    CHECK(played.result.end == DeliveryOutcome::Unknown);
+    CHECK(played.result.outcome == DeliveryOutcome::Unknown);
     CHECK(played.receivedByCaller.empty());
   }
 }
