--- a/tests/disk_tests.cpp
+++ b/tests/disk_tests.cpp
@@ -22,25 +22,25 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-struct Folder {
+struct TemporaryFolder {
   std::string path =
       (std::filesystem::temp_directory_path() / ("quayrill-disk-" + std::to_string(::getpid())))
           .string();
-  Folder() { std::filesystem::create_directories(path); }
-  ~Folder() { std::filesystem::remove_all(path); }
+  TemporaryFolder() { std::filesystem::create_directories(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
 };
 
 absl::Status writeOne(Disk& disk, const std::string& key, const std::string& bytes) {
-  std::promise<absl::Status> answered;
-  disk.write({{key, bytes}}, [&](absl::Status status) { answered.set_value(status); });
-  return answered.get_future().get();
+  std::promise<absl::Status> written;
+  disk.write({{key, bytes}}, [&](absl::Status status) { written.set_value(status); });
+  return written.get_future().get();
 }
 }  // namespace
 
 TEST_CASE("disk: full, it fails every write until it was read anew and its reader resumes") {
-  const Folder folder;
-  std::promise<Disk::Rows> readAnew;
-  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+  const TemporaryFolder folder;
+  std::promise<Disk::Rows> reopened;
+  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
   const auto opened = disk.open();
   REQUIRE(opened.ok());
   REQUIRE(opened->has_value());
@@ -52,7 +52,7 @@
   setFull(false);
   CHECK(failed);
   CHECK(failedAgain);
-  const Disk::Rows rows = readAnew.get_future().get();
+  const Disk::Rows rows = reopened.get_future().get();
   // The failed write may or may not have reached the disk; the write after it was never attempted.
   CHECK((rows.at("a") == "1" || rows.at("a") == "2"));
   CHECK_FALSE(rows.contains("b"));
@@ -62,26 +62,26 @@
 }
 
 TEST_CASE("disk: a folder that is full at the start opens once there is room") {
-  const Folder folder;
+  const TemporaryFolder folder;
   {
     Disk disk({folder.path, "", 5ms}, [](Disk::Rows) {});
     REQUIRE(disk.open().ok());
     REQUIRE(writeOne(disk, "kept", "yes").ok());
   }
-  std::promise<Disk::Rows> readAnew;
-  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+  std::promise<Disk::Rows> reopened;
+  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
   setFull(true);
   const auto opened = disk.open();
   setFull(false);
   REQUIRE(opened.ok());
   CHECK_FALSE(opened->has_value());
-  CHECK(readAnew.get_future().get().at("kept") == "yes");
+  CHECK(reopened.get_future().get().at("kept") == "yes");
   disk.resume();
   CHECK(writeOne(disk, "more", "yes").ok());
 }
 
 TEST_CASE("disk: a folder in use by another opening is for the operator") {
-  const Folder folder;
+  const TemporaryFolder folder;
   Disk first({folder.path, "", 5ms}, [](Disk::Rows) {});
   REQUIRE(first.open().ok());
   Disk second({folder.path, "", 5ms}, [](Disk::Rows) {});
