--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -99,10 +99,10 @@
     if (!value || value->version < acknowledged_->round) return OpenResult::Older;
     // The promise must be kept: a ballot of an earlier round is rejected.
     const Ballot earlier{Epoch{1}, acknowledged_->round - 1, ProposerId{9}};
-    const auto made =
+    const auto effects =
         replica_.onPrepare({{}, kConfigurationKey, earlier, replica_.store(), replica_.replicas()});
-    const bool refuses = made.answer && !std::get<ReplicaAnswer>(*made.answer).granted;
-    return refuses && value->body.size() == kBodyBytes ? OpenResult::All : OpenResult::Older;
+    const bool rejects = effects.answer && !std::get<ReplicaAnswer>(*effects.answer).granted;
+    return rejects && value->body.size() == kBodyBytes ? OpenResult::All : OpenResult::Older;
   }
   bool change() {
     const std::uint64_t round = ++acknowledged_->tried;
@@ -120,9 +120,9 @@
   }
   bool write(std::vector<DiskWrite> writes) {
     REQUIRE_FALSE(writes.empty());
-    std::promise<absl::Status> answered;
-    disk_.write(std::move(writes), [&](absl::Status status) { answered.set_value(status); });
-    return answered.get_future().get().ok();
+    std::promise<absl::Status> written;
+    disk_.write(std::move(writes), [&](absl::Status status) { written.set_value(status); });
+    return written.get_future().get().ok();
   }
 
   PowerLossEnv& env_;
@@ -241,9 +241,9 @@
   {
     Disk disk({kFolder, "", 1h, files, kMinWriteBufferBytes}, [](Disk::Rows) {});
     REQUIRE(disk.open().ok());
-    std::promise<absl::Status> answered;
-    disk.write({{"a", "1"}, {"b", "2"}}, [&](absl::Status status) { answered.set_value(status); });
-    REQUIRE(answered.get_future().get().ok());
+    std::promise<absl::Status> written;
+    disk.write({{"a", "1"}, {"b", "2"}}, [&](absl::Status status) { written.set_value(status); });
+    REQUIRE(written.get_future().get().ok());
   }
   REQUIRE(rowsOf().ok());
   {
@@ -261,9 +261,9 @@
 
 namespace {
 absl::Status put(Disk& disk, const std::string& key, std::string bytes) {
-  std::promise<absl::Status> answered;
-  disk.write({{key, std::move(bytes)}}, [&](absl::Status status) { answered.set_value(status); });
-  return answered.get_future().get();
+  std::promise<absl::Status> written;
+  disk.write({{key, std::move(bytes)}}, [&](absl::Status status) { written.set_value(status); });
+  return written.get_future().get();
 }
 }  // namespace
 
@@ -273,24 +273,24 @@
   const auto body = [](std::uint64_t n) { return std::to_string(n) + std::string(300 << 10, 'x'); };
   const auto numberIn = [](const Disk::Rows& rows) { return std::stoull(rows.at("a")); };
   for (int round = 0; round < 4; ++round) {
-    std::promise<Disk::Rows> readAnew;
+    std::promise<Disk::Rows> reopened;
     Disk disk({kFolder, "", 5ms, env.files()},
-              [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+              [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
     env.setFull(round > 0);
     const auto opened = disk.open();
     REQUIRE(opened.ok());
     CHECK(opened->has_value() == (round == 0));
     env.setFull(false);
     if (round > 0) {
-      CHECK(numberIn(readAnew.get_future().get()) >= synced);
+      CHECK(numberIn(reopened.get_future().get()) >= synced);
       disk.resume();
-      readAnew = {};
+      reopened = {};
     }
     for (int i = 0; i < 12; ++i) REQUIRE(put(disk, "a", body(++synced)).ok());
     env.setFull(true);
     CHECK_FALSE(put(disk, "a", body(synced + 1)).ok());
     env.setFull(false);
-    CHECK(numberIn(readAnew.get_future().get()) >= synced);
+    CHECK(numberIn(reopened.get_future().get()) >= synced);
     disk.resume();
     REQUIRE(put(disk, "a", body(++synced)).ok());
     env.setFull(true);
@@ -306,9 +306,9 @@
   Span longestOpening{};
   for (int processIndex = 0; processIndex < 60; ++processIndex) {  // each opening rewrites the log
     Disk disk({kFolder, "", 1h, env.files()}, [](Disk::Rows) {});
-    const Instant begun = BootClock::now();
+    const Instant startedAt = BootClock::now();
     const auto opened = disk.open();
-    longestOpening = std::max(longestOpening, BootClock::now() - begun);
+    longestOpening = std::max(longestOpening, BootClock::now() - startedAt);
     REQUIRE(opened.ok());
     REQUIRE(opened->has_value());
     if (processIndex > 0)
