--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -55,7 +55,7 @@
   bool keepOpen = false;  // keep the connection open after the script
   bool listening = true;
   bool mayStart = true;
-  Span due = 2s;
+  Span timeout = 2s;
 };
 
 Played play(const Setup& setup) {
@@ -63,7 +63,7 @@
   Played played;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   CallerConnection caller(io);
-  Delivery delivery = deliveryTo(server, "{}", setup.due);
+  Delivery delivery = deliveryTo(server, "{}", setup.timeout);
   if (setup.listening)
     asio::co_spawn(io, playServer(server, setup.script, setup.keepOpen, &played), asio::detached);
   else
@@ -130,7 +130,7 @@
   CHECK(play({kHead + "0\r\n\r\n"}).result.outcome == DeliveryOutcome::Unknown);
   Setup silent;
   silent.keepOpen = true;
-  silent.due = 50ms;
+  silent.timeout = 50ms;
   CHECK(play(silent).result.outcome == DeliveryOutcome::DeadlineExceeded);
 }
 
