--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -146,13 +146,14 @@
     change(snapshot);
   }
   HttpResponse call(HttpCall request) {
-    asio::io_context own;
+    asio::io_context callIo;
     absl::StatusOr<HttpResponse> response = absl::UnknownError("");
     request.to = callers;
     request.timeout = 5s;
     asio::co_spawn(
-        own, [&]() -> awaitable<void> { response = co_await httpCall(request); }, asio::detached);
-    own.run();
+        callIo, [&]() -> awaitable<void> { response = co_await httpCall(request); },
+        asio::detached);
+    callIo.run();
     // Called on several threads, but Catch's macros may only be used on one.
     if (!response.ok()) throw std::runtime_error(response.status().ToString());
     return *response;
@@ -162,11 +163,11 @@
     request.target = "/readyz";
     eventually([&] { return call(request).result_int() == status; });
   }
-  HttpResponse post(const std::string& way, const std::string& body = "{}",
+  HttpResponse post(const std::string& route, const std::string& body = "{}",
                     std::map<std::string, std::string> headers = {}) {
     HttpCall request;
     request.verb = http::verb::post;
-    request.target = "/v1/" + way;
+    request.target = "/v1/" + route;
     request.body = body;
     request.headers = std::move(headers);
     request.headers.try_emplace("Authorization", "Bearer key");
@@ -183,7 +184,7 @@
 };
 
 // The proxy rejected the request and set Retry-After.
-inline bool isTurnedAway(const HttpResponse& response) {
+inline bool isRejected(const HttpResponse& response) {
   return response["Quayrill-Outcome"] == "turned-away" &&
          response.count(http::field::retry_after) == 1;
 }
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -42,15 +42,15 @@
   const int before = stage.arrivals();
   stage.servers[0]->behavior = ServerBehavior::Hang;
   // Different prefixes spread over both servers, so one of the requests reaches the hanging server.
-  int second = 0;
-  for (int i = 0; i < 12 && second == 0; ++i) {
+  int extraSends = 0;
+  for (int i = 0; i < 12 && extraSends == 0; ++i) {
     const std::string prefix = "p" + std::to_string(i) + ":64,own:16";
     const HttpResponse response = stage.post(
         "again", "{}", {{"Quayrill-Due-Ms", "2000"}, {"Quayrill-Prompt-Prefix", prefix}});
     CHECK(response.result_int() == 200);
-    second = stage.arrivals() - before - (i + 1);
+    extraSends = stage.arrivals() - before - (i + 1);
   }
-  CHECK(second == 1);
+  CHECK(extraSends == 1);
   stage.setAllBehaviors(ServerBehavior::Hang);
   const HttpResponse late = stage.post("again", "{}", {{"Quayrill-Due-Ms", "300"}});
   CHECK(isUnknown(late, true));
@@ -63,9 +63,9 @@
   for (int i = 0; i < 20; ++i) CHECK(stage.post("again").result_int() / 100 != 4);
   const int before = stage.arrivals();
   stage.setAllBehaviors(ServerBehavior::NotRun);
-  int turnedAway = 0;
-  for (int i = 0; i < 10; ++i) turnedAway += isTurnedAway(stage.post("once")) ? 1 : 0;
-  CHECK(turnedAway == 10);
+  int rejected = 0;
+  for (int i = 0; i < 10; ++i) rejected += isRejected(stage.post("once")) ? 1 : 0;
+  CHECK(rejected == 10);
   CHECK(stage.arrivals() - before >= 10);
   CHECK(stage.arrivals() <= 30 + 30 / 5);  // extra tries stay under a fifth of 30 first sends
 }
@@ -73,11 +73,11 @@
 TEST_CASE("proxy: with no free server the caller is turned away at once") {
   Stage stage(1);
   stage.updateSnapshot([](Snapshot& snapshot) { snapshot.servers[0].leaving = true; });
-  eventually([&] { return isTurnedAway(stage.post("once")); });
+  eventually([&] { return isRejected(stage.post("once")); });
   const int before = stage.arrivals();
   const HttpResponse response = stage.post("once");
   CHECK(response.result_int() == 503);
-  CHECK(isTurnedAway(response));
+  CHECK(isRejected(response));
   CHECK(stage.arrivals() == before);
 }
 
@@ -85,12 +85,12 @@
   Stage stage(1);
   stage.updateSnapshot([](Snapshot& snapshot) { snapshot.confirmedAgoMicros = 2'100'000; });
   stage.waitReady(503);
-  CHECK(isTurnedAway(stage.post("once")));
+  CHECK(isRejected(stage.post("once")));
   stage.updateSnapshot([](Snapshot& snapshot) { snapshot.confirmedAgoMicros = 0; });
   stage.waitReady(200);
   stage.updateSnapshot([](Snapshot& snapshot) { snapshot.listedAgoMicros = 2'600'000; });
   stage.waitReady(503);
-  CHECK(isTurnedAway(stage.post("once")));
+  CHECK(isRejected(stage.post("once")));
   CHECK(stage.arrivals() == 0);
 }
 
@@ -120,7 +120,7 @@
   for (int i = 0; i < 4; ++i) {
     const HttpResponse response = stage.post("slow");
     CHECK(response.result_int() == 429);
-    CHECK(isTurnedAway(response));
+    CHECK(isRejected(response));
   }
   CHECK(stage.post("slow", "{}", {{"Authorization", "Bearer none"}}).result_int() == 401);
   stage.setAllBehaviors(ServerBehavior::Answer);  // closes the two hanging requests unanswered
@@ -163,7 +163,7 @@
   supersede(&stage, kWeightsBound + 1s);
   eventually([&] { return stage.post("once").result_int() == 503; });
   const int before = stage.arrivals();
-  CHECK(isTurnedAway(stage.post("once")));
+  CHECK(isRejected(stage.post("once")));
   CHECK(stage.arrivals() == before);
   supersede(&stage, kWeightsBound - 10s);
   eventually([&] { return stage.post("once").result_int() == 200; });
