--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -12,27 +12,27 @@
 
 class InMemoryReader : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
  public:
-  explicit InMemoryReader(std::string bytes) : bytes_(std::move(bytes)) {}
+  explicit InMemoryReader(std::string bytes) : totalBytes_(std::move(bytes)) {}
   Status Read(std::size_t n, leveldb::Slice* result, char* scratch) override {
     Status status = Read(at_, n, result, scratch);
     at_ += result->size();
     return status;
   }
   Status Skip(std::uint64_t n) override {
-    at_ = std::min<std::size_t>(bytes_.size(), at_ + n);
+    at_ = std::min<std::size_t>(totalBytes_.size(), at_ + n);
     return Status::OK();
   }
   Status Read(std::uint64_t offset, std::size_t n, leveldb::Slice* result,
               char* scratch) const override {
-    const std::size_t from = std::min<std::size_t>(bytes_.size(), offset);
-    const std::size_t count = std::min(n, bytes_.size() - from);
-    std::memcpy(scratch, bytes_.data() + from, count);
+    const std::size_t from = std::min<std::size_t>(totalBytes_.size(), offset);
+    const std::size_t count = std::min(n, totalBytes_.size() - from);
+    std::memcpy(scratch, totalBytes_.data() + from, count);
     *result = leveldb::Slice(scratch, count);
     return Status::OK();
   }
 
  private:
-  std::string bytes_;
+  std::string totalBytes_;
   std::size_t at_ = 0;
 };
 
@@ -82,7 +82,7 @@
 
 std::size_t PowerLossEnv::operations() const {
   std::lock_guard lock(mutex_);
-  return operations_;
+  return operationCount_;
 }
 
 void PowerLossEnv::setFull(bool full) {
@@ -92,7 +92,7 @@
 
 bool PowerLossEnv::hasPower() const {
   std::lock_guard lock(mutex_);
-  return operations_ < powerLossAt_;
+  return operationCount_ < powerLossAt_;
 }
 
 std::size_t PowerLossEnv::peakBytes() const {
@@ -119,24 +119,24 @@
       const std::uint64_t fate = draw(3);
       if (fate == 0) continue;
       if (fate == 2) bytes.resize(random() % (bytes.size() + 1));
-      if (file->synced.size() < append.offset + bytes.size())
-        file->synced.resize(append.offset + bytes.size());
-      file->synced.replace(append.offset, bytes.size(), bytes);
+      if (file->syncedContent.size() < append.offset + bytes.size())
+        file->syncedContent.resize(append.offset + bytes.size());
+      file->syncedContent.replace(append.offset, bytes.size(), bytes);
     }
     file->unsynced.clear();
-    file->now = file->synced;
+    file->content = file->syncedContent;
   }
-  bytes_ = 0;
-  for (const auto& [name, file] : current_) bytes_ += file->now.size();
+  totalBytes_ = 0;
+  for (const auto& [name, file] : current_) totalBytes_ += file->content.size();
   durable_ = current_;
   pendingNameChanges_.clear();
-  operations_ = 0;
+  operationCount_ = 0;
   powerLossAt_ = SIZE_MAX;
 }
 
 Status PowerLossEnv::countOperation() {
-  ++operations_;
-  return operations_ >= powerLossAt_ ? powerLostError() : Status::OK();
+  ++operationCount_;
+  return operationCount_ >= powerLossAt_ ? powerLostError() : Status::OK();
 }
 
 std::shared_ptr<PowerLossEnv::File> PowerLossEnv::find(const std::string& name) const {
@@ -152,20 +152,20 @@
 
 void PowerLossEnv::change(NameChange change) {
   const auto replaced = current_.find(change.to);
-  if (replaced != current_.end()) bytes_ -= replaced->second->now.size();
-  if (change.to.empty()) bytes_ -= change.file->now.size();
+  if (replaced != current_.end()) totalBytes_ -= replaced->second->content.size();
+  if (change.to.empty()) totalBytes_ -= change.file->content.size();
   applyNameChange(change, &current_);
   pendingNameChanges_.push_back(std::move(change));
 }
 
 Status PowerLossEnv::append(File& file, const leveldb::Slice& bytes) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= powerLossAt_) return powerLostError();
+  if (operationCount_ >= powerLossAt_) return powerLostError();
   if (full_) return Status::IOError("no space is left");
-  file.unsynced.push_back({file.now.size(), bytes.ToString()});
-  file.now.append(bytes.data(), bytes.size());
-  bytes_ += bytes.size();
-  peakBytes_ = std::max(peakBytes_, bytes_);
+  file.unsynced.push_back({file.content.size(), bytes.ToString()});
+  file.content.append(bytes.data(), bytes.size());
+  totalBytes_ += bytes.size();
+  peakBytes_ = std::max(peakBytes_, totalBytes_);
   return countOperation();
 }
 
@@ -182,7 +182,7 @@
     if (Status status = syncFolder(); !status.ok()) return status;
   }
   if (Status status = countOperation(); !status.ok()) return status;
-  file.synced = file.now;
+  file.syncedContent = file.content;
   file.unsynced.clear();
   return Status::OK();
 }
@@ -191,7 +191,7 @@
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *result = new InMemoryReader(file->now);
+  *result = new InMemoryReader(file->content);
   return Status::OK();
 }
 
@@ -200,13 +200,13 @@
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *result = new InMemoryReader(file->now);
+  *result = new InMemoryReader(file->content);
   return Status::OK();
 }
 
 Status PowerLossEnv::NewWritableFile(const std::string& name, leveldb::WritableFile** result) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= powerLossAt_) return powerLostError();
+  if (operationCount_ >= powerLossAt_) return powerLostError();
   auto file = std::make_shared<File>();
   change({{}, name, file});
   if (Status status = countOperation(); !status.ok()) return status;
@@ -217,7 +217,7 @@
 Status PowerLossEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** result) {
   {
     std::lock_guard lock(mutex_);
-    if (operations_ >= powerLossAt_) return powerLostError();
+    if (operationCount_ >= powerLossAt_) return powerLostError();
     if (auto file = find(name)) {
       *result = new PowerLossFile(*this, name, std::move(file));
       return Status::OK();
@@ -242,7 +242,7 @@
 
 Status PowerLossEnv::RemoveFile(const std::string& name) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= powerLossAt_) return powerLostError();
+  if (operationCount_ >= powerLossAt_) return powerLostError();
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
   change({name, {}, file});
@@ -251,7 +251,7 @@
 
 Status PowerLossEnv::RenameFile(const std::string& from, const std::string& to) {
   std::lock_guard lock(mutex_);
-  if (operations_ >= powerLossAt_) return powerLostError();
+  if (operationCount_ >= powerLossAt_) return powerLostError();
   const auto file = find(from);
   if (!file) return Status::NotFound(from);
   change({from, to, file});
@@ -262,7 +262,7 @@
   std::lock_guard lock(mutex_);
   const auto file = find(name);
   if (!file) return Status::NotFound(name);
-  *size = file->now.size();
+  *size = file->content.size();
   return Status::OK();
 }
 
--- a/tests/power_loss_env.h
+++ b/tests/power_loss_env.h
@@ -63,8 +63,8 @@
     std::string bytes;
   };
   struct File {
-    std::string now;
-    std::string synced;
+    std::string content;
+    std::string syncedContent;
     std::vector<Append> unsynced;  // appends since the last sync
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
@@ -84,9 +84,9 @@
   mutable std::mutex mutex_;
   Names current_, durable_;
   std::vector<NameChange> pendingNameChanges_;
-  std::size_t operations_ = 0;
+  std::size_t operationCount_ = 0;
   std::size_t powerLossAt_ = SIZE_MAX;
-  std::size_t bytes_ = 0, peakBytes_ = 0;
+  std::size_t totalBytes_ = 0, peakBytes_ = 0;
   bool full_ = false;
 };
 
