--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -15,10 +15,11 @@
          "\r\n";
 }
 
+// The bytes that the server answers with, and what they mean.
 struct ScriptedAnswer {
   const char* name;
   std::string bytes;
-  bool isSuccess, hasRun;
+  bool isSuccess, hasRun;  // a complete answer; the request may have run
   bool closesConnection = false;
 };
 
@@ -45,6 +46,7 @@
     co_await asio::post(co_await asio::this_coro::executor, use_awaitable);
 }
 
+// Answers one request with `script`, interrupted after `cut` bytes by `fault`.
 awaitable<void> serve(Tcp::acceptor& acceptor, const ScriptedAnswer& script, std::size_t cut,
                       Break fault) {
   ErrorCode code;
@@ -107,21 +109,22 @@
   const bool isWholeScript = fault == Break::Not || cut == script.bytes.size();
   if (script.hasRun &&
       (outcome == DeliveryOutcome::NotRun || outcome == DeliveryOutcome::NeverSent))
-    fail("'not run' was said of what ran");
+    fail("a request that ran was reported as not run");
   if (!script.hasRun && fault == Break::Not && outcome != DeliveryOutcome::NotRun)
-    fail("'not run' was lost");
+    fail("the server's 'not run' was not reported");
   if ((outcome == DeliveryOutcome::Done) != (callerAnswer.isWhole && callerAnswer.status == 200))
-    fail("its end and what the caller sees differ");
+    fail("the outcome differs from what the caller sees");
   if (outcome == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
-    fail("a cut looks complete");
+    fail("a truncated answer looks complete");
   // Garbage within the body counts as the server's bytes; only the part before it must match.
   const std::string own = callerAnswer.body.substr(0, callerAnswer.body.find(kGarbage[0]));
   if (all.rfind(own, 0) != 0) fail("the caller got other bytes");
-  if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n') fail("part of a piece");
+  if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n')
+    fail("the caller got part of a piece");
   if (script.isSuccess && isWholeScript && fault != Break::Garbles &&
       outcome != DeliveryOutcome::Done)
-    fail("a whole answer did not come through");
-  if (callerAnswer.surplus > 0) fail("bytes behind the answer");
+    fail("a complete answer was not passed on");
+  if (callerAnswer.surplus > 0) fail("the caller got bytes after the answer");
 }
 }  // namespace
 
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -50,6 +50,7 @@
   }
 }
 
+// How the server behaves, and whether and for how long the delivery may run.
 struct Setup {
   std::string script;
   bool keepOpen = false;  // keep the connection open after the script
--- a/tests/disk_tests.cpp
+++ b/tests/disk_tests.cpp
@@ -14,6 +14,7 @@
 using namespace std::chrono_literals;
 
 namespace {
+// Simulates a full disk: makes every write of this process fail, or lifts that again.
 void setFull(bool full) {
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
--- a/tests/peer_link_tests.cpp
+++ b/tests/peer_link_tests.cpp
@@ -8,6 +8,7 @@
 namespace {
 constexpr std::size_t kMegabyte = 1 << 20;
 
+// A message of about `bytes` bytes.
 Envelope envelopeTo(const std::string& to, std::size_t bytes) {
   NewsItem item;
   item.zone = std::string(bytes, 'z');
--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -12,27 +12,27 @@
 
 class InMemoryReader : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
  public:
-  explicit InMemoryReader(std::string bytes) : totalBytes_(std::move(bytes)) {}
+  explicit InMemoryReader(std::string bytes) : bytes_(std::move(bytes)) {}
   Status Read(std::size_t n, leveldb::Slice* result, char* scratch) override {
     Status status = Read(at_, n, result, scratch);
     at_ += result->size();
     return status;
   }
   Status Skip(std::uint64_t n) override {
-    at_ = std::min<std::size_t>(totalBytes_.size(), at_ + n);
+    at_ = std::min<std::size_t>(bytes_.size(), at_ + n);
     return Status::OK();
   }
   Status Read(std::uint64_t offset, std::size_t n, leveldb::Slice* result,
               char* scratch) const override {
-    const std::size_t from = std::min<std::size_t>(totalBytes_.size(), offset);
-    const std::size_t count = std::min(n, totalBytes_.size() - from);
-    std::memcpy(scratch, totalBytes_.data() + from, count);
+    const std::size_t from = std::min<std::size_t>(bytes_.size(), offset);
+    const std::size_t count = std::min(n, bytes_.size() - from);
+    std::memcpy(scratch, bytes_.data() + from, count);
     *result = leveldb::Slice(scratch, count);
     return Status::OK();
   }
 
  private:
-  std::string totalBytes_;
+  std::string bytes_;
   std::size_t at_ = 0;
 };
 
--- a/tests/power_loss_env.h
+++ b/tests/power_loss_env.h
@@ -64,7 +64,7 @@
   };
   struct File {
     std::string content;
-    std::string syncedContent;
+    std::string syncedContent;     // as of the last sync
     std::vector<Append> unsynced;  // appends since the last sync
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -28,6 +28,8 @@
   std::uint64_t round = 0;  // last acknowledged round
   std::uint64_t tried = 0;  // last attempted round
 };
+// What a process found when it opened the folder: everything acknowledged, an older state, an empty
+// folder, or a folder reported as damaged; or that the power was lost or the opening timed out.
 enum class OpenResult { All, Older, Emptied, Damaged, NoPower, Unopened };
 
 ReplicaSet ownSet(StoreId store) {
@@ -76,6 +78,7 @@
   }
 
  private:
+  // Restores the replica from the rows, or starts it with a new store id if there are none.
   OpenResult checkRows(const Disk::Rows& rows) {
     const bool emptied = rows.empty();
     if (!emptied && !replica_.restore(rows)) return OpenResult::Damaged;
@@ -132,6 +135,7 @@
   Disk disk_;
 };
 
+// Counts of the runs by what the last process found.
 struct Tally {
   std::size_t runs = 0, older = 0, emptied = 0, damaged = 0, unopened = 0;
   std::size_t bad() const { return older + emptied + damaged + unopened; }
--- a/tests/query_tests.cpp
+++ b/tests/query_tests.cpp
@@ -7,6 +7,7 @@
 using Json = nlohmann::json;
 
 namespace {
+// Answers fixed JSON and records which paths were requested.
 struct FakeDaemon {
   std::vector<std::string> requestedPaths;
   absl::StatusOr<QueryResult> query(const std::string& sql) {
--- a/tests/request_sender_tests.cpp
+++ b/tests/request_sender_tests.cpp
@@ -6,6 +6,7 @@
 using namespace quayrill;
 
 namespace {
+// Two connected sockets; the near one is non-blocking.
 struct SocketPair {
   asio::io_context io;
   Tcp::acceptor acceptor{io, {asio::ip::make_address("127.0.0.1"), 0}};
