--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -21,13 +21,13 @@
 
 // The names of the headers that a relayed request and its answer carry.
 struct HeaderNames {
-  // Sent by callers and forwarded to servers.
+  // Sent by callers and forwarded to servers, `deadlineMs` and `lastEventId` with updated values.
   std::string requestId, deadlineMs, prefix, model, lastEventId, tokenCount;
-  // The caller's key is removed; servers receive the tenant instead.
+  // Both are removed from the caller's request; servers receive the tenant that the key belongs to.
   std::string key, tenant;
   // Set by the daemon for servers; values sent by callers are dropped.
   std::string identityWanted, weightsWanted, salt, fetchSource, keepAt, urgency;
-  // Sent by servers with the answer.
+  // Sent by servers with the answer. A success without `seal` is not accepted as one.
   std::string seal, load, notRun, identity, weights;
 };
 
