--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -38,16 +38,16 @@
     : settings_(std::move(settings)), dialect_(std::move(dialect)) {}
 
 absl::Status Agent::start() {
-  std::optional<std::map<std::string, std::string>> kept;
+  std::optional<std::map<std::string, std::string>> diskRows;
   if (!settings_.dataFolder.empty()) {
     disk_ = std::make_unique<Disk>(DiskSettings{settings_.dataFolder, settings_.diskDrag},
                                    [this](Disk::Rows rows) { onDiskReopened(std::move(rows)); });
     auto opened = disk_->open();
     if (!opened.ok()) return opened.status();
-    kept = std::move(*opened);
-    if (!kept) LOG(ERROR) << kDataFolderNotWritable;
+    diskRows = std::move(*opened);
+    if (!diskRows) LOG(ERROR) << kDataFolderNotWritable;
   }
-  core_.emplace(coreSettings(settings_), kept);
+  core_.emplace(coreSettings(settings_), diskRows);
   link_ =
       std::make_unique<PeerLink>(io_, settings_.peer, settings_.peerVia, [this](Envelope envelope) {
         AgentEffects effects;
