--- a/src/agent/configuration_update.cpp
+++ b/src/agent/configuration_update.cpp
@@ -31,9 +31,9 @@
                          "too few register replicas to survive the loss of one"};
   UpdateOperation updateOperation(std::move(change), kBodyLimit, BootClock::now() + kUpdateTimeout);
   for (;;) {
-    const std::optional<ChangeAsked> asked = updateOperation.next(BootClock::now());
-    if (!asked) break;
-    const ChangeDone answer = co_await submitChange(*asked);
+    const std::optional<ChangeAsked> request = updateOperation.next(BootClock::now());
+    if (!request) break;
+    const ChangeDone answer = co_await submitChange(*request);
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Taken)
