--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -91,16 +91,18 @@
       isLate = true;
       break;
     }
-    PlacementAsked asked{job.policy.model, job.tenant, job.salt,
-                         job.prefix,       tried,      job.entered.overShare};
+    PlacementAsked placementRequest{job.policy.model, job.tenant, job.salt,
+                                    job.prefix,       tried,      job.entered.overShare};
     const auto currentView = view();
     // A request sent now may queue at the server before it starts.
-    asked.mayUse = [currentView, bound = Span(settings_.rolloutDue)](const ServerState& server) {
+    placementRequest.mayUse = [currentView,
+                               bound = Span(settings_.rolloutDue)](const ServerState& server) {
       return currentView->usableUntil(server, bound) > BootClock::now() + kMaxStartDelay;
     };
-    const std::function<std::optional<Placed>(Placement&)> place = [asked](Placement& placement) {
-      return placement.place(asked, BootClock::now());
-    };
+    const std::function<std::optional<Placed>(Placement&)> place =
+        [placementRequest](Placement& placement) {
+          return placement.place(placementRequest, BootClock::now());
+        };
     const auto placeResult = co_await placement_.ask<std::optional<Placed>>(place);
     if (!placeResult || !*placeResult) break;
     const Placed placed = **placeResult;
@@ -212,10 +214,10 @@
   }
   // No fetches during a rollout of the model's weights: the source may switch at any moment.
   const auto currentView = view();
-  const auto named = currentView->configuration->weights.find(job.policy.model);
-  const bool steady =
-      named != currentView->configuration->weights.end() && named->second == server.weights;
-  if (!settings_.fetch || !steady || source.value.empty() ||
+  const auto namedWeights = currentView->configuration->weights.find(job.policy.model);
+  const bool isWeightsSteady = namedWeights != currentView->configuration->weights.end() &&
+                               namedWeights->second == server.weights;
+  if (!settings_.fetch || !isWeightsSteady || source.value.empty() ||
       job.deadline - BootClock::now() < 2 * kFetchTimeout)
     co_return FetchResult{};
   // How many tokens the source holds under the request's weights; 0 if that is uncertain. A store
@@ -223,14 +225,14 @@
   const auto heldBySource = [&]() -> awaitable<std::size_t> {
     if (placed.source) {
       const auto state = co_await readServer(source, kFetchTimeout);
-      const bool same = state.ok() && state->healthy && state->weights == server.weights &&
-                        state->identity == placed.source->identity;
-      co_return same ? placed.source->matchedTokens : 0;
+      const bool isUnchanged = state.ok() && state->healthy && state->weights == server.weights &&
+                               state->identity == placed.source->identity;
+      co_return isUnchanged ? placed.source->matchedTokens : 0;
     }
-    const auto kept =
+    const auto storedTokens =
         co_await readStoredPrefixTokens(source, settings_.callers, job.policy.model, job.salt,
                                         server.weights, job.prefix, kFetchTimeout);
-    co_return kept.ok() ? *kept : 0;
+    co_return storedTokens.ok() ? *storedTokens : 0;
   };
   const std::size_t before = co_await heldBySource();
   if (before < placed.matchedTokens + kMinFetchGainTokens)
@@ -240,9 +242,10 @@
                                           server.weights, job.prefix, before, kFetchTimeout);
   const std::size_t after = co_await heldBySource();
   const auto target = co_await readServer(chosenAddress, kFetchTimeout);
-  const bool sameTarget =
+  const bool isTargetUnchanged =
       target.ok() && target->identity == server.identity && target->weights == server.weights;
-  if (pulled.ok() && after >= before && sameTarget) co_return FetchResult{from + ": fetched", true};
+  if (pulled.ok() && after >= before && isTargetUnchanged)
+    co_return FetchResult{from + ": fetched", true};
   ++counters_.fetchErrors;
   const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchTimeout);
   // A pull that failed from this side may still complete on the server until its deadline.
