--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -210,15 +210,15 @@
     std::cout << (i ? "\t" : "") << table->columns[i]
               << (i + 1 < table->columns.size() ? "" : "\n");
   for (const Json& row : table->rows) {
-    Json named = Json::object();
+    Json rowObject = Json::object();
     for (std::size_t i = 0; i < row.size(); ++i) {
       if (json)
-        named[table->columns[i]] = row[i];
+        rowObject[table->columns[i]] = row[i];
       else
         std::cout << (i ? "\t" : "")
                   << (row[i].is_string() ? row[i].get<std::string>() : row[i].dump());
     }
-    std::cout << (json ? named.dump() : "") << "\n";
+    std::cout << (json ? rowObject.dump() : "") << "\n";
   }
   return kDone;
 }
@@ -244,9 +244,9 @@
 }
 
 int recover(const Address& daemon, const std::string& file, const std::string& confirm, bool json) {
-  const CallResult known = call(daemon, http::verb::get, "/q/members");
-  if (known.exit != kDone) return known.exit;
-  const Json all = Json::parse(known.response.body());
+  const CallResult membersResult = call(daemon, http::verb::get, "/q/members");
+  if (membersResult.exit != kDone) return membersResult.exit;
+  const Json all = Json::parse(membersResult.response.body());
   const std::string fleet = all["copies"]["fleet"].dump();
   const Json configuration =
       file.empty() ? newestConfiguration(all, daemon) : Json::parse(readFile(file), nullptr, false);
@@ -266,12 +266,12 @@
               << fleet << "\n";
     return confirm.empty() ? kRejected : kUsageExit;
   }
-  const CallResult made =
+  const CallResult founded =
       call(daemon, http::verb::post, "/q/refound?confirm=" + fleet, configuration.dump());
-  if (made.exit != kDone) return made.exit;
-  const Json reply = Json::parse(made.response.body());
+  if (founded.exit != kDone) return founded.exit;
+  const Json reply = Json::parse(founded.response.body());
   if (json)
-    std::cout << made.response.body();
+    std::cout << founded.response.body();
   else
     std::cout << "fleet " << reply["fleet"] << " founded, configuration version "
               << reply["version"] << "\n";
