--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -68,17 +68,17 @@
     std::cerr << "quayrilld: " << error.what() << ": see --help\n";
     return 2;
   }
-  quayrill::SettingsAsked asked;
+  quayrill::SettingsAsked commandLine;
   for (const auto& [flag, value] : flags) {
     if (!value || !value.isString()) continue;
     if (flag == "--settings")
-      asked.settingsFile = value.asString();
+      commandLine.settingsFile = value.asString();
     else
-      asked.flags[settingName(flag)] = value.asString();
+      commandLine.flags[settingName(flag)] = value.asString();
   }
-  quayrill::SettingsSource source{asked.settingsFile, "{}",
-                                  [given = asked.flags](const std::string& text) {
-                                    return quayrill::readSettings(text, given);
+  quayrill::SettingsSource source{commandLine.settingsFile, "{}",
+                                  [commandLineFlags = commandLine.flags](const std::string& text) {
+                                    return quayrill::readSettings(text, commandLineFlags);
                                   }};
   const auto settings = quayrill::loadSettings(&source);
   if (!settings.ok()) {
