--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -91,7 +91,7 @@
   if (!row->status().ok()) return absl::UnavailableError(row->status().ToString());
   rows_.erase(kProbeKey);
   std::optional<std::string> sum;
-  if (auto kept = rows_.extract(kChecksumKey)) sum = std::move(kept.mapped());
+  if (auto checksumRow = rows_.extract(kChecksumKey)) sum = std::move(checksumRow.mapped());
   for (const auto& [key, bytes] : rows_) addRowHash({key, bytes});
   // A folder written by an earlier build has no checksum yet.
   if (sum && *sum != std::to_string(rowHashSum_)) return damagedError("rows are missing");
@@ -184,11 +184,11 @@
     std::deque<Job> batch;
     {
       std::unique_lock lock(mutex_);
-      const auto woken = [this] { return stopping_ || !jobs_.empty(); };
+      const auto hasWork = [this] { return stopping_ || !jobs_.empty(); };
       if (error_.ok() || rowsDelivered_)
-        wake_.wait(lock, woken);
+        wake_.wait(lock, hasWork);
       else
-        wake_.wait_for(lock, settings_.retryInterval, woken);
+        wake_.wait_for(lock, settings_.retryInterval, hasWork);
       if (stopping_ && jobs_.empty()) return;
       // A batch ends before a resume mark, so that writes before it fail and writes after it are
       // kept.
