--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -141,8 +141,8 @@
   while (!code) {
     if (queue->frames.empty()) {
       queue->wake.expires_after(30s);
-      ErrorCode woken;
-      co_await queue->wake.async_wait(into(woken));
+      ErrorCode wakeError;
+      co_await queue->wake.async_wait(into(wakeError));
       if (queue->frames.empty()) break;
     }
     const std::string frame = takeOldest(*queue);
