--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -137,9 +137,9 @@
       result.firstPieceAfter = BootClock::now() - startedAt;
       if (callerCode) co_return DeliveryResult{DeliveryOutcome::CallerGone, callerCode.message()};
     }
-    const bool taken = co_await sendChunk(caller, lines);
+    const bool sent = co_await sendChunk(caller, lines);
     result.pieces = stream.pieces;
-    if (!taken) {
+    if (!sent) {
       result.outcome = DeliveryOutcome::CallerGone;
       co_return result;
     }
