--- a/src/proxy/owned_table.h
+++ b/src/proxy/owned_table.h
@@ -45,7 +45,7 @@
     auto timer = std::make_shared<asio::steady_timer>(executor);
     timer->expires_at(std::chrono::steady_clock::time_point::max());
     auto done = std::make_shared<bool>(false);
-    const bool taken = tryPost([=, command = std::move(command)](Table& table) {
+    const bool posted = tryPost([=, command = std::move(command)](Table& table) {
       Result result = command(table);
       asio::post(executor, [=, result = std::move(result)]() mutable {
         *answer = std::move(result);
@@ -53,7 +53,7 @@
         timer->cancel();
       });
     });
-    if (!taken) co_return std::nullopt;
+    if (!posted) co_return std::nullopt;
     while (!*done) {
       ErrorCode code;
       co_await timer->async_wait(into(code));
