--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -9,15 +9,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kTick = 50ms;
-constexpr Duration kFeedEvery = 100ms;
-constexpr Duration kShareEvery = 400ms;
-constexpr Duration kPollEvery = 400ms;
-constexpr Duration kListDue = 800ms;
-constexpr Duration kHealthySpan = 1500ms;
-constexpr char kDiskClosed[] =
-    "the data folder can't be written now: no register replica votes here; make room, it is tried "
-    "again each second";
+constexpr Duration kTickInterval = 50ms;
+constexpr Duration kSnapshotInterval = 100ms;
+constexpr Duration kEventSourceInterval = 400ms;
+constexpr Duration kServerPollInterval = 400ms;
+constexpr Duration kListTimeout = 800ms;
+constexpr Duration kServerStateMaxAge = 1500ms;
+constexpr char kDataFolderNotWritable[] =
+    "data folder is not writable: the register replica on this machine does not vote; free disk "
+    "space, writing is retried every second";
 AgentSettings coreSettings(const Settings& settings) {
   std::random_device entropy;
   const std::uint64_t nonce = (static_cast<std::uint64_t>(entropy()) << 32) | entropy();
@@ -43,31 +43,31 @@
     : settings_(std::move(settings)), dialect_(std::move(dialect)) {}
 
 absl::Status Agent::start() {
-  std::optional<std::map<std::string, std::string>> kept;
+  std::optional<std::map<std::string, std::string>> diskRows;
   if (!settings_.dataFolder.empty()) {
     disk_ = std::make_unique<Disk>(DiskSettings{settings_.dataFolder, settings_.syncDelayFile},
-                                   [this](Disk::Rows rows) { takeDisk(std::move(rows)); });
+                                   [this](Disk::Rows rows) { onDiskReopened(std::move(rows)); });
     auto opened = disk_->open();
     if (!opened.ok()) return opened.status();
-    kept = std::move(*opened);
-    if (!kept) LOG(ERROR) << kDiskClosed;
+    diskRows = std::move(*opened);
+    if (!diskRows) LOG(ERROR) << kDataFolderNotWritable;
   }
-  core_.emplace(coreSettings(settings_), kept);
+  core_.emplace(coreSettings(settings_), diskRows);
   link_ = std::make_unique<PeerLink>(io_, settings_.peerAddress, settings_.peerRelay,
-                                     [this](Envelope e) {
+                                     [this](Envelope envelope) {
                                        AgentEffects effects;
                                        const Instant now = BootClock::now();
-                                       core_->onMessage(e, now, &effects);
+                                       core_->onMessage(envelope, now, &effects);
                                        apply(std::move(effects));
-                                       feedPlane(now);
+                                       publishPlaneDigests(now);
                                      });
   if (auto status = link_->start(); !status.ok()) return status;
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.operatorAddress;
   serverSettings.bodyLimit = 4 << 20;
-  operators_ = std::make_unique<HttpServer>(
+  operatorServer_ = std::make_unique<HttpServer>(
       io_, serverSettings, [this](Connection&, HttpRequest& request) { return handle(request); });
-  if (auto status = operators_->start(); !status.ok()) return status;
+  if (auto status = operatorServer_->start(); !status.ok()) return status;
   AgentEffects effects;
   effects.replicaWork = core_->start();
   apply(std::move(effects));
@@ -81,7 +81,7 @@
   asio::post(io_, [this] { core_->setLeaving(true); });
 }
 
-void Agent::takeSettings(const Settings& changed) {
+void Agent::applySettings(const Settings& changed) {
   asio::post(io_, [this, changed] {
     settings_.platformAddress = changed.platformAddress;
     core_->setListLimits(changed.listInterval, changed.listCallsPerSecond);
@@ -89,15 +89,16 @@
   });
 }
 
-// Called on the disk's thread.
-void Agent::takeDisk(Disk::Rows rows) {
+// Called on the disk thread.
+void Agent::onDiskReopened(Disk::Rows rows) {
   asio::post(io_, [this, rows = std::move(rows)] {
     AgentEffects effects;
     if (!core_->onDiskReloaded(rows, &effects)) {
-      LOG(ERROR) << "the data folder is not understood: start with an empty one";
+      LOG(ERROR) << "data folder contents are not readable by this build: restart with an empty "
+                    "data folder";
       return;
     }
-    LOG(INFO) << "data folder read anew: register replica may vote again";
+    LOG(INFO) << "data folder reopened: the register replica may vote again";
     disk_->resume();
     apply(std::move(effects));
   });
@@ -113,7 +114,7 @@
         if (!status.ok()) {
           ++counters_.diskErrors;
           if (core_->isWritable())
-            LOG(ERROR) << "register replica stops voting: "
+            LOG(ERROR) << "register replica stopped voting: "
                        << errorMessage({ErrorKind::DiskError, status.ToString()});
           core_->onDiskError();
         } else if (*answer) {
@@ -129,41 +130,44 @@
     waiters_.erase(waiter);
     wake(done);
   }
-  takeConfiguration();
+  applyConfiguration();
 }
 
-void Agent::takeConfiguration() {
+void Agent::applyConfiguration() {
   const RegisterValue& value = core_->freshness().configuration().value;
   if (value.version == configurationVersion_) {
-    confirmedThen_ = core_->freshness().confirmedAt();
+    configurationConfirmedAt_ = core_->freshness().confirmedAt();
     return;
   }
   auto parsed = dialect_.readConfiguration(value.body);
   if (!parsed.ok()) {
-    // Checked before it was proposed, so only a newer build's configuration can get here.
+    // Configurations are validated before they are proposed, so this one was written by a newer
+    // build.
     LOG_EVERY_N(ERROR, 1000) << "configuration " << value.version
-                             << " is not understood: " << parsed.status().message()
+                             << " can't be parsed: " << parsed.status().message()
                              << ": upgrade this daemon";
     return;
   }
   core_->onWeightsConfigured(parsed->weights,
-                             configurationVersion_ > 0 ? confirmedThen_ : std::nullopt);
+                             configurationVersion_ > 0 ? configurationConfirmedAt_ : std::nullopt);
   configuration_ = std::move(*parsed);
   configurationVersion_ = value.version;
   ++counters_.configurationChanges;
-  LOG(INFO) << "configuration " << configurationVersion_ << " in force";
+  LOG(INFO) << "configuration " << configurationVersion_ << " is in force";
 }
 
-void Agent::feed(Instant now) {
-  if (!feed_ || (now < nextFeed_ && fedConfiguration_ == configurationVersion_)) return;
-  nextFeed_ = now + kFeedEvery;
-  feed_(snapshot(fedConfiguration_, now), now);
-  fedConfiguration_ = configurationVersion_;
+void Agent::publishSnapshot(Instant now) {
+  if (!snapshotListener_ ||
+      (now < nextSnapshotAt_ && publishedConfigurationVersion_ == configurationVersion_))
+    return;
+  nextSnapshotAt_ = now + kSnapshotInterval;
+  snapshotListener_(snapshot(publishedConfigurationVersion_, now), now);
+  publishedConfigurationVersion_ = configurationVersion_;
 }
 
-void Agent::feedPlane(Instant now) {
+void Agent::publishPlaneDigests(Instant now) {
   for (DataPlaneDigest& digest : core_->takePlaneDigests()) {
-    if (planeFeed_) planeFeed_(std::move(digest), now);
+    if (planeDigestListener_) planeDigestListener_(std::move(digest), now);
   }
 }
 
@@ -173,10 +177,10 @@
   });
 }
 
-// Which servers' events, and whether the store's, this daemon reads for the fleet.
-void Agent::shareEventSources(Instant now) {
-  if (now < nextEventSources_) return;
-  nextEventSources_ = now + kShareEvery;
+// Determines which servers' cache events, and whether the store's, this daemon reads for the fleet.
+void Agent::updateEventSources(Instant now) {
+  if (now < nextEventSourcesAt_) return;
+  nextEventSourcesAt_ = now + kEventSourceInterval;
   std::vector<EventSource> sources;
   for (const auto& [name, row] : servers_) {
     if (row.state && !row.state->model.value.empty()) sources.push_back({name, row.listed.zone});
@@ -199,25 +203,25 @@
     if (effects.readList) asio::co_spawn(io_, readList(), asio::detached);
     apply(std::move(effects));
     takeList();
-    tickOrders(now);
-    shareEventSources(now);
-    feed(now);
-    feedPlane(now);
-    timer.expires_after(kTick);
+    tickRollouts(now);
+    updateEventSources(now);
+    publishSnapshot(now);
+    publishPlaneDigests(now);
+    timer.expires_after(kTickInterval);
     ErrorCode code;
     co_await timer.async_wait(into(code));
   }
 }
 
 awaitable<void> Agent::readList() {
-  const Instant askedAt = BootClock::now();
+  const Instant requestedAt = BootClock::now();
   std::size_t calls = 0;
   auto listed = co_await dialect_.readList(settings_.platformAddress, settings_.peerAddress,
-                                           kListDue, &calls);
+                                           kListTimeout, &calls);
   AgentEffects effects;
   counters_.listCalls += calls;
   if (listed.ok()) {
-    core_->onListRead(std::move(*listed), askedAt, calls, BootClock::now(), &effects);
+    core_->onListRead(std::move(*listed), requestedAt, calls, BootClock::now(), &effects);
   } else {
     const bool overRate = absl::IsResourceExhausted(listed.status());
     core_->onListFailed(calls, overRate, BootClock::now());
@@ -226,29 +230,28 @@
   takeList();
 }
 
-// The list may have come from the platform or from another daemon.
 void Agent::takeList() {
-  if (core_->list().readAt() == takenList_) return;
-  takenList_ = core_->list().readAt();
+  if (core_->list().readAt() == appliedListReadAt_) return;
+  appliedListReadAt_ = core_->list().readAt();
   std::set<ServerName> names;
   for (const ListedServer& server : core_->list().rows()) {
     names.insert(server.name);
-    const auto [row, fresh] = servers_.try_emplace(server.name);
-    if (!fresh && !row->second.listed.leaving && server.leaving)
+    const auto [row, isNew] = servers_.try_emplace(server.name);
+    if (!isNew && !row->second.listed.leaving && server.leaving)
       LOG(INFO) << "server " << server.name.value << " is leaving";
     row->second.listed = server;
-    if (server.hasState) takeTold(row->second, *takenList_);
-    if (!fresh) continue;
-    row->second.life = ++pollLife_;
+    if (server.hasState) applyListedState(row->second, *appliedListReadAt_);
+    if (!isNew) continue;
+    row->second.generation = ++lastPollGeneration_;
     LOG(INFO) << "server " << server.name.value << " listed";
     if (!dialect_.readServer) continue;
-    asio::co_spawn(io_, pollLoop(server.name, pollLife_), asio::detached);
+    asio::co_spawn(io_, pollLoop(server.name, lastPollGeneration_), asio::detached);
   }
   std::erase_if(servers_, [&](const auto& row) { return !names.contains(row.first); });
 }
 
-// What the list itself tells of a server stands in for its own word.
-void Agent::takeTold(Polled& row, Instant readAt) const {
+// Used in place of polling the server.
+void Agent::applyListedState(PolledServer& row, Instant readAt) const {
   const ListedServer& listed = row.listed;
   ServerState state;
   state.name = listed.name;
@@ -263,28 +266,29 @@
   row.healthyAt = readAt;
 }
 
-awaitable<void> Agent::pollLoop(ServerName server, std::uint64_t life) {
+awaitable<void> Agent::pollLoop(ServerName server, std::uint64_t generation) {
   const Address address{server.value};
   for (;;) {
     const auto state = co_await dialect_.readServer(address, 700ms);
     const auto row = servers_.find(server);
-    if (row == servers_.end() || row->second.life != life) co_return;
+    if (row == servers_.end() || row->second.generation != generation) co_return;
     if (state.ok()) {
       row->second.state = *state;
       row->second.healthyAt = state->polledAt;
     }
-    co_await pauseFor(kPollEvery);
+    co_await pauseFor(kServerPollInterval);
   }
 }
 
-// A server's state with all that is known of it: its own word, the list's, and those of whoever
-// orders weights.
-ServerState Agent::stateOf(const Polled& row, Instant now) const {
+// Combines the state that the server reported, the platform's list, and the notes of the daemon
+// that orders its weights.
+ServerState Agent::stateOf(const PolledServer& row, Instant now) const {
   ServerState state = *row.state;
   state.zone = row.listed.zone;
   state.leaving = row.listed.leaving;
-  // How old a told row may be is for the reader of listedAgoMicros to say.
-  state.healthy = state.healthy && (row.listed.hasState || now - row.healthyAt < kHealthySpan);
+  // A state that came with the list is not aged here: readers check Snapshot::listedAgoMicros.
+  state.healthy =
+      state.healthy && (row.listed.hasState || now - row.healthyAt < kServerStateMaxAge);
   const ServerWeightsState known =
       core_->notes().overlay(state.name, state.identity, state.weights, now);
   state.weights = known.weights;
@@ -297,7 +301,7 @@
 }
 
 Snapshot Agent::snapshot(std::uint64_t knownConfiguration, Instant now) const {
-  const auto ago = [&](const std::optional<Instant>& at) -> std::int64_t {
+  const auto ageMicros = [&](const std::optional<Instant>& at) -> std::int64_t {
     if (!at) return -1;
     return std::chrono::duration_cast<std::chrono::microseconds>(now - *at).count();
   };
@@ -305,11 +309,11 @@
   snapshot.configurationVersion = configurationVersion_;
   if (knownConfiguration != configurationVersion_)
     snapshot.configurationBody = core_->freshness().configuration().value.body;
-  // A configuration that this build can't read is not in force here, however fresh it is.
+  // A configuration that this build can't parse is not in force here, even if it is confirmed.
   const bool inForce = configurationVersion_ == core_->freshness().configuration().value.version &&
                        configurationVersion_ > 0;
-  snapshot.confirmedAgoMicros = inForce ? ago(core_->freshness().confirmedAt()) : -1;
-  snapshot.listedAgoMicros = ago(takenList_);
+  snapshot.confirmedAgoMicros = inForce ? ageMicros(core_->freshness().confirmedAt()) : -1;
+  snapshot.listedAgoMicros = ageMicros(appliedListReadAt_);
   for (const GossipItem& item : core_->live(now))
     snapshot.proxies += item.proxyAddress.empty() ? 0 : 1;
   for (const auto& [name, row] : servers_) {
--- a/src/agent/update.cpp
+++ b/src/agent/configuration_update.cpp
@@ -1,4 +1,4 @@
-// Changes to the register's body that build on what stands there.
+// Changes to the configuration that are based on its current value (read, modify, propose).
 #include <glog/logging.h>
 
 #include "agent/agent.h"
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kUpdateDue = 3500ms;
-constexpr Duration kHeardWithin = 2s;  // ours: several rounds of confirming
+constexpr Duration kUpdateTimeout = 3500ms;
+constexpr Duration kRegisterContactMaxAge = 2s;  // several confirmation rounds
 }  // namespace
 
-bool Agent::hearsRegister() const {
-  const auto confirmed = core_->freshness().confirmedAt();
-  return confirmed && BootClock::now() - *confirmed < kHeardWithin;
+bool Agent::isRegisterReachable() const {
+  const auto confirmedAt = core_->freshness().confirmedAt();
+  return confirmedAt && BootClock::now() - *confirmedAt < kRegisterContactMaxAge;
 }
 
 bool Agent::hasReplicasToSpare() const {
@@ -24,22 +24,22 @@
 }
 
 awaitable<UpdateOutcome> Agent::updateConfiguration(Update change) {
-  if (!hearsRegister())
+  if (!isRegisterReachable())
     co_return UpdateOutcome{UpdateResult::NotApplied,
                             "no majority of register replicas is heard here"};
   if (!hasReplicasToSpare())
     co_return UpdateOutcome{UpdateResult::NotApplied,
                             "too few register replicas to survive the loss of one"};
   UpdateOperation updateOperation(std::move(change), kRegisterBodyLimit,
-                                  BootClock::now() + kUpdateDue);
+                                  BootClock::now() + kUpdateTimeout);
   for (;;) {
-    const std::optional<ChangeRequest> asked = updateOperation.next(BootClock::now());
-    if (!asked) break;
-    const ChangeOutcome answer = co_await ask(*asked);
+    const std::optional<ChangeRequest> request = updateOperation.next(BootClock::now());
+    if (!request) break;
+    const ChangeOutcome answer = co_await submitChange(*request);
     updateOperation.onAnswer(answer);
   }
   if (updateOperation.done()->result == UpdateResult::Applied)
-    LOG(INFO) << "change of the configuration acknowledged";
+    LOG(INFO) << "configuration change acknowledged";
   co_return *updateOperation.done();
 }
 
--- a/src/agent/operators.cpp
+++ b/src/agent/operator_api.cpp
@@ -1,4 +1,4 @@
-// The operator API of an agent.
+// The agent's operator API over HTTP.
 #include <glog/logging.h>
 
 #include "agent/agent.h"
@@ -10,14 +10,14 @@
 using Json = nlohmann::json;
 
 namespace {
-HttpResponse turnedAway(const std::string& why) {
-  HttpResponse response = errorResponse({ErrorKind::Rejected, why});
+HttpResponse rejection(const std::string& why) {
+  HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
   response.set(http::field::retry_after, "1");
   return response;
 }
 }  // namespace
 
-awaitable<ChangeOutcome> Agent::ask(ChangeRequest change) {
+awaitable<ChangeOutcome> Agent::submitChange(ChangeRequest change) {
   auto timer = std::make_shared<asio::steady_timer>(io_);
   auto result = std::make_shared<std::optional<ChangeOutcome>>();
   timer->expires_at(std::chrono::steady_clock::time_point::max());
@@ -35,9 +35,9 @@
   co_return **result;
 }
 
-awaitable<ChangeOutcome> Agent::readSettled(Duration due) {
-  ChangeRequest read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + due};
-  co_return co_await ask(read);
+awaitable<ChangeOutcome> Agent::linearizableRead(Duration timeout) {
+  ChangeRequest read{{}, kConfigurationKey, true, 0, {}, {}, BootClock::now() + timeout};
+  co_return co_await submitChange(read);
 }
 
 awaitable<HttpResponse> Agent::changeConfiguration(HttpRequest& request, bool isPatch) {
@@ -48,10 +48,10 @@
         {ErrorKind::MalformedRequest, "?expect=VERSION is missing: name the version you read"});
   const std::uint64_t expected = std::stoull(expectText);
   if (!hasReplicasToSpare())
-    co_return turnedAway("too few register replicas to survive the loss of one");
-  const ChangeOutcome current = co_await readSettled(2s);
+    co_return rejection("too few register replicas to survive the loss of one");
+  const ChangeOutcome current = co_await linearizableRead(2s);
   if (current.result != ChangeResult::Chosen)
-    co_return turnedAway("no majority of register replicas answered");
+    co_return rejection("no majority of register replicas answered");
   if (current.value.version != expected) {
     HttpResponse response =
         errorResponse({ErrorKind::VersionConflict,
@@ -69,13 +69,13 @@
   }
   if (body.size() > kConfigurationLimit)
     co_return errorResponse(
-        {ErrorKind::BodyTooLarge, "the configuration would have " + std::to_string(body.size()) +
-                                      " bytes of at most " + std::to_string(kConfigurationLimit)});
+        {ErrorKind::Oversize, "the configuration would have " + std::to_string(body.size()) +
+                                  " bytes of at most " + std::to_string(kConfigurationLimit)});
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse(
         {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
   ChangeRequest change{{}, kConfigurationKey, false, expected, body, {}, BootClock::now() + 3s};
-  const ChangeOutcome done = co_await ask(change);
+  const ChangeOutcome done = co_await submitChange(change);
   switch (done.result) {
     case ChangeResult::Chosen: {
       LOG(INFO) << "configuration " << done.value.version << " acknowledged";
@@ -91,14 +91,15 @@
       co_return response;
     }
     case ChangeResult::NotTried:
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejection("no majority of register replicas answered");
     case ChangeResult::Unknown:
       break;
   }
-  co_return errorResponse({ErrorKind::ChangeOutcomeUnknown, "the change may or may not be made"});
+  co_return errorResponse({ErrorKind::ChangeUnknown, "the change may or may not be made"});
 }
 
-// The last resort: the majority of the register's disks is lost for good.
+// Founds a new register on this machine's disk. The last resort, for when a majority of the
+// register's disks is lost for good.
 awaitable<HttpResponse> Agent::recover(HttpRequest& request) {
   const std::string fleet = std::to_string(core_->freshness().replicas().fleet);
   if (queryValue(request, "confirm") != fleet)
@@ -119,19 +120,19 @@
           {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
   }
   AgentEffects effects;
-  const auto made = core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
+  const auto recovered =
+      core_->recover(body, version.get<std::uint64_t>(), BootClock::now(), &effects);
   apply(std::move(effects));
-  if (!made.rejection.empty())
-    co_return errorResponse({ErrorKind::RegisterAvailable, made.rejection});
-  // A round of the new register shows that what founds it is synced.
-  const ChangeOutcome done = co_await readSettled(3s);
+  if (!recovered.rejection.empty())
+    co_return errorResponse({ErrorKind::RegisterAvailable, recovered.rejection});
+  // A successful round of the new register shows that its founding state is synced to disk.
+  const ChangeOutcome done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
-    co_return errorResponse(
-        {ErrorKind::ChangeOutcomeUnknown, "the new register did not answer yet"});
-  LOG(INFO) << "register founded again as fleet " << made.replicas.fleet;
-  co_return jsonResponse(200, {{"fleet", made.replicas.fleet},
-                               {"epoch", made.replicas.epoch.value},
-                               {"version", made.configurationVersion}});
+    co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
+  LOG(INFO) << "new register founded as fleet " << recovered.replicas.fleet;
+  co_return jsonResponse(200, {{"fleet", recovered.replicas.fleet},
+                               {"epoch", recovered.replicas.epoch.value},
+                               {"version", recovered.configurationVersion}});
 }
 
 Json Agent::membersJson(Instant now) const {
@@ -159,9 +160,9 @@
 
 Json Agent::serversJson(Instant now) const {
   Json rows = Json::array();
-  const Snapshot told = snapshot(configurationVersion_, now);
-  for (const SnapshotServer& row : told.servers) {
-    const auto fence = core_->heldFence(orderLease(row.model), Duration{}, now);
+  const Snapshot current = snapshot(configurationVersion_, now);
+  for (const SnapshotServer& row : current.servers) {
+    const auto fence = core_->heldFence(rolloutLeaseKey(row.model), Duration{}, now);
     rows.push_back({{"name", row.name.value},
                     {"zone", row.zone},
                     {"model", row.model.value},
@@ -176,7 +177,7 @@
                     {"identity", row.identity.value},
                     {"hold_fence", fence ? Json(fence->value) : Json()}});
   }
-  return {{"servers", rows}, {"listed_ago_us", told.listedAgoMicros}};
+  return {{"servers", rows}, {"listed_ago_us", current.listedAgoMicros}};
 }
 
 Json Agent::configurationJson() const {
@@ -189,31 +190,32 @@
   const std::string path = pathOf(request);
   const Instant now = BootClock::now();
   const auto verb = request.method();
-  ++callsOpen_;
-  ScopeExit answered([this] { --callsOpen_; });
-  if (dialect_.operatorCall) {
-    auto answer = co_await dialect_.operatorCall(*this, request);
+  ++openOperatorCalls_;
+  ScopeExit callGuard([this] { --openOperatorCalls_; });
+  if (dialect_.handleOperatorCall) {
+    auto answer = co_await dialect_.handleOperatorCall(*this, request);
     if (answer) co_return std::move(*answer);
   }
   if (path == "/q/spec" && (verb == http::verb::put || verb == http::verb::patch))
     co_return co_await changeConfiguration(request, verb == http::verb::patch);
   if (path == "/q/refound" && verb == http::verb::post) co_return co_await recover(request);
   if (verb != http::verb::get)
-    co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
+    co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
-    const auto confirmed = core_->freshness().confirmedAt();
+    const auto confirmedAt = core_->freshness().confirmedAt();
     const bool ready =
-        configurationVersion_ > 0 && confirmed && now - *confirmed < settings_.stalenessLimit;
+        configurationVersion_ > 0 && confirmedAt && now - *confirmedAt < settings_.stalenessLimit;
     co_return textResponse(ready ? 200 : 503, ready ? "ready\n" : "configuration unconfirmed\n");
   }
   if (path == "/metrics") co_return textResponse(200, renderCounters(counters_));
   if (path == "/q/members") co_return jsonResponse(200, membersJson(now));
   if (path == "/q/servers") co_return jsonResponse(200, serversJson(now));
   if (path == "/q/feed") {
-    const std::string known = queryValue(request, "spec");
-    const Snapshot told = snapshot(static_cast<std::uint64_t>(std::atoll(known.c_str())), now);
-    co_return textResponse(200, encodeValue(told));
+    const std::string knownVersion = queryValue(request, "spec");
+    const Snapshot current =
+        snapshot(static_cast<std::uint64_t>(std::atoll(knownVersion.c_str())), now);
+    co_return textResponse(200, encodeValue(current));
   }
   if (path == "/q/decisions") {
     const std::string from = queryValue(request, "from");
@@ -224,12 +226,12 @@
   }
   if (path == "/q/spec") {
     if (queryValue(request, "settled").empty()) co_return jsonResponse(200, configurationJson());
-    const ChangeOutcome done = co_await readSettled(2s);
+    const ChangeOutcome done = co_await linearizableRead(2s);
     if (done.result != ChangeResult::Chosen)
-      co_return turnedAway("no majority of register replicas answered");
+      co_return rejection("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
-  co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
+  co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
 }
 
 }  // namespace quayrill
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -16,12 +16,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The platform needs to see that it is not ready before connections stop: it takes what still comes
-// meanwhile, then it only finishes. What was accepted has until its deadline, however short the
-// grace.
+// Shuts the proxy down gracefully. The platform must see that the proxy is not ready before
+// connections are refused, so requests are still accepted for a while; after that, open ones only
+// finish. Accepted requests have until their deadline, even if the grace period is shorter.
 void leave(Proxy& plane, const Settings& settings) {
   plane.beginLeaving();
-  const Duration grace = std::max<Duration>(settings.shutdownGrace, plane.longestDue() + 2s);
+  const Duration grace =
+      std::max<Duration>(settings.shutdownGrace, plane.longestRequestTimeout() + 2s);
   const auto graceEnd = BootClock::now() + grace;
   std::this_thread::sleep_for(
       std::min<std::chrono::milliseconds>(settings.shutdownGrace / 2, 3000ms));
@@ -31,12 +32,12 @@
   plane.stop();
 }
 
-// Operators still call an agent that stands alone for a while. A register replica that another
-// machine is about to stand in for votes until then; where none can, it stays a member, for a
-// restart brings it back with its disk.
-void leaveRegister(const Agent& agent, const Settings& settings, Instant toldAt) {
+// Waits before the agent stops. A stand-alone agent stays up for a while for operators. If another
+// machine is about to replace this register replica, the replica votes until the handover is done.
+// If none can, the replica stays a member: a restart brings it back with its disk.
+void waitForHandover(const Agent& agent, const Settings& settings, Instant receivedAt) {
   const auto until = [&](Duration span) {
-    return std::max<Duration>(Duration{}, toldAt + span - BootClock::now());
+    return std::max<Duration>(Duration{}, receivedAt + span - BootClock::now());
   };
   if (settings.role == "agent")
     std::this_thread::sleep_for(
@@ -45,7 +46,7 @@
     std::this_thread::sleep_for(20ms);
 }
 
-// The relay has a schedule of its own, within the grace.
+// Shuts the relay down gracefully. The relay has its own schedule within the grace period.
 void leave(Relay& relay) {
   relay.beginLeaving();
   while (!relay.hasLeft()) std::this_thread::sleep_for(20ms);
@@ -57,22 +58,22 @@
               SettingsSource source) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(program);
-  sigset_t awaited;
-  sigemptyset(&awaited);
-  sigaddset(&awaited, SIGTERM);
-  sigaddset(&awaited, SIGINT);
-  sigaddset(&awaited, SIGHUP);
-  pthread_sigmask(SIG_BLOCK, &awaited, nullptr);  // before any thread starts
+  sigset_t handledSignals;
+  sigemptyset(&handledSignals);
+  sigaddset(&handledSignals, SIGTERM);
+  sigaddset(&handledSignals, SIGINT);
+  sigaddset(&handledSignals, SIGHUP);
+  pthread_sigmask(SIG_BLOCK, &handledSignals, nullptr);  // before any thread starts
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a write over a file size limit is a error like a full disk
+  std::signal(SIGXFSZ, SIG_IGN);  // a write over the file size limit must fail like on a full disk
 
   std::unique_ptr<Agent> agent;
   std::unique_ptr<Proxy> proxy;
   std::unique_ptr<Relay> relay;
-  std::thread control;
+  std::thread controlThread;
   if (settings.role != "proxy") {
     agent = std::make_unique<Agent>(settings, dialect);
-    if (settings.role == "both" && dialect.relayNames) {
+    if (settings.role == "both" && dialect.relayHeaderNames) {
       relay = std::make_unique<Relay>(settings, dialect);
       relay->setReporter(
           [&agent](DataPlaneReport report) { agent->takePlaneReport(std::move(report)); });
@@ -80,18 +81,18 @@
         std::cerr << program << ": " << status.message() << "\n";
         return 1;
       }
-      agent->setFeed([&relay](Snapshot told, Instant askedAt) {
-        relay->applySnapshot(std::move(told), askedAt);
+      agent->setSnapshotListener([&relay](Snapshot snapshot, Instant requestedAt) {
+        relay->applySnapshot(std::move(snapshot), requestedAt);
       });
-      agent->setPlaneFeed([&relay](DataPlaneDigest digest, Instant toldAt) {
-        relay->applyDigest(std::move(digest), toldAt);
+      agent->setPlaneDigestListener([&relay](DataPlaneDigest digest, Instant receivedAt) {
+        relay->applyDigest(std::move(digest), receivedAt);
       });
     }
     if (auto status = agent->start(); !status.ok()) {
       std::cerr << program << ": " << status.message() << "\n";
       return 1;
     }
-    control = std::thread([&] { agent->run(); });
+    controlThread = std::thread([&] { agent->run(); });
   }
   if (settings.role != "agent" && !relay) {
     proxy = std::make_unique<Proxy>(settings, dialect);
@@ -100,31 +101,31 @@
       std::_Exit(1);
     }
   }
-  LOG(INFO) << program << " " QUAYRILL_VERSION " serves as " << settings.role;
+  LOG(INFO) << program << " " QUAYRILL_VERSION " started with role " << settings.role;
   if (const std::string off = settings.mechanisms.disabledNames(); !off.empty())
-    LOG(WARNING) << "switched off: " << off;
+    LOG(WARNING) << "mechanisms switched off: " << off;
   SettingsWatch watch(std::move(source), settings, [&agent](const Settings& changed) {
-    if (agent) agent->takeSettings(changed);
+    if (agent) agent->applySettings(changed);
   });
   int signal = 0;
-  while (sigwait(&awaited, &signal) == 0 && signal == SIGHUP) watch.onHup();
-  const Instant toldAt = BootClock::now();
+  while (sigwait(&handledSignals, &signal) == 0 && signal == SIGHUP) watch.requestReload();
+  const Instant receivedAt = BootClock::now();
   settings = watch.stop();
-  LOG(INFO) << "leaving: not ready, finishing what was accepted";
+  LOG(INFO) << "shutting down: no longer ready, finishing accepted requests";
   if (agent) agent->beginLeaving();
   if (proxy) leave(*proxy, settings);
   if (relay) leave(*relay);
   if (agent) {
-    // A proxy beside this agent finishes on its word that the configuration still stands.
-    leaveRegister(*agent, settings, toldAt);
-    // Each operator's call has a due of its own, so this ends by itself.
-    while (agent->callsOpen() > 0) std::this_thread::sleep_for(20ms);
+    // A separate proxy process needs this agent's confirmations to finish its requests.
+    waitForHandover(*agent, settings, receivedAt);
+    // Each operator call has its own timeout, so this loop ends.
+    while (agent->openOperatorCalls() > 0) std::this_thread::sleep_for(20ms);
     agent->stop();
-    control.join();
+    controlThread.join();
   }
   LOG(INFO) << "ended";
   google::FlushLogFiles(google::INFO);
-  std::_Exit(0);  // what still runs holds nothing that must be written
+  std::_Exit(0);  // threads that still run have nothing to write
 }
 
 }  // namespace quayrill
--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -4,25 +4,26 @@
 #include <leveldb/write_batch.h>
 
 #include "base/digest.h"
-#include "net/dragged_env.h"
+#include "net/slow_sync_env.h"
 
 namespace quayrill {
 
 namespace {
-constexpr std::chrono::seconds kOpeningDue{1};
-constexpr char kProbeRow[] = "probe";
-constexpr char kSumRow[] = "sum";  // of all others; synced with each batch
+constexpr std::chrono::seconds kOpenTimeout{1};
+constexpr char kProbeKey[] = "probe";
+constexpr char kChecksumKey[] = "sum";  // checksum over all other rows; synced with each batch
 
-absl::Status damaged(const std::string& what) {
+absl::Status damagedError(const std::string& what) {
   return absl::DataLossError("data folder: " + what +
                              ": start with an empty folder; the machine joins as a new member");
 }
 }  // namespace
 
-Disk::Disk(DiskSettings settings, ReadAnew readAnew)
-    : settings_(std::move(settings)), readAnew_(std::move(readAnew)) {
-  env_ = syncedFolderEnv(settings_.files.env ? settings_.files : systemFiles());
-  if (!settings_.dragFile.empty()) dragged_ = draggedEnv(settings_.dragFile, env_.get());
+Disk::Disk(DiskSettings settings, ReopenedCallback onReopened)
+    : settings_(std::move(settings)), onReopened_(std::move(onReopened)) {
+  env_ = syncedFolderEnv(settings_.files.env ? settings_.files : hostFileSystem());
+  if (!settings_.syncDelayFile.empty())
+    slowSyncEnv_ = slowSyncEnv(settings_.syncDelayFile, env_.get());
 }
 
 Disk::~Disk() {
@@ -34,14 +35,14 @@
   if (thread_.joinable()) thread_.join();
 }
 
-// Opening writes: LevelDB rewrites its log into a table and syncs it, so what is read afterwards is
-// on the disk, whatever became of the write that failed.
+// Opening also writes: LevelDB rewrites its log into a table and syncs it. What is read afterwards
+// is therefore on the disk, whatever happened to the write that failed.
 absl::Status Disk::openFolder() {
   absl::Status status = openDatabase(true);
   if (status.ok()) status = readRows();
   if (absl::IsDataLoss(status)) {
-    // A loss of power may leave a hole in the last batch of a log, which was not synced then.
-    // Read past it; the sum tells whether anything else is missing.
+    // A power loss may leave a hole in the last batch of a log, if that batch was not synced yet.
+    // Open again tolerating it; the checksum detects whether anything else is missing.
     status = openDatabase(false);
     if (status.ok()) status = readRows();
     if (status.ok()) status = openDatabase(true);
@@ -51,16 +52,16 @@
   return status;
 }
 
-absl::Status Disk::openDatabase(bool strictly) {
+absl::Status Disk::openDatabase(bool strict) {
   db_.reset();
   leveldb::Options options;
   options.create_if_missing = true;
-  options.paranoid_checks = strictly;
+  options.paranoid_checks = strict;
   options.write_buffer_size = settings_.writeBuffer;
-  options.env = dragged_ ? dragged_.get() : env_.get();
+  options.env = slowSyncEnv_ ? slowSyncEnv_.get() : env_.get();
   leveldb::DB* db = nullptr;
   auto status = leveldb::DB::Open(options, settings_.folder + "/register", &db);
-  if (status.IsCorruption()) return damaged(status.ToString());
+  if (status.IsCorruption()) return damagedError(status.ToString());
   if (!status.ok() && status.ToString().find("lock") != std::string::npos)
     return absl::FailedPreconditionError("data folder: " + status.ToString() +
                                          ": end the other process or name another folder");
@@ -72,7 +73,7 @@
 absl::Status Disk::probe() {
   leveldb::WriteOptions synced;
   synced.sync = true;
-  const auto status = db_->Put(synced, kProbeRow, "");
+  const auto status = db_->Put(synced, kProbeKey, "");
   return status.ok() ? absl::OkStatus() : absl::UnavailableError(status.ToString());
 }
 
@@ -82,25 +83,25 @@
   options.fill_cache = false;
   rows_.clear();
   rowHashes_.clear();
-  rowSum_ = 0;
+  rowHashSum_ = 0;
   std::unique_ptr<leveldb::Iterator> row(db_->NewIterator(options));
   for (row->SeekToFirst(); row->Valid(); row->Next())
     rows_[row->key().ToString()] = row->value().ToString();
-  if (row->status().IsCorruption()) return damaged(row->status().ToString());
+  if (row->status().IsCorruption()) return damagedError(row->status().ToString());
   if (!row->status().ok()) return absl::UnavailableError(row->status().ToString());
-  rows_.erase(kProbeRow);
+  rows_.erase(kProbeKey);
   std::optional<std::string> sum;
-  if (auto kept = rows_.extract(kSumRow)) sum = std::move(kept.mapped());
-  for (const auto& [key, bytes] : rows_) countRow({key, bytes});
-  // A folder of an earlier build has no sum yet.
-  if (sum && *sum != std::to_string(rowSum_)) return damaged("rows are missing");
+  if (auto checksumRow = rows_.extract(kChecksumKey)) sum = std::move(checksumRow.mapped());
+  for (const auto& [key, bytes] : rows_) addRowHash({key, bytes});
+  // A folder written by an earlier build has no checksum yet.
+  if (sum && *sum != std::to_string(rowHashSum_)) return damagedError("rows are missing");
   return absl::OkStatus();
 }
 
-void Disk::countRow(const DiskWrite& write) {
+void Disk::addRowHash(const DiskWrite& write) {
   const std::uint64_t hash = combineHashes(stableHash(write.key), stableHash(write.bytes));
   std::uint64_t& row = rowHashes_[write.key];
-  rowSum_ += hash - row;
+  rowHashSum_ += hash - row;
   row = hash;
 }
 
@@ -110,8 +111,8 @@
     work();
   });
   std::unique_lock lock(mutex_);
-  wake_.wait_for(lock, kOpeningDue, [this] { return firstOpening_.has_value(); });
-  openWaits_ = false;
+  wake_.wait_for(lock, kOpenTimeout, [this] { return firstOpening_.has_value(); });
+  isOpenWaiting_ = false;
   if (firstOpening_ && !firstOpening_->ok() && !absl::IsUnavailable(*firstOpening_))
     return *firstOpening_;
   return std::move(firstRows_);
@@ -121,26 +122,26 @@
   const absl::Status status = openFolder();
   std::optional<Rows> rows;
   if (status.ok()) rows = std::move(rows_);
-  bool waits = false;
+  bool isOpenWaiting = false;
   {
     std::lock_guard lock(mutex_);
-    waits = openWaits_;
+    isOpenWaiting = isOpenWaiting_;
     firstOpening_ = status;
-    if (waits) firstRows_ = rows;
+    if (isOpenWaiting) firstRows_ = rows;
   }
   wake_.notify_all();
   error_ = status;
-  if (waits || !status.ok()) return;
-  error_ = absl::UnavailableError("the rows of a late opening are not taken yet");
-  told_ = true;
-  readAnew_(*rows);
+  if (isOpenWaiting || !status.ok()) return;
+  error_ = absl::UnavailableError("the rows read by a late opening have not been adopted yet");
+  rowsDelivered_ = true;
+  onReopened_(*rows);
 }
 
-void Disk::openAnew() {
-  nextOpening_ = BootClock::now() + settings_.retryEvery;
+void Disk::reopen() {
+  nextOpening_ = BootClock::now() + settings_.retryInterval;
   db_.reset();
-  told_ = openFolder().ok();
-  if (told_) readAnew_(std::move(rows_));
+  rowsDelivered_ = openFolder().ok();
+  if (rowsDelivered_) onReopened_(std::move(rows_));
 }
 
 void Disk::write(std::vector<DiskWrite> writes, Done done) {
@@ -160,22 +161,22 @@
 
 void Disk::put(const std::deque<Job>& batch) {
   leveldb::WriteBatch changes;
-  bool any = false;
+  bool hasWrites = false;
   for (const Job& job : batch) {
     for (const DiskWrite& write : job.writes) {
       changes.Put(write.key, write.bytes);
-      countRow(write);
-      any = true;
+      addRowHash(write);
+      hasWrites = true;
     }
   }
-  if (!any) return;
-  changes.Put(kSumRow, std::to_string(rowSum_));
+  if (!hasWrites) return;
+  changes.Put(kChecksumKey, std::to_string(rowHashSum_));
   leveldb::WriteOptions options;
   options.sync = true;
   const auto status = db_->Write(options, &changes);
   if (status.ok()) return;
   error_ = absl::DataLossError(status.ToString());
-  told_ = false;
+  rowsDelivered_ = false;
 }
 
 void Disk::work() {
@@ -183,25 +184,26 @@
     std::deque<Job> batch;
     {
       std::unique_lock lock(mutex_);
-      const auto woken = [this] { return stopping_ || !jobs_.empty(); };
-      if (error_.ok() || told_)
-        wake_.wait(lock, woken);
+      const auto hasWork = [this] { return stopping_ || !jobs_.empty(); };
+      if (error_.ok() || rowsDelivered_)
+        wake_.wait(lock, hasWork);
       else
-        wake_.wait_for(lock, settings_.retryEvery, woken);
+        wake_.wait_for(lock, settings_.retryInterval, hasWork);
       if (stopping_ && jobs_.empty()) return;
-      // A batch ends before a mark, so that what came earlier fails and what comes later is kept.
+      // A batch ends before a resume mark, so that writes before it fail and writes after it are
+      // kept.
       while (!jobs_.empty() && jobs_.front().done) {
         batch.push_back(std::move(jobs_.front()));
         jobs_.pop_front();
       }
       if (batch.empty() && !jobs_.empty()) {
         jobs_.pop_front();
-        if (told_) error_ = absl::OkStatus();
-        told_ = false;
+        if (rowsDelivered_) error_ = absl::OkStatus();
+        rowsDelivered_ = false;
       }
     }
     sync(batch);
-    if (!error_.ok() && !told_ && BootClock::now() >= nextOpening_) openAnew();
+    if (!error_.ok() && !rowsDelivered_ && BootClock::now() >= nextOpening_) reopen();
   }
 }
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -35,8 +35,9 @@
 
 awaitable<absl::StatusOr<HttpResponse>> httpCall(HttpCall call) {
   Connection connection(co_await asio::this_coro::executor);
-  // One expiry for everything below: it is never pushed back, so a dripping peer can't stretch it.
-  connection.expires_after(call.due);
+  // One expiry for the whole call. It is never extended, so a peer that sends byte by byte can't
+  // prolong the call.
+  connection.expires_after(call.timeout);
   ErrorCode code;
   if (!call.from.value.empty()) {
     connection.socket().open(Tcp::v4(), code);
@@ -46,8 +47,8 @@
   const Tcp::endpoint endpoint = endpointOf(call.to);
   co_await connection.async_connect(endpoint, into(code));
   if (code) co_return absl::UnavailableError("connect: " + code.message());
-  if (call.sendBefore && BootClock::now() > *call.sendBefore)
-    co_return absl::DeadlineExceededError("connect: it took too long to send after it");
+  if (call.sendDeadline && BootClock::now() > *call.sendDeadline)
+    co_return absl::DeadlineExceededError("connect: took too long, the request was not sent");
   HttpRequest request(call.verb, call.target, 11);
   request.set(http::field::host, call.to.value);
   request.set(http::field::connection, "close");
@@ -93,29 +94,30 @@
     co_await acceptor_.async_accept(socket, into(code));
     if (stopping_) co_return;
     if (code) {
-      co_await pauseFor(10ms);  // out of descriptors: let some go
+      co_await pauseFor(10ms);  // out of file descriptors: wait until some are closed
       continue;
     }
-    if (connections_->load() >= settings_.connectionLimit) continue;  // closes it
+    if (connections_->load() >= settings_.connectionLimit) continue;  // closes the socket
     asio::co_spawn(executor, serve(std::move(socket)), asio::detached);
   }
 }
 
-// Waits for the next request's first byte, in short steps so that a stop is seen.
+// Waits for the next request's first byte. Waits in short steps to notice stopAccepting().
 awaitable<bool> HttpServer::waitReadable(Tcp::socket& socket) {
   const Instant idleDeadline = BootClock::now() + settings_.idleTimeout;
-  asio::steady_timer step(co_await asio::this_coro::executor);
+  asio::steady_timer stopPollTimer(co_await asio::this_coro::executor);
   while (!stopping_ && BootClock::now() < idleDeadline) {
-    step.expires_after(250ms);
-    step.async_wait([&socket](const ErrorCode& ended) {
+    stopPollTimer.expires_after(250ms);
+    stopPollTimer.async_wait([&socket](const ErrorCode& timerError) {
       ErrorCode ignored;
-      if (!ended) socket.cancel(ignored);
+      if (!timerError) socket.cancel(ignored);
     });
     ErrorCode code;
     co_await socket.async_wait(Tcp::socket::wait_read, into(code));
-    // The step's handler must have run or be gone before `socket` and `step` are.
+    // The timer's handler must have run or been dropped before `socket` and the timer are
+    // destroyed.
     ErrorCode posted;
-    if (step.cancel() == 0) co_await asio::post(into(posted));
+    if (stopPollTimer.cancel() == 0) co_await asio::post(into(posted));
     if (!code) co_return true;
   }
   co_return false;
@@ -124,7 +126,8 @@
 awaitable<void> HttpServer::serve(Tcp::socket socket) {
   struct Counted {
     std::shared_ptr<std::atomic<std::size_t>> count;
-    explicit Counted(std::shared_ptr<std::atomic<std::size_t>> c) : count(std::move(c)) {
+    explicit Counted(std::shared_ptr<std::atomic<std::size_t>> counter)
+        : count(std::move(counter)) {
       ++*count;
     }
     ~Counted() { --*count; }
@@ -141,7 +144,7 @@
       const bool readable = co_await waitReadable(connection.socket());
       if (!readable) co_return;
     }
-    connection.expires_after(settings_.readDue);
+    connection.expires_after(settings_.readTimeout);
     co_await http::async_read(connection, buffer, parser, into(code));
     if (code == http::error::end_of_stream) co_return;
     if (code) {
@@ -162,7 +165,7 @@
     response->version(11);
     response->keep_alive(keepAlive && !stopping_);
     response->prepare_payload();
-    connection.expires_after(settings_.readDue);
+    connection.expires_after(settings_.readTimeout);
     co_await http::async_write(connection, *response, into(code));
     if (code || !response->keep_alive()) {
       connection.socket().shutdown(Tcp::socket::shutdown_send, code);
@@ -197,9 +200,9 @@
 
 std::string queryValue(const HttpRequest& request, const std::string& name) {
   const std::string target(request.target());
-  const auto mark = target.find('?');
-  if (mark == std::string::npos) return {};
-  const cxxtools::QueryParams params(target.substr(mark + 1));
+  const auto queryStart = target.find('?');
+  if (queryStart == std::string::npos) return {};
+  const cxxtools::QueryParams params(target.substr(queryStart + 1));
   return params.param(name);
 }
 
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,6 +1,7 @@
 #pragma once
-// Carries envelopes between daemons: frames over TCP, one connection each way, lossy by policy.
-// A full queue or a broken connection drops envelopes; the control logic is built for that.
+// Carries messages (envelopes) between daemons: frames over TCP, with one connection per direction.
+// Delivery is best-effort by design: a full queue or a broken connection drops envelopes, and the
+// control logic tolerates that.
 #include <deque>
 #include <functional>
 #include <map>
@@ -11,39 +12,46 @@
 
 namespace quayrill {
 
-inline constexpr std::size_t kFrameLimit = 8 << 20;
+inline constexpr std::size_t kFrameLimit = 8 << 20;  // bytes
 
+// All methods must be called on the io_context's single thread, which also calls the receiver.
 class PeerLink {
  public:
   using Receiver = std::function<void(Envelope)>;
-  PeerLink(asio::io_context& io, Address self, Address via, Receiver receiver);
+  // `forwarder`: address of a TCP forwarder through which all connections go; empty: connect to the
+  // peers directly. Tests use one to simulate network faults.
+  PeerLink(asio::io_context& io, Address self, Address forwarder, Receiver receiver);
+  // Starts to accept connections on the own address.
   absl::Status start();
+  // Queues the envelope. An envelope to the own address is passed to the receiver, asynchronously.
   void send(const Envelope& envelope);
+  // Number of envelopes dropped so far.
   std::uint64_t dropped() const { return dropped_; }
-  std::size_t bytesWaiting() const { return bytes_; }
+  std::size_t queuedBytes() const { return queuedBytes_; }
 
  private:
-  // Frames wait here for one connection. Past kQueueLimit of them, or kLaneBytes, the oldest are
-  // dropped; one frame may always wait.
-  struct Lane {
+  // Frames waiting for one peer's connection. Beyond kQueueFrameLimit frames or kQueueByteLimit
+  // bytes the oldest are dropped; one frame may always wait, whatever its size.
+  struct SendQueue {
     std::deque<std::string> frames;
     std::size_t bytes = 0;  // of `frames`
-    bool running = false;
+    bool isDraining = false;
     asio::steady_timer wake;
-    explicit Lane(asio::io_context& io) : wake(io) {}
+    explicit SendQueue(asio::io_context& io) : wake(io) {}
   };
   awaitable<void> accept();
   awaitable<void> receive(Tcp::socket socket);
-  std::string takeOldest(Lane& lane);
-  void clear(Lane& lane);
-  awaitable<void> drain(Address to, std::shared_ptr<Lane> lane);
+  std::string takeOldest(SendQueue& queue);
+  void clear(SendQueue& queue);
+  // Connects to a peer and sends its queue until it stays empty or the connection fails.
+  awaitable<void> drain(Address to, std::shared_ptr<SendQueue> queue);
 
   asio::io_context& io_;
-  Address self_, via_;
+  Address self_, forwarder_;
   Receiver receiver_;
   Tcp::acceptor acceptor_;
-  std::map<Address, std::shared_ptr<Lane>> lanes_;
-  std::size_t bytes_ = 0;  // of all lanes' frames
+  std::map<Address, std::shared_ptr<SendQueue>> queues_;
+  std::size_t queuedBytes_ = 0;  // of all queues
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/net/request_sender.cpp
+++ b/src/net/request_sender.cpp
@@ -5,23 +5,23 @@
 namespace quayrill {
 
 RequestSender::RequestSender(Tcp::socket& socket, std::string head, std::string_view body,
-                             std::function<bool()> mayGoOn)
+                             std::function<bool()> mayContinue)
     : socket_(socket),
       head_(std::move(head)),
       body_(body),
-      mayGoOn_(std::move(mayGoOn)),
+      mayContinue_(std::move(mayContinue)),
       wake_(socket.get_executor()) {}
 
 void RequestSender::begin() {
   sendPiece();
-  if (code_ || isWhole()) return;
+  if (code_ || isComplete()) return;
   isRunning_ = true;
   asio::co_spawn(socket_.get_executor(), sendRest(), asio::detached);
 }
 
-// One call of the system, with nothing awaited between the question and the bytes.
+// Makes a single system call. Nothing is awaited between the permission check and the write.
 void RequestSender::sendPiece() {
-  if (!mayGoOn_()) {
+  if (!mayContinue_()) {
     code_ = asio::error::operation_aborted;
     return;
   }
@@ -36,7 +36,7 @@
 }
 
 awaitable<void> RequestSender::sendRest() {
-  while (!code_ && !isWhole()) {
+  while (!code_ && !isComplete()) {
     ErrorCode code;
     co_await socket_.async_wait(Tcp::socket::wait_write, into(code));
     if (code) {
@@ -44,14 +44,14 @@
       break;
     }
     sendPiece();
-    // No answer may come to a request that stays without its end.
+    // The server may never answer a request that remains incomplete.
     if (code_ == asio::error::operation_aborted) socket_.close(code);
   }
   isRunning_ = false;
   wake_.cancel();
 }
 
-awaitable<void> RequestSender::ended() {
+awaitable<void> RequestSender::waitUntilStopped() {
   while (isRunning_) {
     wake_.expires_at(std::chrono::steady_clock::time_point::max());
     ErrorCode code;
--- a/src/operator/quayrillctl.cpp
+++ b/src/operator/quayrillctl.cpp
@@ -1,4 +1,4 @@
-// quayrillctl: the operator's command line.
+// quayrillctl: command line tool for operators.
 #include <docopt/docopt.h>
 
 #include <fstream>
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-constexpr char kUsage[] = R"(quayrillctl: talks to a quayrill fleet. Any daemon will do.
+constexpr char kUsage[] = R"(quayrillctl: operates a quayrill fleet through any one of its daemons.
 
 Usage:
   quayrillctl [--daemon=ADDR] [--json] spec get
@@ -32,44 +32,48 @@
 
 Options:
   --daemon=ADDR      Operator address of a daemon [default: 127.0.0.1:7101].
-  --expect=VERSION   The version you read; a change on top of another is turned away.
-  --spec=FILE        A spec saved with 'spec get', to found again with.
-  --confirm=FLEET    The fleet that is given up; without it, refound only says what would be lost.
+  --expect=VERSION   The version you read; the change is rejected if another one came in between.
+  --spec=FILE        A spec saved with 'spec get', for the new register.
+  --confirm=FLEET    The fleet to give up; without it, refound only reports what would be lost.
   --from=POSITION    Read decisions from this position on [default: 0].
   --callers=ADDR     Read the decisions of the proxy at this callers' address, not the agent's.
-  --follow           Go on reading as decisions are made.
-  --json             Bare JSON on stdout, one object a line.
+  --follow           Keep reading as decisions are made.
+  --json             Bare JSON on stdout, one object per line.
   -h --help          Show this text.
   --version          Show the version.
 
 SQL is one SELECT over members, copies, servers, tenants, contracts, ways and decisions, as the
 daemon knows them now. refound is the last resort when a majority of the register's disks is lost:
-it founds the register anew on the disk of the daemon that is asked.
+it founds a new register on the disk of the called daemon.
 
 FILE may be - for standard input. A request's id is in its answer's Quayrill-Request-Id.
 
-Exit codes: 0 done, 1 turned away or not found, 2 bad usage, 3 unknown whether it was done,
+Exit codes: 0 done, 1 rejected or not found, 2 bad usage, 3 unknown whether it was done,
             4 the daemon can't be reached.
 )";
 
-enum Exit { kDone = 0, kTurnedAway = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
+// Exit codes, as documented in kUsage.
+enum Exit { kDone = 0, kRejected = 1, kUsageExit = 2, kUnknownExit = 3, kUnreachable = 4 };
 
-struct Answer {
+// Result of a call to a daemon. `response` is set unless the call failed before an answer came.
+struct CallResult {
   int exit = kDone;
   HttpResponse response;
 };
 
-Answer call(const Address& to, http::verb verb, const std::string& target, std::string body = {}) {
+// Calls a daemon; prints an error to stderr, if any.
+CallResult call(const Address& to, http::verb verb, const std::string& target,
+                std::string body = {}) {
   asio::io_context io;
   absl::StatusOr<HttpResponse> response = absl::UnknownError("no answer");
-  HttpCall asked;
-  asked.to = to;
-  asked.verb = verb;
-  asked.target = target;
-  asked.body = std::move(body);
-  asked.due = 8s;
+  HttpCall request;
+  request.to = to;
+  request.verb = verb;
+  request.target = target;
+  request.body = std::move(body);
+  request.timeout = 8s;
   asio::co_spawn(
-      io, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
+      io, [&]() -> awaitable<void> { response = co_await httpCall(request); }, asio::detached);
   io.run();
   if (!response.ok()) {
     const bool sent = response.status().code() != absl::StatusCode::kUnavailable;
@@ -85,17 +89,18 @@
   std::cerr << "quayrillctl: "
             << (json.is_object() ? json.value("message", response->body()) : response->body())
             << "\n";
-  return {response->result_int() == 504 ? kUnknownExit : kTurnedAway, *response};
+  return {response->result_int() == 504 ? kUnknownExit : kRejected, *response};
 }
 
-struct Held {
+// A configuration with its version; `exit` tells whether it could be read.
+struct VersionedConfiguration {
   int exit = kDone;
   std::uint64_t version = 0;
   Json configuration;
 };
 
-Held readConfiguration(const Address& daemon) {
-  const Answer answer = call(daemon, http::verb::get, "/q/spec?settled=1");
+VersionedConfiguration readConfiguration(const Address& daemon) {
+  const CallResult answer = call(daemon, http::verb::get, "/q/spec?settled=1");
   if (answer.exit != kDone) return {answer.exit, 0, {}};
   const Json json = Json::parse(answer.response.body());
   return {kDone, json["version"].get<std::uint64_t>(), json["spec"]};
@@ -103,7 +108,7 @@
 
 int sendConfiguration(const Address& daemon, http::verb verb, std::uint64_t expect,
                       const std::string& body, bool json) {
-  const Answer answer = call(daemon, verb, "/q/spec?expect=" + std::to_string(expect), body);
+  const CallResult answer = call(daemon, verb, "/q/spec?expect=" + std::to_string(expect), body);
   if (answer.exit != kDone) return answer.exit;
   if (json)
     std::cout << answer.response.body();
@@ -122,31 +127,30 @@
 
 int changeKey(const Address& daemon, const std::string& tenant, const std::string& secret, bool add,
               bool json) {
-  const Held held = readConfiguration(daemon);
-  if (held.exit != kDone) return held.exit;
-  if (!held.configuration["tenants"].contains(tenant)) {
-    std::cerr << "quayrillctl: no tenant '" << tenant
-              << "': add it with configuration patch first\n";
-    return kTurnedAway;
+  const VersionedConfiguration current = readConfiguration(daemon);
+  if (current.exit != kDone) return current.exit;
+  if (!current.configuration["tenants"].contains(tenant)) {
+    std::cerr << "quayrillctl: no tenant '" << tenant << "': add it with 'spec patch' first\n";
+    return kRejected;
   }
   const std::string digest = keyDigest(secret);
   Json keys = Json::array();
   bool found = false;
-  for (const auto& key : held.configuration["tenants"][tenant].value("keys", Json::array())) {
+  for (const auto& key : current.configuration["tenants"][tenant].value("keys", Json::array())) {
     found = found || key == digest;
     if (add || key != digest) keys.push_back(key);
   }
   if (!add && !found) {
-    std::cerr << "quayrillctl: that is no key of '" << tenant << "': nothing was withdrawn\n";
-    return kTurnedAway;
+    std::cerr << "quayrillctl: tenant '" << tenant << "' has no such key: nothing was withdrawn\n";
+    return kRejected;
   }
   if (add && !found) keys.push_back(digest);
   const Json patch{{"tenants", {{tenant, {{"keys", keys}}}}}};
-  return sendConfiguration(daemon, http::verb::patch, held.version, patch.dump(), json);
+  return sendConfiguration(daemon, http::verb::patch, current.version, patch.dump(), json);
 }
 
 int showMembers(const Address& daemon, bool json) {
-  const Answer answer = call(daemon, http::verb::get, "/q/members");
+  const CallResult answer = call(daemon, http::verb::get, "/q/members");
   if (answer.exit != kDone) return answer.exit;
   if (json) {
     std::cout << answer.response.body();
@@ -168,7 +172,7 @@
 
 int showDecisions(const Address& daemon, std::uint64_t from, bool follow) {
   for (;;) {
-    const Answer answer =
+    const CallResult answer =
         call(daemon, http::verb::get, "/q/decisions?from=" + std::to_string(from));
     if (answer.exit != kDone) return answer.exit;
     const Json page = Json::parse(answer.response.body());
@@ -190,14 +194,14 @@
 }
 
 int query(const Address& daemon, const std::string& sql, bool json) {
-  int unread = kDone;
+  int readExit = kDone;
   const auto table = queryFleet(sql, [&](const std::string& path) -> absl::StatusOr<Json> {
-    const Answer answer = call(daemon, http::verb::get, path);
-    unread = answer.exit;
+    const CallResult answer = call(daemon, http::verb::get, path);
+    readExit = answer.exit;
     if (answer.exit != kDone) return absl::UnavailableError("");
     return Json::parse(answer.response.body());
   });
-  if (unread != kDone) return unread;
+  if (readExit != kDone) return readExit;
   if (!table.ok()) {
     std::cerr << "quayrillctl: " << table.status().message() << "\n";
     return kUsageExit;
@@ -206,74 +210,75 @@
     std::cout << (i ? "\t" : "") << table->columns[i]
               << (i + 1 < table->columns.size() ? "" : "\n");
   for (const Json& row : table->rows) {
-    Json named = Json::object();
+    Json rowObject = Json::object();
     for (std::size_t i = 0; i < row.size(); ++i) {
       if (json)
-        named[table->columns[i]] = row[i];
+        rowObject[table->columns[i]] = row[i];
       else
         std::cout << (i ? "\t" : "")
                   << (row[i].is_string() ? row[i].get<std::string>() : row[i].dump());
     }
-    std::cout << (json ? named.dump() : "") << "\n";
+    std::cout << (json ? rowObject.dump() : "") << "\n";
   }
   return kDone;
 }
 
-// The newest configuration that any live daemon serves by, so that as little as can be is lost.
+// Returns the newest configuration that any live daemon has in force, to lose as few changes as
+// possible.
 Json newestConfiguration(const Json& members, const Address& daemon) {
   Json newest;
-  std::vector<std::string> asked{daemon.value};
+  std::vector<std::string> addresses{daemon.value};
   for (const auto& row : members["members"]) {
     const std::string peer = row["cohort"].get<std::string>();
     const std::string port = daemon.value.substr(daemon.value.rfind(':'));
-    asked.push_back(peer.substr(0, peer.rfind(':')) + port);
+    addresses.push_back(peer.substr(0, peer.rfind(':')) + port);
   }
-  for (const std::string& address : asked) {
-    const Answer answer = call(Address{address}, http::verb::get, "/q/spec");
+  for (const std::string& address : addresses) {
+    const CallResult answer = call(Address{address}, http::verb::get, "/q/spec");
     if (answer.exit != kDone) continue;
-    const Json told = Json::parse(answer.response.body());
-    if (told["version"] > 0 && (newest.is_null() || told["version"] > newest["version"]))
-      newest = told;
+    const Json reply = Json::parse(answer.response.body());
+    if (reply["version"] > 0 && (newest.is_null() || reply["version"] > newest["version"]))
+      newest = reply;
   }
   return newest;
 }
 
 int recover(const Address& daemon, const std::string& file, const std::string& confirm, bool json) {
-  const Answer known = call(daemon, http::verb::get, "/q/members");
-  if (known.exit != kDone) return known.exit;
-  const Json all = Json::parse(known.response.body());
+  const CallResult membersResult = call(daemon, http::verb::get, "/q/members");
+  if (membersResult.exit != kDone) return membersResult.exit;
+  const Json all = Json::parse(membersResult.response.body());
   const std::string fleet = all["copies"]["fleet"].dump();
   const Json configuration =
       file.empty() ? newestConfiguration(all, daemon) : Json::parse(readFile(file), nullptr, false);
   if (!configuration.is_object() || !configuration.contains("version") ||
       !configuration.contains("spec")) {
-    std::cerr << "quayrillctl: no daemon that lives serves by a configuration, or FILE is none "
-                 "that 'configuration get' "
-                 "printed: give one with --spec\n";
+    std::cerr << "quayrillctl: no live daemon has a configuration in force, or FILE was not "
+                 "written by 'spec get': "
+                 "name a saved one with --spec\n";
     return kUsageExit;
   }
   if (confirm != fleet) {
-    std::cerr << "quayrillctl: this gives fleet " << fleet << " up and founds another on "
+    std::cerr << "quayrillctl: this gives up fleet " << fleet << " and founds a new one on "
               << daemon.value << " with configuration version " << configuration["version"]
-              << ". Changes acknowledged after that version are lost for good, and disks of the "
-                 "old fleet never vote again: empty them before they join. Do it only when a "
-                 "majority of the register's disks can't come back, with --confirm="
+              << ". Changes acknowledged after that version are lost permanently, and disks of the "
+                 "old fleet never vote again: empty them before they join. Use it only if a "
+                 "majority of the register's disks can't be recovered, with --confirm="
               << fleet << "\n";
-    return confirm.empty() ? kTurnedAway : kUsageExit;
+    return confirm.empty() ? kRejected : kUsageExit;
   }
-  const Answer made =
+  const CallResult founded =
       call(daemon, http::verb::post, "/q/refound?confirm=" + fleet, configuration.dump());
-  if (made.exit != kDone) return made.exit;
-  const Json told = Json::parse(made.response.body());
+  if (founded.exit != kDone) return founded.exit;
+  const Json reply = Json::parse(founded.response.body());
   if (json)
-    std::cout << made.response.body();
+    std::cout << founded.response.body();
   else
-    std::cout << "fleet " << told["fleet"] << " founded, configuration version " << told["version"]
-              << "\n";
+    std::cout << "fleet " << reply["fleet"] << " founded, configuration version "
+              << reply["version"] << "\n";
   return kDone;
 }
 
-void tellTry(const Json& attempt, std::size_t number) {
+void printAttempt(const Json& attempt, std::size_t number) {
   std::cout << "try " << number << ": " << attempt["server"].get<std::string>() << " under weights "
             << attempt["weights"].get<std::string>() << ", chosen by "
             << attempt["reason"].get<std::string>() << " (" << attempt["matched_tokens"] << " of "
@@ -293,10 +298,11 @@
 int explain(const std::string& id, bool json) {
   const Address daemon{id.substr(0, id.find('/'))};
   if (const auto status = checkAddress("REQUEST", daemon.value); !status.ok()) {
-    std::cerr << "quayrillctl: '" << id << "' is no request id: take it from Quayrill-Request-Id\n";
+    std::cerr << "quayrillctl: '" << id
+              << "' is not a request id: use the value of the answer's Quayrill-Request-Id\n";
     return kUsageExit;
   }
-  const Answer answer = call(daemon, http::verb::get, "/q/explain?id=" + id);
+  const CallResult answer = call(daemon, http::verb::get, "/q/explain?id=" + id);
   if (answer.exit != kDone) return answer.exit;
   if (json) {
     std::cout << answer.response.body();
@@ -308,7 +314,7 @@
             << (row["repeatable"] == true ? " (repeatable)" : " (not repeatable)") << ": "
             << row["outcome"].get<std::string>() << " after " << row["took_us"] << " us\n";
   std::size_t number = 0;
-  for (const auto& attempt : row["tries"]) tellTry(attempt, ++number);
+  for (const auto& attempt : row["tries"]) printAttempt(attempt, ++number);
   if (number == 0) std::cout << "no server was tried\n";
   return kDone;
 }
@@ -325,7 +331,7 @@
     std::cout << "quayrillctl " QUAYRILL_VERSION "\n";
     return kDone;
   } catch (const std::exception&) {
-    std::cerr << "quayrillctl: the command is not understood: see --help\n";
+    std::cerr << "quayrillctl: unknown command or option: see --help\n";
     return kUsageExit;
   }
   const auto text = [&](const char* name) {
@@ -338,12 +344,12 @@
     if (const auto status = checkAddress("--daemon", daemon.value); !status.ok())
       throw std::invalid_argument(std::string(status.message()));
     if (is("spec") && is("get")) {
-      const Held held = readConfiguration(daemon);
-      if (held.exit == kDone)
-        std::cout << Json{{"version", held.version}, {"spec", held.configuration}}.dump(json ? -1
-                                                                                             : 2)
+      const VersionedConfiguration current = readConfiguration(daemon);
+      if (current.exit == kDone)
+        std::cout << Json{{"version", current.version}, {"spec", current.configuration}}.dump(
+                         json ? -1 : 2)
                   << "\n";
-      return held.exit;
+      return current.exit;
     }
     if (is("spec")) {
       const bool put = is("put");
@@ -351,19 +357,19 @@
       if (!text("--expect").empty()) {
         expect = std::stoull(text("--expect"));
       } else {
-        const Held held = readConfiguration(daemon);
-        if (held.exit != kDone) return held.exit;
-        expect = held.version;
+        const VersionedConfiguration current = readConfiguration(daemon);
+        if (current.exit != kDone) return current.exit;
+        expect = current.version;
       }
       return sendConfiguration(daemon, put ? http::verb::put : http::verb::patch, expect,
                                readFile(text("FILE")), json);
     }
     if (is("key")) return changeKey(daemon, text("TENANT"), text("SECRET"), is("add"), json);
     if (is("weights")) {
-      const Held held = readConfiguration(daemon);
-      if (held.exit != kDone) return held.exit;
+      const VersionedConfiguration current = readConfiguration(daemon);
+      if (current.exit != kDone) return current.exit;
       const Json patch{{"models", {{text("MODEL"), {{"weights", text("VERSION")}}}}}};
-      return sendConfiguration(daemon, http::verb::patch, held.version, patch.dump(), json);
+      return sendConfiguration(daemon, http::verb::patch, current.version, patch.dump(), json);
     }
     if (is("query")) return query(daemon, text("SQL"), json);
     if (is("refound")) return recover(daemon, text("--spec"), text("--confirm"), json);
--- a/src/proxy/intake.cpp
+++ b/src/proxy/parse_request.cpp
@@ -1,4 +1,4 @@
-// Intake: what a request must be before it may ask for anything.
+// Parses, authenticates and validates a caller's request.
 #include <algorithm>
 
 #include "base/digest.h"
@@ -19,31 +19,32 @@
 }
 }  // namespace
 
-std::optional<Error> Proxy::intake(const HttpRequest& request, const ProxyView& seen, Job* job) {
+std::optional<Error> Proxy::parseRequest(const HttpRequest& request, const ProxyView& currentView,
+                                         Job* job) {
   const std::string path = pathOf(request);
   const std::string authorization = headerOf(request, "Authorization");
   if (authorization.rfind("Bearer ", 0) != 0) return Error{ErrorKind::UnknownKey, "no bearer key"};
   job->digest = keyDigest(authorization.substr(7));
-  const auto owner = seen.configuration->tenantByKeyDigest.find(job->digest);
-  if (owner == seen.configuration->tenantByKeyDigest.end())
+  const auto owner = currentView.configuration->tenantByKeyDigest.find(job->digest);
+  if (owner == currentView.configuration->tenantByKeyDigest.end())
     return Error{ErrorKind::UnknownKey, "the key is of no tenant"};
   job->tenant = owner->second;
-  const auto way =
-      seen.configuration->policyByPath.find(path.substr(std::min<std::size_t>(4, path.size())));
-  if (path.rfind("/v1/", 0) != 0 || way == seen.configuration->policyByPath.end())
+  const auto route = currentView.configuration->policyByPath.find(
+      path.substr(std::min<std::size_t>(4, path.size())));
+  if (path.rfind("/v1/", 0) != 0 || route == currentView.configuration->policyByPath.end())
     return Error{ErrorKind::UnknownRoute, "no way '" + path + "'"};
   if (request.method() != http::verb::post)
     return Error{ErrorKind::MalformedRequest, "ways take POST"};
-  job->policyName = way->second;
-  job->policy = seen.configuration->policies.at(way->second);
+  job->policyName = route->second;
+  job->policy = currentView.configuration->policies.at(route->second);
   if (request.body().size() > job->policy.bodyLimit)
-    return Error{ErrorKind::BodyTooLarge, "the body is over the policy's limit"};
+    return Error{ErrorKind::Oversize, "the body is over the policy's limit"};
   const std::string salt = headerOf(request, wire::kSalt);
   if (salt.size() > 64 || !std::all_of(salt.begin(), salt.end(), isSaltLetter))
     return Error{ErrorKind::MalformedRequest,
                  "Quayrill-Cache-Salt: at most 64 of A-Z a-z 0-9 . _ - :"};
-  if (!resolveCacheSalt(*seen.configuration, job->tenant, salt, &job->salt))
-    return Error{ErrorKind::ForbiddenSalt, "the salt belongs to isolated tenants"};
+  if (!resolveCacheSalt(*currentView.configuration, job->tenant, salt, &job->salt))
+    return Error{ErrorKind::SaltMisuse, "the salt belongs to isolated tenants"};
   auto prefix = parsePrefix(headerOf(request, wire::kPrefix));
   if (!prefix.ok())
     return Error{ErrorKind::MalformedRequest, std::string(prefix.status().message())};
@@ -51,11 +52,12 @@
   if (!nlohmann::json::accept(request.body()))
     return Error{ErrorKind::MalformedRequest, "the body is not JSON"};
   job->body = request.body();
-  job->due = job->begun + job->policy.timeout;
-  if (const std::string due = headerOf(request, "Quayrill-Due-Ms"); !due.empty()) {
-    if (due.size() > 6 || due.find_first_not_of("0123456789") != std::string::npos)
+  job->deadline = job->receivedAt + job->policy.timeout;
+  if (const std::string limitMs = headerOf(request, "Quayrill-Due-Ms"); !limitMs.empty()) {
+    if (limitMs.size() > 6 || limitMs.find_first_not_of("0123456789") != std::string::npos)
       return Error{ErrorKind::MalformedRequest, "Quayrill-Due-Ms: whole milliseconds"};
-    job->due = std::min<Instant>(job->due, job->begun + std::chrono::milliseconds(std::stoul(due)));
+    job->deadline = std::min<Instant>(
+        job->deadline, job->receivedAt + std::chrono::milliseconds(std::stoul(limitMs)));
   }
   return std::nullopt;
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -9,18 +9,19 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kQueueLimit = 1024;
-constexpr Duration kFeedEvery = 100ms;
-// A server that is leaving gets nothing after 3 s: the list's reading and its way here must fit.
-constexpr Duration kListLimit = 2500ms;
+constexpr std::size_t kCommandQueueLimit = 1024;
+constexpr Duration kSnapshotInterval = 100ms;
+// A leaving server must receive nothing after 3 s. Reading the list and passing it on must fit into
+// that time.
+constexpr Duration kListMaxAge = 2500ms;
 
 PlacementSettings placementSettings(const Settings& settings) {
   PlacementRule rule = PlacementRule::LongestPrefix;
   if (settings.placement == "least-burden") rule = PlacementRule::LeastLoad;
   if (settings.placement == "round-robin") rule = PlacementRule::RoundRobin;
-  PlacementSettings made{settings.blockTokens, rule};
-  made.mechanisms = settings.mechanisms;
-  return made;
+  PlacementSettings result{settings.blockTokens, rule};
+  result.mechanisms = settings.mechanisms;
+  return result;
 }
 }  // namespace
 
@@ -28,11 +29,11 @@
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
       view_(std::make_shared<ProxyView>()),
-      admission_(kQueueLimit),
-      placement_(kQueueLimit, placementSettings(settings_)) {
+      admission_(kCommandQueueLimit),
+      placement_(kCommandQueueLimit, placementSettings(settings_)) {
   std::random_device entropy;
-  // The address leads `quayrillctl explain` to the daemon that knows the request.
-  idStem_ = settings_.callerAddress.value + "/" + std::to_string(entropy()) + "/";
+  // `quayrillctl explain` uses the address to find the daemon that handled the request.
+  idPrefix_ = settings_.callerAddress.value + "/" + std::to_string(entropy()) + "/";
 }
 
 Proxy::~Proxy() { stop(); }
@@ -41,14 +42,14 @@
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.callerAddress;
   serverSettings.bodyLimit = 16 << 20;
-  callers_ = std::make_unique<HttpServer>(
+  callerServer_ = std::make_unique<HttpServer>(
       io_, serverSettings,
       [this](Connection& connection, HttpRequest& request) { return handle(connection, request); });
-  if (auto status = callers_->start(); !status.ok()) return status;
-  // A connection's timer and its reads must never run at once on two threads: each chain has a
+  if (auto status = callerServer_->start(); !status.ok()) return status;
+  // A connection's timer and its reads must never run concurrently, so each loop has its own
   // strand.
-  asio::co_spawn(asio::make_strand(io_), feedLoop(), asio::detached);
-  asio::co_spawn(asio::make_strand(io_), eventLoop(), asio::detached);
+  asio::co_spawn(asio::make_strand(io_), snapshotLoop(), asio::detached);
+  asio::co_spawn(asio::make_strand(io_), cacheEventLoop(), asio::detached);
   for (std::size_t i = 0; i < settings_.trafficThreads; ++i)
     threads_.emplace_back([this] { io_.run(); });
   return absl::OkStatus();
@@ -65,37 +66,39 @@
   return view_;
 }
 
-bool Proxy::isFresh(const ProxyView& seen, Instant now) const {
-  return seen.configuration && now - seen.confirmedAt < settings_.stalenessLimit &&
-         now - seen.listedAt < kListLimit;
+bool Proxy::isFresh(const ProxyView& currentView, Instant now) const {
+  return currentView.configuration && now - currentView.confirmedAt < settings_.stalenessLimit &&
+         now - currentView.listedAt < kListMaxAge;
 }
 
-// Asked right before a request's first byte leaves: what let it in must still stand.
+// Called right before a request's first byte is sent: the conditions that admitted it must still
+// hold.
 bool Proxy::mayRun(const Job& job, const ServerState& server) const {
-  const auto seen = view();
-  if (!isFresh(*seen, BootClock::now())) return false;
-  if (!seen->configuration->tenantByKeyDigest.contains(job.digest)) return false;
-  for (const ServerState& row : seen->servers) {
+  const auto currentView = view();
+  if (!isFresh(*currentView, BootClock::now())) return false;
+  if (!currentView->configuration->tenantByKeyDigest.contains(job.digest)) return false;
+  for (const ServerState& row : currentView->servers) {
     if (row.name == server.name)
       return !row.leaving &&
-             seen->usableUntil(server, settings_.rolloutTimeLimit) > BootClock::now();
+             currentView->usableUntil(server, settings_.rolloutTimeLimit) > BootClock::now();
   }
   return false;
 }
 
-awaitable<void> Proxy::feedLoop() {
+awaitable<void> Proxy::snapshotLoop() {
   for (;;) {
     const auto before = view();
     HttpCall call;
     call.to = settings_.operatorAddress;
     call.target = "/q/feed?spec=" + std::to_string(before->configurationVersion);
-    call.due = 800ms;
-    const Instant askedAt = BootClock::now();
+    call.timeout = 800ms;
+    const Instant requestedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
-    Snapshot told;
-    if (response.ok() && response->result_int() == 200 && decodeValue(response->body(), &told)) {
-      auto next =
-          std::make_shared<ProxyView>(nextView(*before, told, askedAt, dialect_.readConfiguration));
+    Snapshot snapshot;
+    if (response.ok() && response->result_int() == 200 &&
+        decodeValue(response->body(), &snapshot)) {
+      auto next = std::make_shared<ProxyView>(
+          nextView(*before, snapshot, requestedAt, dialect_.readConfiguration));
       if (next->configurationVersion != before->configurationVersion)
         ++counters_.configurationChanges;
       {
@@ -105,23 +108,25 @@
       placement_.tryPost(
           [servers = next->servers](Placement& placement) { placement.setServers(servers); });
     }
-    co_await pauseFor(kFeedEvery);
+    co_await pauseFor(kSnapshotInterval);
   }
 }
 
-// Cache events come late and with gaps; each pull is one try, bounded, and none waits for another.
-awaitable<void> Proxy::eventLoop() {
+// Polls all servers independently, with one bounded attempt each: events may be late or missing,
+// and placement tolerates that.
+awaitable<void> Proxy::cacheEventLoop() {
   for (;;) {
-    const auto seen = view();
-    for (const ServerState& server : seen->servers) {
+    const auto currentView = view();
+    for (const ServerState& server : currentView->servers) {
       if (server.healthy)
-        asio::co_spawn(co_await asio::this_coro::executor, pullEvents(server.name), asio::detached);
+        asio::co_spawn(co_await asio::this_coro::executor, pollCacheEvents(server.name),
+                       asio::detached);
     }
     co_await pauseFor(1s);
   }
 }
 
-awaitable<void> Proxy::pullEvents(ServerName server) {
+awaitable<void> Proxy::pollCacheEvents(ServerName server) {
   const std::function<std::uint64_t(Placement&)> positionOf = [server](Placement& placement) {
     return placement.eventPosition(server);
   };
@@ -130,47 +135,47 @@
   const Address address{server.value};
   const auto events = co_await readCacheEvents(address, *position, 700ms);
   if (!events.ok()) co_return;
-  placement_.tryPost([this, server, told = *events](Placement& placement) {
+  placement_.tryPost([this, server, batch = *events](Placement& placement) {
     const std::uint64_t gapsBefore = placement.gaps();
-    placement.applyEvents(server, told.identity, told.first, told.events, told.next);
+    placement.applyEvents(server, batch.identity, batch.first, batch.events, batch.next);
     counters_.eventGaps += placement.gaps() - gapsBefore;
   });
 }
 
 namespace {
-// Spread over a few seconds, so that those turned away together don't come back together.
-void sayWhen(HttpResponse* response) {
+// The delay is random within a few seconds, so that callers rejected together don't retry together.
+void setRetryAfter(HttpResponse* response) {
   thread_local std::mt19937 random{std::random_device{}()};
   response->set(http::field::retry_after, std::to_string(1 + random() % 3));
 }
 }  // namespace
 
-HttpResponse Proxy::turnAway(ErrorKind kind, const std::string& why, const RequestId& id) {
+HttpResponse Proxy::reject(ErrorKind kind, const std::string& why, const RequestId& id) {
   ++counters_.rejected;
   HttpResponse response = errorResponse({kind, why});
-  sayWhen(&response);
+  setRetryAfter(&response);
   response.set("Quayrill-Outcome", "turned-away");
   response.set("Quayrill-Request-Id", id.value);
   return response;
 }
 
-// It may have run. Only what may be repeated is told when to come back: for the rest, coming back
-// would be a second run.
-HttpResponse Proxy::unknown(ErrorKind kind, const std::string& why, const Job& job) {
+// Responds that the request may have run. Retry-After is set only for repeatable requests: for
+// others, a retry could run the request a second time.
+HttpResponse Proxy::respondUnknown(ErrorKind kind, const std::string& why, const Job& job) {
   ++counters_.outcomeUnknown;
   HttpResponse response = errorResponse({kind, why});
-  if (job.policy.repeatable) sayWhen(&response);
+  if (job.policy.repeatable) setRetryAfter(&response);
   response.set("Quayrill-Outcome", "unknown");
   response.set("Quayrill-May-Repeat", job.policy.repeatable ? "yes" : "no");
   response.set("Quayrill-Request-Id", job.id.value);
   return response;
 }
 
-Duration Proxy::longestDue() const {
+Duration Proxy::longestRequestTimeout() const {
   Duration longest{};
-  const auto seen = view();
-  if (!seen->configuration) return longest;
-  for (const auto& [name, policy] : seen->configuration->policies)
+  const auto currentView = view();
+  if (!currentView->configuration) return longest;
+  for (const auto& [name, policy] : currentView->configuration->policies)
     longest = std::max<Duration>(longest, policy.timeout);
   return longest;
 }
@@ -194,10 +199,10 @@
   const std::string path = pathOf(request);
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
-    const auto seen = view();
-    const bool ready = !leaving_ && isFresh(*seen, BootClock::now());
+    const auto currentView = view();
+    const bool ready = !leaving_ && isFresh(*currentView, BootClock::now());
     HttpResponse response = textResponse(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
-    response.set("Quayrill-Spec-Version", std::to_string(seen->configurationVersion));
+    response.set("Quayrill-Spec-Version", std::to_string(currentView->configurationVersion));
     co_return response;
   }
   if (path == "/metrics") co_return textResponse(200, renderCounters(counters_));
--- a/src/proxy/run.cpp
+++ b/src/proxy/run.cpp
@@ -1,4 +1,4 @@
-// A request's way from admission to its last piece.
+// Handles a request from admission to the last piece of its answer: attempts, fetches and outcome.
 #include <glog/logging.h>
 
 #include "base/scope_exit.h"
@@ -10,17 +10,17 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Duration kFetchDue = 300ms;    // ours: past this, prefill is the better bet
-constexpr std::size_t kFetchGain = 256;  // ours: fewer tokens than this are not worth the calls
-constexpr Duration kBeginsWithin = 2s;   // ours: from a request's sending to its first piece
+constexpr Duration kFetchTimeout = 300ms;         // beyond this, prefill is likely faster
+constexpr std::size_t kMinFetchGainTokens = 256;  // fewer are not worth the calls
+constexpr Duration kMaxStartDelay = 2s;           // allowed from sending to the first piece
 
-// The first try of what may be repeated leaves half of the time to another, where one could be
-// paid.
-Instant firstPieceDueOf(const RoutePolicy& policy, const AdmissionResult& entered,
-                        std::size_t attempt, Instant due) {
-  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.canRetry) return due;
+// The first attempt of a repeatable request leaves half of the remaining time for another one, if
+// the retry budget may allow it.
+Instant firstPieceDeadlineOf(const RoutePolicy& policy, const AdmissionResult& entered,
+                             std::size_t attempt, Instant deadline) {
+  if (!policy.repeatable || policy.tries < 2 || attempt > 0 || !entered.canRetry) return deadline;
   const Instant now = BootClock::now();
-  return now + (due - now) / 2;
+  return now + (deadline - now) / 2;
 }
 
 Json candidatesJson(const std::vector<Candidate>& candidates) {
@@ -38,21 +38,21 @@
 awaitable<std::optional<HttpResponse>> Proxy::serve(Connection& connection, HttpRequest& request) {
   ++counters_.requests;
   Job job;
-  job.begun = BootClock::now();
-  job.id = RequestId{idStem_ + std::to_string(++idCounter_)};
-  const auto seen = view();
-  if (!isFresh(*seen, job.begun)) {
+  job.receivedAt = BootClock::now();
+  job.id = RequestId{idPrefix_ + std::to_string(++idCounter_)};
+  const auto currentView = view();
+  if (!isFresh(*currentView, job.receivedAt)) {
     ++counters_.unconfirmed;
-    co_return turnAway(ErrorKind::Rejected, "this daemon can't confirm the configuration now",
-                       job.id);
+    co_return reject(ErrorKind::Rejected, "this daemon can't confirm the configuration now",
+                     job.id);
   }
-  if (const auto error = intake(request, *seen, &job)) {
+  if (const auto error = parseRequest(request, *currentView, &job)) {
     ++counters_.badInput;
     HttpResponse response = errorResponse(*error);
     response.set("Quayrill-Request-Id", job.id.value);
     co_return response;
   }
-  const Tenant& tenant = seen->configuration->tenants.at(job.tenant);
+  const Tenant& tenant = currentView->configuration->tenants.at(job.tenant);
   const std::function<AdmissionResult(Admission&)> enter =
       [name = job.tenant, policy = job.policyName, tenantLimit = tenant.concurrency,
        policyLimit = job.policy.concurrency, model = job.policy.model](Admission& admission) {
@@ -66,9 +66,9 @@
   std::optional<HttpResponse> response;
   if (!entered || !entered->isAdmitted) {
     trace.outcome = "turned away at admission";
-    response = turnAway(ErrorKind::Overloaded, "the tenant or the policy is at its limit", job.id);
+    response = reject(ErrorKind::Overloaded, "the tenant or the policy is at its limit", job.id);
   } else {
-    ScopeExit exit([this, name = job.tenant, policy = job.policyName] {
+    ScopeExit leaveAdmission([this, name = job.tenant, policy = job.policyName] {
       admission_.mustPost([=](Admission& admission) { admission.leave(name, policy); });
     });
     job.entered = *entered;
@@ -81,52 +81,56 @@
 awaitable<std::optional<HttpResponse>> Proxy::run(Connection& connection, const Job& job,
                                                   Trace* trace) {
   std::set<ServerName> tried;
-  // mayHaveRun only rises. While it is false, turning the request away is the truth.
-  bool mayHaveRun = false, late = false, wasSent = false;
+  // mayHaveRun is never reset. While it is false, reporting the request as rejected is correct.
+  bool mayHaveRun = false, isLate = false, wasSent = false;
   std::string lastDetail = "no server is free";
   for (std::size_t attempt = 0; attempt < std::max<std::size_t>(1, job.policy.tries); ++attempt) {
-    if (BootClock::now() >= job.due) {
-      late = true;
+    if (BootClock::now() >= job.deadline) {
+      isLate = true;
       break;
     }
-    PlacementRequest asked{job.policy.model, job.tenant, job.salt,
-                           job.prefix,       tried,      job.entered.isOverShare};
-    const auto seen = view();
-    // What is sent now may wait at the server before it begins.
-    asked.isAllowed = [seen,
-                       bound = Duration(settings_.rolloutTimeLimit)](const ServerState& server) {
-      return seen->usableUntil(server, bound) > BootClock::now() + kBeginsWithin;
-    };
+    PlacementRequest placementRequest{job.policy.model, job.tenant, job.salt,
+                                      job.prefix,       tried,      job.entered.isOverShare};
+    const auto currentView = view();
+    // A request sent now may queue at the server before it starts.
+    placementRequest.isAllowed =
+        [currentView, bound = Duration(settings_.rolloutTimeLimit)](const ServerState& server) {
+          return currentView->usableUntil(server, bound) > BootClock::now() + kMaxStartDelay;
+        };
     const std::function<std::optional<PlacementResult>(Placement&)> place =
-        [asked](Placement& placement) { return placement.place(asked, BootClock::now()); };
-    const auto answered = co_await placement_.ask<std::optional<PlacementResult>>(place);
-    if (!answered || !*answered) break;
-    const PlacementResult placed = **answered;
+        [placementRequest](Placement& placement) {
+          return placement.place(placementRequest, BootClock::now());
+        };
+    const auto placeResult = co_await placement_.ask<std::optional<PlacementResult>>(place);
+    if (!placeResult || !*placeResult) break;
+    const PlacementResult placed = **placeResult;
     tried.insert(placed.chosenServer.name);
     counters_.promptTokens += placed.promptTokens;
     counters_.matchedTokens += placed.matchedTokens;
     bool ran = false;
-    ScopeExit unlock([this, &ran, ticket = placed.ticket] {
+    ScopeExit releaseTicket([this, &ran, ticket = placed.ticket] {
       placement_.mustPost([ticket, didRun = ran](Placement& placement) {
         placement.release(ticket, didRun, BootClock::now());
       });
     });
-    // An extra try is one more send; where nothing was sent before, this is still the first.
+    // Only a further send counts as an extra attempt. If nothing was sent yet, this is the first
+    // one.
     if (wasSent) {
-      const std::function<bool(Admission&)> pay = [model = job.policy.model](Admission& admission) {
-        return admission.takeRetry(model, BootClock::now());
-      };
-      const auto paid = co_await admission_.ask<bool>(pay);
-      if (!paid || !*paid) break;
+      const std::function<bool(Admission&)> takeBudget =
+          [model = job.policy.model](Admission& admission) {
+            return admission.takeRetry(model, BootClock::now());
+          };
+      const auto granted = co_await admission_.ask<bool>(takeBudget);
+      if (!granted || !*granted) break;
       ++counters_.retries;
     }
-    const Fetched fetched = co_await fetch(job, placed);
+    const FetchResult fetched = co_await fetch(job, placed);
 
-    const Instant firstPieceDue =
-        std::min(firstPieceDueOf(job.policy, job.entered, attempt, job.due),
+    const Instant firstPieceDeadline =
+        std::min(firstPieceDeadlineOf(job.policy, job.entered, attempt, job.deadline),
                  view()->usableUntil(placed.chosenServer, settings_.rolloutTimeLimit));
-    Delivery delivery{job.id,  placed.chosenServer, job.salt, formatPrefix(job.prefix), job.body,
-                      job.due, firstPieceDue};
+    Delivery delivery{job.id,   placed.chosenServer, job.salt,          formatPrefix(job.prefix),
+                      job.body, job.deadline,        firstPieceDeadline};
     const std::function<bool()> mayStart = [this, &job, &placed, wasSent] {
       if (!mayRun(job, placed.chosenServer)) return false;
       if (!wasSent)
@@ -135,10 +139,11 @@
         });
       return true;
     };
-    DeliveryResult result{DeliveryEnd::NeverSent, "a fetch left cache of doubtful weights there"};
+    DeliveryResult result{DeliveryOutcome::NeverSent,
+                          "a fetch left cache of doubtful weights there"};
     if (fetched.safe) result = co_await deliver(std::move(delivery), connection, mayStart);
-    wasSent = wasSent || result.end != DeliveryEnd::NeverSent;
-    ran = result.end != DeliveryEnd::NeverSent && result.end != DeliveryEnd::NotRun;
+    wasSent = wasSent || result.outcome != DeliveryOutcome::NeverSent;
+    ran = result.outcome != DeliveryOutcome::NeverSent && result.outcome != DeliveryOutcome::NotRun;
     trace->tries.push_back(
         {{"server", placed.chosenServer.name.value},
          {"weights", placed.chosenServer.weights.value},
@@ -146,53 +151,54 @@
          {"matched_tokens", placed.matchedTokens},
          {"prompt_tokens", placed.promptTokens},
          {"fetch", fetched.text},
-         {"end", deliveryEndName(result.end)},
+         {"end", deliveryOutcomeName(result.outcome)},
          {"detail", result.detail},
          {"pieces", result.pieces},
          {"first_piece_us",
           std::chrono::duration_cast<std::chrono::microseconds>(result.firstPieceAfter).count()},
          {"candidates", candidatesJson(placed.candidates)}});
-    trace->outcome = deliveryEndName(result.end);
+    trace->outcome = deliveryOutcomeName(result.outcome);
     lastDetail = result.detail;
-    switch (result.end) {
-      case DeliveryEnd::Done:
+    switch (result.outcome) {
+      case DeliveryOutcome::Done:
         ++counters_.completed;
         co_return std::nullopt;
-      case DeliveryEnd::Cut:
+      case DeliveryOutcome::Truncated:
         ++counters_.truncated;
         co_return std::nullopt;
-      case DeliveryEnd::CallerGone:
+      case DeliveryOutcome::CallerGone:
         ++counters_.callerDisconnected;
         co_return std::nullopt;
-      case DeliveryEnd::NeverSent:
-      case DeliveryEnd::NotRun:
+      case DeliveryOutcome::NeverSent:
+      case DeliveryOutcome::NotRun:
         break;
-      case DeliveryEnd::DuePassed:
+      case DeliveryOutcome::DeadlineExceeded:
         mayHaveRun = true;
-        late = BootClock::now() >= job.due;
+        isLate = BootClock::now() >= job.deadline;
         break;
-      case DeliveryEnd::Unknown:
+      case DeliveryOutcome::Unknown:
         mayHaveRun = true;
         break;
     }
-    if (late || (mayHaveRun && !job.policy.repeatable)) break;
+    if (isLate || (mayHaveRun && !job.policy.repeatable)) break;
   }
   if (mayHaveRun) {
     trace->outcome = "unknown";
     const ErrorKind kind =
         job.policy.repeatable
-            ? (late ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
-            : (late ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
-    co_return unknown(kind, "the request may have run (" + lastDetail + ")", job);
+            ? (isLate ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
+            : (isLate ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
+    co_return respondUnknown(kind, "the request may have run (" + lastDetail + ")", job);
   }
   trace->outcome = "turned away";
-  co_return turnAway(ErrorKind::Rejected, late ? "the due passed before it ran" : lastDetail,
-                     job.id);
+  co_return reject(ErrorKind::Rejected, isLate ? "the due passed before it ran" : lastDetail,
+                   job.id);
 }
 
-// Has the chosen server pull what it lacks, where that is cheaper than prefill. Neither end of a
-// pull checks weights, so the source is checked before and after, and a doubt drops what came.
-awaitable<Proxy::Fetched> Proxy::fetch(const Job& job, const PlacementResult& placed) {
+// Makes the chosen server pull the missing part of the prefix if that is cheaper than prefill.
+// Neither side of a pull checks the weights, so the source is checked before and after it. If a
+// check fails, the pulled part is dropped.
+awaitable<Proxy::FetchResult> Proxy::fetch(const Job& job, const PlacementResult& placed) {
   const ServerState& server = placed.chosenServer;
   const Address chosenAddress{server.name.value};
   Address source;
@@ -204,56 +210,58 @@
     source = settings_.storeAddress;
     from = "store";
   }
-  // A model whose weights are on the move is no time for fetching: a source may switch any moment.
-  const auto seen = view();
-  const auto named = seen->configuration->weights.find(job.policy.model);
-  const bool steady =
-      named != seen->configuration->weights.end() && named->second == server.weights;
-  if (!settings_.fetch || !steady || source.value.empty() ||
-      job.due - BootClock::now() < 2 * kFetchDue)
-    co_return Fetched{};
-  // How many tokens the source is seen to hold under the request's weights; 0 where in doubt. A
-  // store keeps blocks of several weights side by side: only the part it vouches for is pulled.
+  // No fetches during a rollout of the model's weights: the source may switch at any moment.
+  const auto currentView = view();
+  const auto weightsUpdate = currentView->configuration->weights.find(job.policy.model);
+  const bool isWeightsSteady = weightsUpdate != currentView->configuration->weights.end() &&
+                               weightsUpdate->second == server.weights;
+  if (!settings_.fetch || !isWeightsSteady || source.value.empty() ||
+      job.deadline - BootClock::now() < 2 * kFetchTimeout)
+    co_return FetchResult{};
+  // How many tokens the source holds under the request's weights; 0 if that is uncertain. A store
+  // keeps blocks of several weights side by side, so only the part that it confirms is pulled.
   const auto heldBySource = [&]() -> awaitable<std::size_t> {
     if (placed.source) {
-      const auto state = co_await readServer(source, kFetchDue);
-      const bool same = state.ok() && state->healthy && state->weights == server.weights &&
-                        state->identity == placed.source->identity;
-      co_return same ? placed.source->matchedTokens : 0;
+      const auto state = co_await readServer(source, kFetchTimeout);
+      const bool isUnchanged = state.ok() && state->healthy && state->weights == server.weights &&
+                               state->identity == placed.source->identity;
+      co_return isUnchanged ? placed.source->matchedTokens : 0;
     }
-    const auto kept = co_await readKept(source, settings_.callerAddress, job.policy.model, job.salt,
-                                        server.weights, job.prefix, kFetchDue);
-    co_return kept.ok() ? *kept : 0;
+    const auto storedTokens =
+        co_await readStoredPrefixTokens(source, settings_.callerAddress, job.policy.model, job.salt,
+                                        server.weights, job.prefix, kFetchTimeout);
+    co_return storedTokens.ok() ? *storedTokens : 0;
   };
   const std::size_t before = co_await heldBySource();
-  if (before < placed.matchedTokens + kFetchGain)
-    co_return Fetched{from + ": not there under these weights", true};
+  if (before < placed.matchedTokens + kMinFetchGainTokens)
+    co_return FetchResult{from + ": not there under these weights", true};
   ++counters_.fetches;
   const auto pulled = co_await pullPrefix(chosenAddress, source, job.policy.model, job.salt,
-                                          server.weights, job.prefix, before, kFetchDue);
+                                          server.weights, job.prefix, before, kFetchTimeout);
   const std::size_t after = co_await heldBySource();
-  const auto target = co_await readServer(chosenAddress, kFetchDue);
-  const bool sameTarget =
+  const auto target = co_await readServer(chosenAddress, kFetchTimeout);
+  const bool isTargetUnchanged =
       target.ok() && target->identity == server.identity && target->weights == server.weights;
-  if (pulled.ok() && after >= before && sameTarget) co_return Fetched{from + ": fetched", true};
+  if (pulled.ok() && after >= before && isTargetUnchanged)
+    co_return FetchResult{from + ": fetched", true};
   ++counters_.fetchErrors;
-  const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchDue);
-  // A pull that failed here may still land there until its own due has passed.
+  const auto dropped = co_await dropPrefix(chosenAddress, job.salt, job.prefix, kFetchTimeout);
+  // A pull that failed from this side may still complete on the server until its deadline.
   const bool safe = pulled.ok() && dropped.ok();
-  co_return Fetched{from + (safe ? ": dropped, a check failed" : ": failed"), safe};
+  co_return FetchResult{from + (safe ? ": dropped, a check failed" : ": failed"), safe};
 }
 
 void Proxy::record(const Job& job, const Trace& trace) {
-  const Json row{
-      {"decision", "request"},
-      {"request", job.id.value},
-      {"tenant", job.tenant.value},
-      {"contract", job.policyName.value},
-      {"repeatable", job.policy.repeatable},
-      {"outcome", trace.outcome},
-      {"took_us",
-       std::chrono::duration_cast<std::chrono::microseconds>(BootClock::now() - job.begun).count()},
-      {"tries", trace.tries}};
+  const Json row{{"decision", "request"},
+                 {"request", job.id.value},
+                 {"tenant", job.tenant.value},
+                 {"contract", job.policyName.value},
+                 {"repeatable", job.policy.repeatable},
+                 {"outcome", trace.outcome},
+                 {"took_us", std::chrono::duration_cast<std::chrono::microseconds>(
+                                 BootClock::now() - job.receivedAt)
+                                 .count()},
+                 {"tries", trace.tries}};
   decisions_.add(job.id.value, row.dump());
 }
 
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -122,17 +122,17 @@
                        });
   sender.begin();
   AttemptResult result;
-  if (sender.isUntouched() && sender.isEnded())
+  if (sender.hasSentNothing() && sender.hasStopped())
     result = {AttemptOutcome::NeverSent, "send: " + sender.code().message()};
   else if (BootClock::now() - attempt.sentAt >= kStallThreshold &&
            !reasonNotToSend(*caller, job, server, BootClock::now()).empty())
     result = {AttemptOutcome::Unknown, "stood still while it was sent"};
   else
     result = co_await readResponse(attempt);
-  if (!sender.isWhole()) {
+  if (!sender.isComplete()) {
     ErrorCode ignored;
     socket.close(ignored);
-    co_await sender.ended();
+    co_await sender.waitUntilStopped();
   }
   attempt.watch->socket = nullptr;
   attempt.timer.cancel();
@@ -144,7 +144,7 @@
     result.detail =
         attempt.watch->isOutdated ? "its weights were superseded too long ago" : "silent";
   }
-  if (sender.isWhole()) returnConnection(attempt, result);
+  if (sender.isComplete()) returnConnection(attempt, result);
   co_return result;
 }
 
--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -34,7 +34,7 @@
 Relay::Relay(Settings settings, Dialect dialect)
     : settings_(std::move(settings)),
       dialect_(std::move(dialect)),
-      headerNames_(dialect_.relayNames.value()),
+      headerNames_(dialect_.relayHeaderNames.value()),
       callers_(io_),
       placement_(placementSettings(settings_)),
       budgets_(settings_.retryShare, settings_.retryWindow),
--- a/src/relay/leaving.cpp
+++ b/src/relay/leaving.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kRejectPeriod = 500ms;  // late connections get a rejection instead of a reset
 constexpr Duration kAbortMargin = 500ms;   // before the kill, to write the final responses
 constexpr Duration kExitMargin = 250ms;    // before the kill, for the process to exit
-constexpr Duration kCheckInterval = 20ms;
+constexpr Duration kPollInterval = 20ms;
 
 // True if unread bytes of a request are available.
 bool hasBytes(Tcp::socket& socket) {
@@ -48,10 +48,10 @@
   isRejecting_ = true;
   closeIdleCallers();
   co_await pauseFor(schedule.earliestExit - BootClock::now());
-  while (isBusy() && BootClock::now() < schedule.abortAt) co_await pauseFor(kCheckInterval);
+  while (isBusy() && BootClock::now() < schedule.abortAt) co_await pauseFor(kPollInterval);
   isAborting_ = true;
   abortAttempts();
-  while (isBusy() && BootClock::now() < schedule.exitBy) co_await pauseFor(kCheckInterval);
+  while (isBusy() && BootClock::now() < schedule.exitBy) co_await pauseFor(kPollInterval);
   hasLeft_ = true;
 }
 
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -33,13 +33,14 @@
     for (const std::string* own :
          {&headerNames_.key, &headerNames_.tenant, &headerNames_.identityWanted,
           &headerNames_.weightsWanted, &headerNames_.salt, &headerNames_.fetchSource,
-          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.dueMs,
+          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.deadlineMs,
           &headerNames_.lastEventId})
       isReplaced = isReplaced || isSameHeaderName(name, *own);
     if (!isReplaced) addHeader(&head, name, view(field.value()));
   }
   const auto timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, headerNames_.dueMs, std::to_string(std::max<std::int64_t>(1, timeLeft.count())));
+  addHeader(&head, headerNames_.deadlineMs,
+            std::to_string(std::max<std::int64_t>(1, timeLeft.count())));
   addHeader(&head, headerNames_.identityWanted, server.identity.value);
   if (!server.weights.value.empty())
     addHeader(&head, headerNames_.weightsWanted, server.weights.value);
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -1,16 +1,18 @@
-// Callers who don't keep to the manner of it: none of them holds up the others.
+// Tests with misbehaving callers (slow, disconnecting, idle, pipelining). None may block others or
+// leak a place.
 #include "proxy_stage.h"
 
 using namespace quayrill;
 using namespace quayrill::tests;
 
 namespace {
+// A caller that writes raw bytes to its connection.
 struct RawCaller {
   asio::io_context io;
   Tcp::socket socket{io};
   explicit RawCaller(const Address& to) { socket.connect(endpointOf(to)); }
   void send(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
-  // Everything until the other end closes.
+  // Reads until the proxy closes the connection.
   std::string readAll() {
     std::string bytes;
     ErrorCode code;
@@ -52,7 +54,7 @@
 
 TEST_CASE("callers: one that leaves before the first piece gives its places back") {
   Stage stage(1);
-  stage.all(Act::Hang);
+  stage.setAllBehaviors(ServerBehavior::Hang);
   {
     RawCaller one(stage.callers), other(stage.callers);
     one.send(requestText("{}"));
@@ -60,7 +62,7 @@
     eventually([&] { return stage.arrivals() == 2; });
   }
   CHECK(stage.post("slow").result_int() == 429);  // both of the tenant's places are taken
-  stage.all(Act::Answer);
+  stage.setAllBehaviors(ServerBehavior::Answer);
   eventually([&] { return stage.post("slow").result_int() == 200; });
 }
 
--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -1,5 +1,4 @@
-// A delivery against a server that is split, cut off, reset or garbled at every byte boundary of
-// its answers.
+// Tests of a delivery whose answer is split, cut off, reset or garbled at each byte boundary.
 #include "boundary.h"
 #include "deliver_stage.h"
 
@@ -9,22 +8,23 @@
 namespace {
 std::string piece(int number) { return "{\"piece\":" + std::to_string(number) + "}\n"; }
 const std::string kPieces = piece(0) + piece(1);
-const std::string kMark = "{\"end\":true,\"pieces\":2}\n";
+const std::string kEndMark = "{\"end\":true,\"pieces\":2}\n";
 
 std::string headFor(const std::string& status, const std::string& more) {
   return "HTTP/1.1 " + status + "\r\nQuayrill-Request-Id: r1\r\nQuayrill-Weights: w1\r\n" + more +
          "\r\n";
 }
 
-struct Scripted {
+// The bytes that the server answers with, and what they mean.
+struct ScriptedAnswer {
   const char* name;
   std::string bytes;
-  bool isSuccess, hasRun;
-  bool closes = false;
+  bool isSuccess, hasRun;  // a complete answer; the request may have run
+  bool closesConnection = false;
 };
 
-std::vector<Scripted> answers() {
-  const std::string all = kPieces + kMark;
+std::vector<ScriptedAnswer> answers() {
+  const std::string all = kPieces + kEndMark;
   const std::string length = "Content-Length: " + std::to_string(all.size()) + "\r\n";
   return {
       {"chunked",
@@ -39,14 +39,15 @@
   };
 }
 
-// One thread: server, delivery and caller take turns, so what was sent has been read a few turns
-// later.
-awaitable<void> aFewTurns() {
+// Yields several times. Server, delivery and caller run on one thread, so everything sent has been
+// read afterwards.
+awaitable<void> yieldRepeatedly() {
   for (int i = 0; i < 8; ++i)
     co_await asio::post(co_await asio::this_coro::executor, use_awaitable);
 }
 
-awaitable<void> serve(Tcp::acceptor& acceptor, const Scripted& script, std::size_t cut,
+// Answers one request with `script`, interrupted after `cut` bytes by `fault`.
+awaitable<void> serve(Tcp::acceptor& acceptor, const ScriptedAnswer& script, std::size_t cut,
                       Fault fault) {
   ErrorCode code;
   Tcp::socket socket(acceptor.get_executor());
@@ -54,7 +55,7 @@
   std::string request;
   co_await asio::async_read_until(socket, asio::dynamic_buffer(request), "\r\n\r\n{}", into(code));
   co_await asio::async_write(socket, asio::buffer(script.bytes.data(), cut), into(code));
-  co_await aFewTurns();
+  co_await yieldRepeatedly();
   const std::string rest = fault == Fault::Garbage ? kGarbage : script.bytes.substr(cut);
   if (fault == Fault::Reset) {
     socket.set_option(asio::socket_base::linger(true, 0), code);
@@ -62,18 +63,18 @@
   }
   if (fault == Fault::Close) co_return;
   co_await asio::async_write(socket, asio::buffer(rest), into(code));
-  if (fault == Fault::Garbage || script.closes) co_return;
+  if (fault == Fault::Garbage || script.closesConnection) co_return;
   char byte = 0;
   co_await asio::async_read(socket, asio::buffer(&byte, 1), into(code));
 }
 
 struct Played {
   DeliveryResult result;
-  ParsedResponse seen;
+  ParsedResponse callerAnswer;
 };
 
-Played play(asio::io_context& io, Tcp::acceptor& server, const Scripted& script, std::size_t cut,
-            Fault fault) {
+Played play(asio::io_context& io, Tcp::acceptor& server, const ScriptedAnswer& script,
+            std::size_t cut, Fault fault) {
   Played played;
   std::string bytes;
   CallerConnection caller(io);
@@ -90,35 +91,40 @@
       asio::detached);
   io.run();
   io.restart();
-  played.seen = parseResponse(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
+  played.callerAnswer = parseResponse(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
   return played;
 }
 
-void judge(const Scripted& script, std::size_t cut, Fault fault, const Played& played) {
-  const auto fails = [&](const std::string& why) {
+void checkOutcome(const ScriptedAnswer& script, std::size_t cut, Fault fault,
+                  const Played& played) {
+  const auto fail = [&](const std::string& why) {
     FAIL_CHECK(script.name << ", " << faultName(fault) << " at " << cut << ": " << why << " ("
-                           << deliveryEndName(played.result.end) << ", " << played.result.detail
-                           << ", body '" << played.seen.body << "')");
+                           << deliveryOutcomeName(played.result.outcome) << ", "
+                           << played.result.detail << ", body '" << played.callerAnswer.body
+                           << "')");
   };
-  const DeliveryEnd end = played.result.end;
-  const ParsedResponse& seen = played.seen;
-  const std::string all = kPieces + kMark;
+  const DeliveryOutcome outcome = played.result.outcome;
+  const ParsedResponse& callerAnswer = played.callerAnswer;
+  const std::string all = kPieces + kEndMark;
   const bool isWholeScript = fault == Fault::None || cut == script.bytes.size();
-  if (script.hasRun && (end == DeliveryEnd::NotRun || end == DeliveryEnd::NeverSent))
-    fails("'not run' was said of what ran");
-  if (!script.hasRun && fault == Fault::None && end != DeliveryEnd::NotRun)
-    fails("'not run' was lost");
-  if ((end == DeliveryEnd::Done) != (seen.isWhole && seen.status == 200))
-    fails("its end and what the caller sees differ");
-  if (end == DeliveryEnd::Done && (!script.isSuccess || seen.body != all))
-    fails("a cut looks complete");
-  // Garbage inside of a body is the server's own bytes; in front of it stands what was sent.
-  const std::string own = seen.body.substr(0, seen.body.find(kGarbage[0]));
-  if (all.rfind(own, 0) != 0) fails("the caller got other bytes");
-  if (!seen.body.empty() && seen.body.back() != '\n') fails("part of a piece");
-  if (script.isSuccess && isWholeScript && fault != Fault::Garbage && end != DeliveryEnd::Done)
-    fails("a whole answer did not come through");
-  if (seen.surplus > 0) fails("bytes behind the answer");
+  if (script.hasRun &&
+      (outcome == DeliveryOutcome::NotRun || outcome == DeliveryOutcome::NeverSent))
+    fail("a request that ran was reported as not run");
+  if (!script.hasRun && fault == Fault::None && outcome != DeliveryOutcome::NotRun)
+    fail("the server's 'not run' was not reported");
+  if ((outcome == DeliveryOutcome::Done) != (callerAnswer.isWhole && callerAnswer.status == 200))
+    fail("the outcome differs from what the caller sees");
+  if (outcome == DeliveryOutcome::Done && (!script.isSuccess || callerAnswer.body != all))
+    fail("a truncated answer looks complete");
+  // Garbage within the body counts as the server's bytes; only the part before it must match.
+  const std::string own = callerAnswer.body.substr(0, callerAnswer.body.find(kGarbage[0]));
+  if (all.rfind(own, 0) != 0) fail("the caller got other bytes");
+  if (!callerAnswer.body.empty() && callerAnswer.body.back() != '\n')
+    fail("the caller got part of a piece");
+  if (script.isSuccess && isWholeScript && fault != Fault::Garbage &&
+      outcome != DeliveryOutcome::Done)
+    fail("a complete answer was not passed on");
+  if (callerAnswer.surplus > 0) fail("the caller got bytes after the answer");
 }
 }  // namespace
 
@@ -127,9 +133,9 @@
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   int played = 0;
   for (const Fault fault : {Fault::None, Fault::Close, Fault::Reset, Fault::Garbage}) {
-    for (const Scripted& script : answers()) {
+    for (const ScriptedAnswer& script : answers()) {
       for (std::size_t cut = 0; cut <= script.bytes.size(); ++cut, ++played)
-        judge(script, cut, fault, play(io, server, script, cut, fault));
+        checkOutcome(script, cut, fault, play(io, server, script, cut, fault));
     }
   }
   CHECK(played > 2000);
@@ -138,16 +144,17 @@
 TEST_CASE("deliver boundary: answers that are not the request's, and such before it") {
   asio::io_context io;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
-  const Scripted whole = answers()[0];
-  Scripted early = whole;
+  const ScriptedAnswer whole = answers()[0];
+  ScriptedAnswer early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
-  CHECK(play(io, server, early, early.bytes.size(), Fault::None).result.end == DeliveryEnd::Done);
-  Scripted other = whole;
+  CHECK(play(io, server, early, early.bytes.size(), Fault::None).result.outcome ==
+        DeliveryOutcome::Done);
+  ScriptedAnswer other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
-  CHECK(play(io, server, other, other.bytes.size(), Fault::None).result.end ==
-        DeliveryEnd::Unknown);
+  CHECK(play(io, server, other, other.bytes.size(), Fault::None).result.outcome ==
+        DeliveryOutcome::Unknown);
 }
 
 TEST_CASE("deliver: an answer that comes before the body is in goes back at once") {
@@ -157,7 +164,7 @@
   Delivery delivery = deliveryTo(server, std::string(20 << 20, 'b'), 3s);
   DeliveryResult result;
   bool hasEnded = false;
-  std::size_t late = 0;
+  std::size_t bytesAfterAnswer = 0;
   asio::co_spawn(
       io,
       [&]() -> awaitable<void> {
@@ -167,10 +174,11 @@
                                         use_awaitable);
         const std::string answer = answers()[0].bytes;
         co_await asio::async_write(socket, asio::buffer(answer), use_awaitable);
-        while (!hasEnded) co_await aFewTurns();
+        while (!hasEnded) co_await yieldRepeatedly();
         ErrorCode code;
         std::string rest;
-        late = co_await asio::async_read(socket, asio::dynamic_buffer(rest), into(code));
+        bytesAfterAnswer =
+            co_await asio::async_read(socket, asio::dynamic_buffer(rest), into(code));
       },
       asio::detached);
   asio::co_spawn(
@@ -183,6 +191,6 @@
       },
       asio::detached);
   io.run();
-  CHECK(result.end == DeliveryEnd::Done);
-  CHECK(late < (20 << 20));
+  CHECK(result.outcome == DeliveryOutcome::Done);
+  CHECK(bytesAfterAnswer < (20 << 20));
 }
--- a/tests/disk_tests.cpp
+++ b/tests/disk_tests.cpp
@@ -1,5 +1,5 @@
-// The data folder on a real disk that is full for a while: a file size limit makes every write
-// fail.
+// Tests of the data folder on a real file system that is temporarily full. A file size limit of
+// zero makes every write fail.
 #include <sys/resource.h>
 #include <unistd.h>
 #include <catch2/catch.hpp>
@@ -14,6 +14,7 @@
 using namespace std::chrono_literals;
 
 namespace {
+// Simulates a full disk: makes every write of this process fail, or lifts that again.
 void setFull(bool full) {
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -22,25 +23,25 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-struct Folder {
+struct TemporaryFolder {
   std::string path =
       (std::filesystem::temp_directory_path() / ("quayrill-disk-" + std::to_string(::getpid())))
           .string();
-  Folder() { std::filesystem::create_directories(path); }
-  ~Folder() { std::filesystem::remove_all(path); }
+  TemporaryFolder() { std::filesystem::create_directories(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
 };
 
 absl::Status writeOne(Disk& disk, const std::string& key, const std::string& bytes) {
-  std::promise<absl::Status> answered;
-  disk.write({{key, bytes}}, [&](absl::Status status) { answered.set_value(status); });
-  return answered.get_future().get();
+  std::promise<absl::Status> written;
+  disk.write({{key, bytes}}, [&](absl::Status status) { written.set_value(status); });
+  return written.get_future().get();
 }
 }  // namespace
 
 TEST_CASE("disk: full, it fails every write until it was read anew and its reader resumes") {
-  const Folder folder;
-  std::promise<Disk::Rows> readAnew;
-  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+  const TemporaryFolder folder;
+  std::promise<Disk::Rows> reopened;
+  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
   const auto opened = disk.open();
   REQUIRE(opened.ok());
   REQUIRE(opened->has_value());
@@ -52,36 +53,36 @@
   setFull(false);
   CHECK(failed);
   CHECK(failedAgain);
-  const Disk::Rows rows = readAnew.get_future().get();
-  // Whether the failed write is there is open; the one after it never is.
+  const Disk::Rows rows = reopened.get_future().get();
+  // The failed write may or may not have reached the disk; the write after it was never attempted.
   CHECK((rows.at("a") == "1" || rows.at("a") == "2"));
   CHECK_FALSE(rows.contains("b"));
-  CHECK_FALSE(writeOne(disk, "c", "1").ok());  // read, but nobody has taken the rows yet
+  CHECK_FALSE(writeOne(disk, "c", "1").ok());  // reopened, but resume() was not called yet
   disk.resume();
   CHECK(writeOne(disk, "d", "1").ok());
 }
 
 TEST_CASE("disk: a folder that is full at the start opens once there is room") {
-  const Folder folder;
+  const TemporaryFolder folder;
   {
     Disk disk({folder.path, "", 5ms}, [](Disk::Rows) {});
     REQUIRE(disk.open().ok());
     REQUIRE(writeOne(disk, "kept", "yes").ok());
   }
-  std::promise<Disk::Rows> readAnew;
-  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+  std::promise<Disk::Rows> reopened;
+  Disk disk({folder.path, "", 5ms}, [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
   setFull(true);
   const auto opened = disk.open();
   setFull(false);
   REQUIRE(opened.ok());
   CHECK_FALSE(opened->has_value());
-  CHECK(readAnew.get_future().get().at("kept") == "yes");
+  CHECK(reopened.get_future().get().at("kept") == "yes");
   disk.resume();
   CHECK(writeOne(disk, "more", "yes").ok());
 }
 
 TEST_CASE("disk: a folder in use by another opening is for the operator") {
-  const Folder folder;
+  const TemporaryFolder folder;
   Disk first({folder.path, "", 5ms}, [](Disk::Rows) {});
   REQUIRE(first.open().ok());
   Disk second({folder.path, "", 5ms}, [](Disk::Rows) {});
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -1,5 +1,6 @@
-// The data folder through losses of power at every write and sync: what a register replica was told
-// is synced must be there under its store id, and nothing that was lost may vote under it.
+// Tests of the data folder with a power loss at each write and sync. Everything that was
+// acknowledged to a register replica as synced must still be there under its store id; a replica
+// that lost state must not vote under the old id.
 #include <catch2/catch.hpp>
 
 #include <leveldb/db.h>
@@ -15,19 +16,21 @@
 
 namespace {
 constexpr char kFolder[] = "/data";
-constexpr std::size_t kSmallBuffer = 64 << 10;  // the least that LevelDB takes
-constexpr std::size_t kBodyBytes = 40 << 10;    // more than one block of a log
-constexpr std::size_t kChanges = 10;
-constexpr auto kLateStep = 20ms;
-constexpr auto kLateLimit = 10s;  // of a machine that has much else to do
+constexpr std::size_t kMinWriteBufferBytes = 64 << 10;  // the minimum that LevelDB accepts
+constexpr std::size_t kBodyBytes = 40 << 10;            // larger than one block of a log
+constexpr std::size_t kChangesPerProcess = 10;
+constexpr auto kReopenPollInterval = 20ms;
+constexpr auto kReopenTimeout = 10s;  // generous, for heavily loaded machines
 
-// What a replica was told is synced, and what it went on to try.
+// What was acknowledged to a replica as synced, and what it attempted.
 struct Acknowledged {
-  StoreId store;  // 0: none was
-  std::uint64_t round = 0;
-  std::uint64_t tried = 0;
+  StoreId store;            // 0: none
+  std::uint64_t round = 0;  // last acknowledged round
+  std::uint64_t tried = 0;  // last attempted round
 };
-enum class Found { All, Older, Emptied, Damaged, NoPower, Unopened };
+// What a process found when it opened the folder: everything acknowledged, an older state, an empty
+// folder, or a folder reported as damaged; or that the power was lost or the opening timed out.
+enum class OpenResult { All, Older, Emptied, Damaged, NoPower, Unopened };
 
 ReplicaSet ownSet(StoreId store) {
   ReplicaSet set;
@@ -38,33 +41,34 @@
   return set;
 }
 
-std::uint64_t storesMade = 0;  // each folder that is empty gets a new identity
+std::uint64_t lastStoreId = 0;  // every process offers a new store id, for an empty folder
 
-// One life of a replica and its disk, until its changes are made or the power goes.
-class Life {
+// One run of a process with a replica and its disk, until its changes are done or the power is
+// lost.
+class ReplicaProcess {
  public:
-  Life(PowerLossEnv& env, FolderFiles files, Acknowledged* acknowledged)
+  ReplicaProcess(PowerLossEnv& env, FileSystem files, Acknowledged* acknowledged)
       : env_(env),
         acknowledged_(acknowledged),
-        replica_(StoreId{++storesMade}),
-        disk_({kFolder, "", 1h, std::move(files), kSmallBuffer},
-              [this](Disk::Rows rows) { late_.set_value(std::move(rows)); }) {}
+        replica_(StoreId{++lastStoreId}),
+        disk_({kFolder, "", 1h, std::move(files), kMinWriteBufferBytes},
+              [this](Disk::Rows rows) { reopened_.set_value(std::move(rows)); }) {}
 
-  Found open() {
+  OpenResult open() {
     auto opened = disk_.open();
-    if (!opened.ok()) return Found::Damaged;
+    if (!opened.ok()) return OpenResult::Damaged;
     if (!*opened) {
-      if (!env_.hasPower()) return Found::NoPower;
-      auto late = late_.get_future();
-      for (auto waited = 0ms; late.wait_for(kLateStep) != std::future_status::ready;
-           waited += kLateStep) {
-        if (!env_.hasPower()) return Found::NoPower;
-        if (waited > kLateLimit) return Found::Unopened;
+      if (!env_.hasPower()) return OpenResult::NoPower;
+      auto reopened = reopened_.get_future();
+      for (auto waited = 0ms; reopened.wait_for(kReopenPollInterval) != std::future_status::ready;
+           waited += kReopenPollInterval) {
+        if (!env_.hasPower()) return OpenResult::NoPower;
+        if (waited > kReopenTimeout) return OpenResult::Unopened;
       }
-      *opened = late.get();
+      *opened = reopened.get();
       disk_.resume();
     }
-    return judge(**opened);
+    return checkRows(**opened);
   }
   bool change(std::size_t changes) {
     for (std::size_t i = 0; i < changes; ++i) {
@@ -74,32 +78,34 @@
   }
 
  private:
-  Found judge(const Disk::Rows& rows) {
+  // Restores the replica from the rows, or starts it with a new store id if there are none.
+  OpenResult checkRows(const Disk::Rows& rows) {
     const bool emptied = rows.empty();
-    if (!emptied && !replica_.restore(rows)) return Found::Damaged;
-    const Found found = emptied ? Found::Emptied : compare();
-    if (!emptied && found != Found::All) return found;
+    if (!emptied && !replica_.restore(rows)) return OpenResult::Damaged;
+    const OpenResult openResult = emptied ? OpenResult::Emptied : compare();
+    if (!emptied && openResult != OpenResult::All) return openResult;
     auto writes = replica_.identityWrites();
     for (auto& write : replica_.adopt(ownSet(replica_.store()))) writes.push_back(std::move(write));
-    if (!write(std::move(writes))) return Found::NoPower;
+    if (!write(std::move(writes))) return OpenResult::NoPower;
     const bool wasThere = acknowledged_->store.value > 0;
     if (emptied) acknowledged_->round = 0;
     acknowledged_->store = replica_.store();
-    return emptied && !wasThere ? Found::All : found;
+    return emptied && !wasThere ? OpenResult::All : openResult;
   }
-  // The old identity, and all that it promised and accepted, or more.
-  Found compare() {
+  // Checks that the replica has its old store id and everything that it promised and accepted, or
+  // more.
+  OpenResult compare() {
     if (acknowledged_->store.value > 0 && replica_.store() != acknowledged_->store)
-      return Found::Older;
-    if (acknowledged_->round == 0) return Found::All;
+      return OpenResult::Older;
+    if (acknowledged_->round == 0) return OpenResult::All;
     const auto value = replica_.valueOf(kConfigurationKey);
-    if (!value || value->version < acknowledged_->round) return Found::Older;
-    // A ballot of an earlier round must find the promise kept.
+    if (!value || value->version < acknowledged_->round) return OpenResult::Older;
+    // The promise must be kept: a ballot of an earlier round is rejected.
     const Ballot earlier{Epoch{1}, acknowledged_->round - 1, ProposerId{9}};
-    const auto made =
+    const auto effects =
         replica_.onPrepare({{}, kConfigurationKey, earlier, replica_.store(), replica_.replicas()});
-    const bool refuses = made.answer && !std::get<ReplicaResponse>(*made.answer).granted;
-    return refuses && value->body.size() == kBodyBytes ? Found::All : Found::Older;
+    const bool rejects = effects.answer && !std::get<ReplicaResponse>(*effects.answer).granted;
+    return rejects && value->body.size() == kBodyBytes ? OpenResult::All : OpenResult::Older;
   }
   bool change() {
     const std::uint64_t round = ++acknowledged_->tried;
@@ -117,63 +123,67 @@
   }
   bool write(std::vector<DiskWrite> writes) {
     REQUIRE_FALSE(writes.empty());
-    std::promise<absl::Status> answered;
-    disk_.write(std::move(writes), [&](absl::Status status) { answered.set_value(status); });
-    return answered.get_future().get().ok();
+    std::promise<absl::Status> written;
+    disk_.write(std::move(writes), [&](absl::Status status) { written.set_value(status); });
+    return written.get_future().get().ok();
   }
 
   PowerLossEnv& env_;
   Acknowledged* acknowledged_;
   RegisterReplica replica_;
-  std::promise<Disk::Rows> late_;
+  std::promise<Disk::Rows> reopened_;
   Disk disk_;
 };
 
+// Counts of the runs by what the last process found.
 struct Tally {
   std::size_t runs = 0, older = 0, emptied = 0, damaged = 0, unopened = 0;
   std::size_t bad() const { return older + emptied + damaged + unopened; }
 };
 
-// `before` lives end well, but for the loss of power after them; the next one loses it at `at`.
+// The first `before` processes finish their changes before the power is lost; the next one loses it
+// at operation `at`.
 void run(bool syncsFolders, std::size_t before, std::size_t at, std::uint64_t seed, Tally* tally) {
   PowerLossEnv env;
-  const auto files = [&] { return syncsFolders ? env.files() : env.unsyncedFiles(); };
+  const auto files = [&] { return syncsFolders ? env.files() : env.filesWithoutFolderSync(); };
   Acknowledged acknowledged;
-  Found found = Found::All;
-  for (std::size_t life = 0; life < before + 3 && found == Found::All; ++life) {
-    if (life == before) env.losePowerAt(at);
+  OpenResult openResult = OpenResult::All;
+  for (std::size_t processIndex = 0; processIndex < before + 3 && openResult == OpenResult::All;
+       ++processIndex) {
+    if (processIndex == before) env.losePowerAt(at);
     {
-      Life machine(env, files(), &acknowledged);
-      found = machine.open();
-      if (found == Found::All) machine.change(life > before ? 2 : kChanges);
+      ReplicaProcess process(env, files(), &acknowledged);
+      openResult = process.open();
+      if (openResult == OpenResult::All)
+        process.change(processIndex > before ? 2 : kChangesPerProcess);
     }
-    if (found == Found::NoPower) found = Found::All;
-    env.restore(seed + (seed > 1 ? life : 0));
+    if (openResult == OpenResult::NoPower) openResult = OpenResult::All;
+    env.restore(seed + (seed > 1 ? processIndex : 0));
   }
   ++tally->runs;
-  tally->older += found == Found::Older;
-  tally->emptied += found == Found::Emptied;
-  tally->damaged += found == Found::Damaged;
-  tally->unopened += found == Found::Unopened;
-  if (syncsFolders && found != Found::All)
-    FAIL_CHECK("lives before " << before << ", power lost at " << at << ", seed " << seed
-                               << ": found " << static_cast<int>(found));
+  tally->older += openResult == OpenResult::Older;
+  tally->emptied += openResult == OpenResult::Emptied;
+  tally->damaged += openResult == OpenResult::Damaged;
+  tally->unopened += openResult == OpenResult::Unopened;
+  if (syncsFolders && openResult != OpenResult::All)
+    FAIL_CHECK("processes before " << before << ", power lost at " << at << ", seed " << seed
+                                   << ": found " << static_cast<int>(openResult));
 }
 
-std::size_t operationsOfALife() {
+std::size_t countOperationsPerProcess() {
   PowerLossEnv env;
   Acknowledged acknowledged;
   {
-    Life machine(env, env.files(), &acknowledged);
-    REQUIRE(machine.open() == Found::All);
-    REQUIRE(machine.change(kChanges));
+    ReplicaProcess process(env, env.files(), &acknowledged);
+    REQUIRE(process.open() == OpenResult::All);
+    REQUIRE(process.change(kChangesPerProcess));
   }
   return env.operations();
 }
 
 Tally runAll(bool syncsFolders, std::size_t step) {
   Tally tally;
-  const std::size_t operations = operationsOfALife();
+  const std::size_t operations = countOperationsPerProcess();
   for (std::size_t before : {0U, 1U}) {
     for (std::size_t at = 1; at <= operations + 10; at += step) {
       for (std::uint64_t seed : {std::uint64_t{0}, std::uint64_t{1}, 1000 + at, 2000 + at})
@@ -206,9 +216,9 @@
     PowerLossEnv env;
     Acknowledged acknowledged;
     {
-      Life machine(env, env.files(), &acknowledged);
-      REQUIRE(machine.open() == Found::All);
-      REQUIRE(machine.change(kChanges));
+      ReplicaProcess process(env, env.files(), &acknowledged);
+      REQUIRE(process.open() == OpenResult::All);
+      REQUIRE(process.change(kChangesPerProcess));
     }
     env.restore(1);
     const std::string folder = std::string(kFolder) + "/register";
@@ -218,10 +228,10 @@
       if (("/" + name).rfind(gone, 0) == 0) REQUIRE(env.RemoveFile(folder + "/" + name).ok());
     }
     const StoreId old = acknowledged.store;
-    Life machine(env, env.files(), &acknowledged);
-    const Found found = machine.open();
-    CHECK((found == Found::Emptied || found == Found::Damaged));
-    if (found == Found::Emptied) CHECK(acknowledged.store != old);
+    ReplicaProcess process(env, env.files(), &acknowledged);
+    const OpenResult openResult = process.open();
+    CHECK((openResult == OpenResult::Emptied || openResult == OpenResult::Damaged));
+    if (openResult == OpenResult::Emptied) CHECK(acknowledged.store != old);
   }
 }
 
@@ -229,15 +239,15 @@
   PowerLossEnv env;
   const auto files = env.files();
   const auto rowsOf = [&] {
-    Disk disk({kFolder, "", 1h, files, kSmallBuffer}, [](Disk::Rows) {});
+    Disk disk({kFolder, "", 1h, files, kMinWriteBufferBytes}, [](Disk::Rows) {});
     return disk.open();
   };
   {
-    Disk disk({kFolder, "", 1h, files, kSmallBuffer}, [](Disk::Rows) {});
+    Disk disk({kFolder, "", 1h, files, kMinWriteBufferBytes}, [](Disk::Rows) {});
     REQUIRE(disk.open().ok());
-    std::promise<absl::Status> answered;
-    disk.write({{"a", "1"}, {"b", "2"}}, [&](absl::Status status) { answered.set_value(status); });
-    REQUIRE(answered.get_future().get().ok());
+    std::promise<absl::Status> written;
+    disk.write({{"a", "1"}, {"b", "2"}}, [&](absl::Status status) { written.set_value(status); });
+    REQUIRE(written.get_future().get().ok());
   }
   REQUIRE(rowsOf().ok());
   {
@@ -255,9 +265,9 @@
 
 namespace {
 absl::Status put(Disk& disk, const std::string& key, std::string bytes) {
-  std::promise<absl::Status> answered;
-  disk.write({{key, std::move(bytes)}}, [&](absl::Status status) { answered.set_value(status); });
-  return answered.get_future().get();
+  std::promise<absl::Status> written;
+  disk.write({{key, std::move(bytes)}}, [&](absl::Status status) { written.set_value(status); });
+  return written.get_future().get();
 }
 }  // namespace
 
@@ -267,24 +277,24 @@
   const auto body = [](std::uint64_t n) { return std::to_string(n) + std::string(300 << 10, 'x'); };
   const auto numberIn = [](const Disk::Rows& rows) { return std::stoull(rows.at("a")); };
   for (int round = 0; round < 4; ++round) {
-    std::promise<Disk::Rows> readAnew;
+    std::promise<Disk::Rows> reopened;
     Disk disk({kFolder, "", 5ms, env.files()},
-              [&](Disk::Rows rows) { readAnew.set_value(std::move(rows)); });
+              [&](Disk::Rows rows) { reopened.set_value(std::move(rows)); });
     env.setFull(round > 0);
     const auto opened = disk.open();
     REQUIRE(opened.ok());
     CHECK(opened->has_value() == (round == 0));
     env.setFull(false);
     if (round > 0) {
-      CHECK(numberIn(readAnew.get_future().get()) >= synced);
+      CHECK(numberIn(reopened.get_future().get()) >= synced);
       disk.resume();
-      readAnew = {};
+      reopened = {};
     }
     for (int i = 0; i < 12; ++i) REQUIRE(put(disk, "a", body(++synced)).ok());
     env.setFull(true);
     CHECK_FALSE(put(disk, "a", body(synced + 1)).ok());
     env.setFull(false);
-    CHECK(numberIn(readAnew.get_future().get()) >= synced);
+    CHECK(numberIn(reopened.get_future().get()) >= synced);
     disk.resume();
     REQUIRE(put(disk, "a", body(++synced)).ok());
     env.setFull(true);
@@ -298,14 +308,14 @@
   PowerLossEnv env;
   std::size_t written = 0;
   Duration longestOpening{};
-  for (int life = 0; life < 60; ++life) {  // each opening rewrites the log
+  for (int processIndex = 0; processIndex < 60; ++processIndex) {  // each opening rewrites the log
     Disk disk({kFolder, "", 1h, env.files()}, [](Disk::Rows) {});
-    const Instant begun = BootClock::now();
+    const Instant startedAt = BootClock::now();
     const auto opened = disk.open();
-    longestOpening = std::max(longestOpening, BootClock::now() - begun);
+    longestOpening = std::max(longestOpening, BootClock::now() - startedAt);
     REQUIRE(opened.ok());
     REQUIRE(opened->has_value());
-    if (life > 0)
+    if (processIndex > 0)
       CHECK((**opened).at("slot/spec").back() == static_cast<char>('a' + (written - 1) % 26));
     for (int i = 0; i < 10; ++i) {
       std::string body(kMegabyte, static_cast<char>('a' + written % 26));
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -1,5 +1,5 @@
 #pragma once
-// A whole proxy between a scripted agent, scripted model servers and callers on loopback.
+// Test fixture: a complete proxy with a fake agent and fake model servers on loopback.
 #include <unistd.h>
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-// Each test process has loopback addresses of its own.
+// Derives the address from the process id, so that test processes can run in parallel.
 inline Address localAddress(int host, int port) {
   const int process = static_cast<int>(::getpid());
   return Address{"127." + std::to_string(100 + process / 250 % 100) + "." +
@@ -21,32 +21,34 @@
                  std::to_string(port)};
 }
 
-// What a scripted model server does with a request that it is sent.
-enum class Act { Answer, NotRun, Vanish, Hang };
+// What a fake model server does with a request: answers it, answers that it did not run it, closes
+// the connection without an answer, or keeps the connection open without an answer.
+enum class ServerBehavior { Answer, NotRun, Vanish, Hang };
 
-struct ScriptedServer {
+// A model server that counts requests and treats them as its current behavior says.
+struct FakeModelServer {
   Address address;
-  std::atomic<Act> act{Act::Answer};
+  std::atomic<ServerBehavior> behavior{ServerBehavior::Answer};
   std::atomic<int> arrivals{0};
   std::unique_ptr<HttpServer> server;
 
-  ScriptedServer(asio::io_context& io, Address at) : address(std::move(at)) {
+  FakeModelServer(asio::io_context& io, Address at) : address(std::move(at)) {
     HttpServerSettings settings;
     settings.listen = address;
     server = std::make_unique<HttpServer>(
-        io, settings, [this](Connection&, HttpRequest& request) { return play(request); });
+        io, settings, [this](Connection&, HttpRequest& request) { return respond(request); });
     REQUIRE(server->start().ok());
   }
-  awaitable<std::optional<HttpResponse>> play(HttpRequest& request) {
+  awaitable<std::optional<HttpResponse>> respond(HttpRequest& request) {
     if (pathOf(request) != wire::kGenerate) co_return textResponse(404, "");
     ++arrivals;
-    const Act now = act.load();
-    if (now == Act::Vanish) co_return std::nullopt;
-    if (now == Act::Hang) {  // until it is told otherwise
-      while (act.load() == Act::Hang) co_await pauseFor(5ms);
+    const ServerBehavior now = behavior.load();
+    if (now == ServerBehavior::Vanish) co_return std::nullopt;
+    if (now == ServerBehavior::Hang) {  // until the behavior is changed
+      while (behavior.load() == ServerBehavior::Hang) co_await pauseFor(5ms);
       co_return std::nullopt;
     }
-    if (now == Act::NotRun) {
+    if (now == ServerBehavior::NotRun) {
       HttpResponse response = jsonResponse(503, Json::object());
       response.set(wire::kNotRun, "true");
       co_return response;
@@ -58,6 +60,7 @@
   }
 };
 
+// A configuration in which `key` belongs to tenant "north"; empty: the tenant has no key.
 inline std::string configurationBody(const std::string& key) {
   const Json keys = key.empty() ? Json::array() : Json{keyDigest(key)};
   return Json{
@@ -78,21 +81,22 @@
       .dump();
 }
 
-// Waits on a condition, however long a busy machine takes for it within reason.
+// Waits until the condition holds. The timeout is generous, for heavily loaded machines.
 inline void eventually(const std::function<bool()>& holds) {
-  const Instant patience = BootClock::now() + 30s;
+  const Instant giveUpAt = BootClock::now() + 30s;
   while (!holds()) {
-    REQUIRE(BootClock::now() < patience);
+    REQUIRE(BootClock::now() < giveUpAt);
     std::this_thread::yield();
   }
 }
 
+// The running fixture. The constructor returns once the proxy is ready.
 struct Stage {
   asio::io_context io;
   std::mutex mutex;
-  Snapshot told;
+  Snapshot snapshot;
   std::unique_ptr<HttpServer> agent;
-  std::vector<std::unique_ptr<ScriptedServer>> servers;
+  std::vector<std::unique_ptr<FakeModelServer>> servers;
   std::unique_ptr<Proxy> proxy;
   std::thread thread;
   Address callers = localAddress(1, 7102);
@@ -100,11 +104,11 @@
   explicit Stage(int serverCount) {
     HttpServerSettings agentSettings;
     agentSettings.listen = localAddress(1, 7101);
-    told.configurationVersion = 1;
-    told.configurationBody = configurationBody("key");
-    told.confirmedAgoMicros = told.listedAgoMicros = 0;
+    snapshot.configurationVersion = 1;
+    snapshot.configurationBody = configurationBody("key");
+    snapshot.confirmedAgoMicros = snapshot.listedAgoMicros = 0;
     for (int i = 0; i < serverCount; ++i) {
-      servers.push_back(std::make_unique<ScriptedServer>(io, localAddress(10 + i, 7300)));
+      servers.push_back(std::make_unique<FakeModelServer>(io, localAddress(10 + i, 7300)));
       SnapshotServer row;
       row.name = ServerName{servers.back()->address.value};
       row.identity = ServerIdentity{"i"};
@@ -113,13 +117,13 @@
       row.healthy = true;
       row.slots = 4;
       row.cacheTokens = 1000;
-      told.servers.push_back(row);
+      snapshot.servers.push_back(row);
     }
     agent = std::make_unique<HttpServer>(
         io, agentSettings,
         [this](Connection&, HttpRequest&) -> awaitable<std::optional<HttpResponse>> {
           std::lock_guard lock(mutex);
-          co_return textResponse(200, encodeValue(told));
+          co_return textResponse(200, encodeValue(snapshot));
         });
     REQUIRE(agent->start().ok());
     thread = std::thread([this] { io.run(); });
@@ -128,7 +132,7 @@
     settings.operatorAddress = agentSettings.listen;
     settings.callerAddress = callers;
     settings.zone = "z";
-    proxy = std::make_unique<Proxy>(settings, ownDialect());
+    proxy = std::make_unique<Proxy>(settings, nativeDialect());
     REQUIRE(proxy->start().ok());
     waitReady(200);
   }
@@ -137,52 +141,54 @@
     io.stop();
     thread.join();
   }
-  void tell(const std::function<void(Snapshot&)>& change) {
+  void updateSnapshot(const std::function<void(Snapshot&)>& change) {
     std::lock_guard lock(mutex);
-    change(told);
+    change(snapshot);
   }
-  HttpResponse call(HttpCall asked) {
-    asio::io_context own;
+  HttpResponse call(HttpCall request) {
+    asio::io_context callIo;
     absl::StatusOr<HttpResponse> response = absl::UnknownError("");
-    asked.to = callers;
-    asked.due = 5s;
+    request.to = callers;
+    request.timeout = 5s;
     asio::co_spawn(
-        own, [&]() -> awaitable<void> { response = co_await httpCall(asked); }, asio::detached);
-    own.run();
-    // Callers have threads of their own, and Catch's macros may only be used on one.
+        callIo, [&]() -> awaitable<void> { response = co_await httpCall(request); },
+        asio::detached);
+    callIo.run();
+    // Called on several threads, but Catch's macros may only be used on one.
     if (!response.ok()) throw std::runtime_error(response.status().ToString());
     return *response;
   }
   void waitReady(unsigned status) {
-    HttpCall asked;
-    asked.target = "/readyz";
-    eventually([&] { return call(asked).result_int() == status; });
+    HttpCall request;
+    request.target = "/readyz";
+    eventually([&] { return call(request).result_int() == status; });
   }
-  HttpResponse post(const std::string& way, const std::string& body = "{}",
+  HttpResponse post(const std::string& route, const std::string& body = "{}",
                     std::map<std::string, std::string> headers = {}) {
-    HttpCall asked;
-    asked.verb = http::verb::post;
-    asked.target = "/v1/" + way;
-    asked.body = body;
-    asked.headers = std::move(headers);
-    asked.headers.try_emplace("Authorization", "Bearer key");
-    return call(asked);
+    HttpCall request;
+    request.verb = http::verb::post;
+    request.target = "/v1/" + route;
+    request.body = body;
+    request.headers = std::move(headers);
+    request.headers.try_emplace("Authorization", "Bearer key");
+    return call(request);
   }
   int arrivals() const {
     int sum = 0;
     for (const auto& server : servers) sum += server->arrivals;
     return sum;
   }
-  void all(Act act) {
-    for (auto& server : servers) server->act = act;
+  void setAllBehaviors(ServerBehavior behavior) {
+    for (auto& server : servers) server->behavior = behavior;
   }
 };
 
-inline bool isTurnedAway(const HttpResponse& response) {
+// The proxy rejected the request and set Retry-After.
+inline bool isRejected(const HttpResponse& response) {
   return response["Quayrill-Outcome"] == "turned-away" &&
          response.count(http::field::retry_after) == 1;
 }
-// Only what may be repeated is told when to come back.
+// Retry-After must be set only if the request may be repeated.
 inline bool isUnknown(const HttpResponse& response, bool mayRepeat = false) {
   return response["Quayrill-Outcome"] == "unknown" &&
          response["Quayrill-May-Repeat"] == (mayRepeat ? "yes" : "no") &&
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -10,7 +10,7 @@
 inline HeaderNames relayTestNames() {
   HeaderNames names;
   names.requestId = "X-Id";
-  names.dueMs = "X-Due";
+  names.deadlineMs = "X-Due";
   names.key = "X-Key";
   names.tenant = "X-Tenant";
   names.prefix = "X-Prefix";
@@ -83,8 +83,8 @@
     settings.trafficThreads = 1;
     settings.retryShare = retryShare;
     settings.shutdownGrace = grace;
-    Dialect dialect = ownDialect();
-    dialect.relayNames = relayTestNames();
+    Dialect dialect = nativeDialect();
+    dialect.relayHeaderNames = relayTestNames();
     dialect.readConfiguration = [this](const std::string&) -> absl::StatusOr<Configuration> {
       onReadConfiguration();
       return configuration;
