--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -166,8 +166,8 @@
     const auto way = world_.random()() % 3;
     for (std::size_t other = 0; other < world_.size(); ++other) {
       if (other == machine) continue;
-      if (way != 1) world_.cutOneWay(machine, other, true);
-      if (way != 2) world_.cutOneWay(other, machine, true);
+      if (way != 1) world_.setLinkBlocked(machine, other, true);
+      if (way != 2) world_.setLinkBlocked(other, machine, true);
     }
   }
 
@@ -240,9 +240,10 @@
     for (Loss& loss : losses_) follow(loss);
     const bool repaired = isRepaired();
     for (Loss& loss : losses_) {
-      LossSeen& seen = result_.seen[loss.row];
+      LossOutcome& seen = result_.seen[loss.row];
       if (isOpen(loss)) seen.epochs = replicas().epoch.value - loss.epochBefore;
-      if (loss.endsAt) seen.allowedNextAfter = *loss.endsAt - loss.leftAt.value_or(loss.beganAt);
+      if (loss.endsAt)
+        seen.nextLossAllowedAfter = *loss.endsAt - loss.leftAt.value_or(loss.beganAt);
       const bool isDone = loss.leftAt ? isHandedOver(loss) : repaired;
       if (!isDone || loss.repaired || loss.leaveAt) continue;
       loss.repaired = true;
@@ -276,7 +277,7 @@
     world_.run(4s);
     const auto& done = world_.asked(read).done;
     result_.majorityAtEnd = done && done->result == ChangeResult::Chosen;
-    result_.newestKept = result_.majorityAtEnd && done->value.version >= newest_;
+    result_.newestChangeKept = result_.majorityAtEnd && done->value.version >= newest_;
     world_.checkHistory();
     result_.violations = world_.violations();
   }
--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -31,24 +31,25 @@
   std::vector<LossKind> kinds{};  // to draw from; empty: all
 };
 
-struct LossSeen {
+struct LossOutcome {
   LossKind kind{};
   // From the loss until the replica set is settled and of the wanted number, all of them in touch.
   // Of one replaced as planned: from when it was told to end until such a set stands without it.
   // Nothing where that took until after the next loss.
   std::optional<Span> repairedAfter;
   // From that same moment until the next loss might come.
-  Span allowedNextAfter{};
+  Span nextLossAllowedAfter{};
   std::uint64_t epochs = 0;  // steps of the replica set until the next loss
 };
 
 struct LossesResult {
   bool founded = false;
-  std::vector<LossSeen> seen;
+  std::vector<LossOutcome> seen;
   std::size_t acknowledged = 0;
   Span longestGap{};  // between two acknowledged changes
   bool majorityAtEnd = false;
-  bool newestKept = false;  // a read at the end finds the newest acknowledged change or a later one
+  bool newestChangeKept =
+      false;  // a read at the end finds the newest acknowledged change or a later one
   std::vector<Violation> violations;
 };
 LossesResult runLosses(const LossesSettings& settings);
--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -58,13 +58,14 @@
   }
   std::cout << "\nbroken " << steady.violations.size() << "\n";
   if (!steady.hasRegions) return;
-  const auto& parting = steady.parting;
+  const auto& regionPartition = steady.regionPartition;
   std::cout << "regions parted: the smaller side closed after ms "
-            << Millis(parting.closedAfter).count() << (parting.smallerStayedClosed ? "" : " NOT")
-            << " until the heal; of " << parting.asked << " changes asked on each side, chosen "
-            << parting.chosenByLarger << " on the larger, " << parting.chosenBySmaller
-            << " on the smaller; all agreed after ms " << Millis(parting.agreedAfter).count()
-            << "\n";
+            << Millis(regionPartition.minorityClosedAfter).count()
+            << (regionPartition.minorityStayedClosed ? "" : " NOT") << " until the heal; of "
+            << regionPartition.asked << " changes asked on each side, chosen "
+            << regionPartition.chosenByMajority << " on the larger, "
+            << regionPartition.chosenByMinority << " on the smaller; all agreed after ms "
+            << Millis(regionPartition.reconvergedAfter).count() << "\n";
 }
 }  // namespace
 
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -47,7 +47,7 @@
       world.freeze(diskMachine, std::chrono::milliseconds(500 + random() % 9000));
       break;
     case 5:
-      world.cutOneWay(machine, random() % world.size(), true);
+      world.setLinkBlocked(machine, random() % world.size(), true);
       break;
     case 6:
       world.cut({machine}, true);
@@ -61,7 +61,7 @@
       break;
     }
     case 8:
-      world.slowDisk(diskMachine, std::chrono::milliseconds(random() % 1500));
+      world.setDiskDelay(diskMachine, std::chrono::milliseconds(random() % 1500));
       break;
     case 9:
       for (std::size_t i = 0; i < world.size(); ++i) {
@@ -69,10 +69,10 @@
       }
       break;
     case 10:
-      world.failDisk(diskMachine, true);
+      world.setDiskFailing(diskMachine, true);
       break;
     case 11:
-      world.mendDisk(diskMachine);
+      world.repairDisk(diskMachine);
       break;
     default:
       world.healAll();
@@ -84,8 +84,8 @@
 
 ScenarioResult runScenario(WorldSettings settings, Span faultSpan) {
   World world(settings);
-  world.wantRole("orders/a");
-  world.wantRole("orders/b");
+  world.addLeaderRole("orders/a");
+  world.addLeaderRole("orders/b");
   ScenarioResult result;
   runUntilFounded(world, 60s);
   auto& random = world.random();
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -22,11 +22,11 @@
   Span part{};                // two regions lose each other for so long; 0: they don't
 };
 // Zones 0 to (zones + 1) / 2 - 1 are the first region, which has the majority of the replicas.
-struct Parting {
-  Span closedAfter{};  // the smaller side confirms no configuration any more
-  std::size_t chosenByLarger = 0, chosenBySmaller = 0, asked = 0;  // asked: on each side
-  bool smallerStayedClosed = true;
-  Span agreedAfter{};  // all know all and confirm the newest configuration, from the heal on
+struct RegionPartition {
+  Span minorityClosedAfter{};  // the smaller side confirms no configuration any more
+  std::size_t chosenByMajority = 0, chosenByMinority = 0, asked = 0;  // asked: on each side
+  bool minorityStayedClosed = true;
+  Span reconvergedAfter{};  // all know all and confirm the newest configuration, from the heal on
 };
 struct SteadyResult {
   bool founded = false;
@@ -42,7 +42,7 @@
   Span zoneBackAfter{};               // healed: all list all
   std::vector<Violation> violations;  // of the whole run
   bool hasRegions = false;
-  Parting parting{};
+  RegionPartition regionPartition{};
 };
 // No faults: what the control plane costs at this size.
 SteadyResult runSteady(const WorldSettings& settings, const SteadySettings& steady);
--- a/src/sim/scenarios_copies.cpp
+++ b/src/sim/scenarios_copies.cpp
@@ -28,11 +28,11 @@
       world.crash(machine, true);
       return world.wipeDisk(machine);
     case Trouble::Slow:
-      return world.slowDisk(machine, 400ms);
+      return world.setDiskDelay(machine, 400ms);
     case Trouble::Stalled:
-      return world.slowDisk(machine, kTroubleSpan);
+      return world.setDiskDelay(machine, kTroubleSpan);
     case Trouble::Failing:
-      return world.failDisk(machine, true);
+      return world.setDiskFailing(machine, true);
     case Trouble::Count:
       return;
   }
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -32,8 +32,8 @@
   for (std::size_t other = 0; other < world.size(); ++other) {
     if (other == machine) continue;
     if (kind == Cut::FromReplicas && other >= world.diskMachines()) continue;
-    if (kind != Cut::Outward) world.cutOneWay(other, machine, true);
-    if (kind != Cut::Inward) world.cutOneWay(machine, other, true);
+    if (kind != Cut::Outward) world.setLinkBlocked(other, machine, true);
+    if (kind != Cut::Inward) world.setLinkBlocked(machine, other, true);
   }
 }
 
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -28,7 +28,7 @@
   const Tally before = world.tally();
   std::vector<std::uint64_t> sentBefore, arrivedBefore;
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
-    sentBefore.push_back(world.bytesFrom(i));
+    sentBefore.push_back(world.bytesSentBy(i));
     arrivedBefore.push_back(world.arrivals(i));
   }
   const std::clock_t begun = std::clock();
@@ -53,14 +53,14 @@
                  static_cast<double>(world.arrivals(i) - arrivedBefore[i]) / seconds);
     result->replicaBytesPerSecond =
         std::max(result->replicaBytesPerSecond,
-                 static_cast<double>(world.bytesFrom(i) - sentBefore[i]) / seconds);
+                 static_cast<double>(world.bytesSentBy(i) - sentBefore[i]) / seconds);
   }
 }
 
 // The bytes are those above the steady traffic of the same time.
 void measureChanges(World& world, std::size_t bodyBytes, SteadyResult* result) {
   constexpr std::uint64_t kChanges = 5;
-  const std::uint64_t bytesBefore = world.tally().bytes, replicaBefore = world.bytesFrom(0);
+  const std::uint64_t bytesBefore = world.tally().bytes, replicaBefore = world.bytesSentBy(0);
   const Span begun = world.elapsed();
   for (std::uint64_t version = 0; version < kChanges; ++version) {
     const std::uint64_t id = world.change(world.size() - 1 - version, version,
@@ -77,13 +77,13 @@
       (static_cast<double>(world.tally().bytes - bytesBefore) -
        result->bytesPerMachineSecond * seconds * static_cast<double>(world.size())) /
       kChanges;
-  result->changeReplicaBytes = (static_cast<double>(world.bytesFrom(0) - replicaBefore) -
+  result->changeReplicaBytes = (static_cast<double>(world.bytesSentBy(0) - replicaBefore) -
                                 result->replicaBytesPerSecond * seconds) /
                                kChanges;
 }
 
-Parting partRegions(World& world, Span span, std::size_t zones) {
-  Parting parting;
+RegionPartition partRegions(World& world, Span span, std::size_t zones) {
+  RegionPartition regionPartition;
   std::set<std::size_t> firstZones;
   for (std::size_t zone = 0; zone < (zones + 1) / 2; ++zone) firstZones.insert(zone);
   const auto larger = machinesOf(world, firstZones);
@@ -96,13 +96,13 @@
                        [&](std::size_t i) { return world.isConfirmed(i, 2s); });
   };
   world.cut(larger, true);
-  parting.closedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
+  regionPartition.minorityClosedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
   const Span until = world.elapsed() + span;
   const auto countChosen = [&](std::uint64_t id) -> std::size_t {
     return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
   };
   while (world.elapsed() < until) {
-    ++parting.asked;
+    ++regionPartition.asked;
     const auto versionAt = [&](std::size_t i) {
       return world.core(i).freshness().configuration().value.version;
     };
@@ -110,14 +110,15 @@
     const auto asked = world.change(inLarger, versionAt(inLarger), "larger");
     const auto askedToo = world.change(inSmaller, versionAt(inSmaller), "smaller");
     world.run(std::min<Span>(45s, until - world.elapsed() + 5s));
-    parting.chosenByLarger += countChosen(asked);
-    parting.chosenBySmaller += countChosen(askedToo);
-    parting.smallerStayedClosed = parting.smallerStayedClosed && !smallerConfirms();
+    regionPartition.chosenByMajority += countChosen(asked);
+    regionPartition.chosenByMinority += countChosen(askedToo);
+    regionPartition.minorityStayedClosed =
+        regionPartition.minorityStayedClosed && !smallerConfirms();
   }
   world.healAll();
-  parting.agreedAfter =
-      runUntil(world, 600s, [&] { return world.isConverged() && world.knowsAll(); });
-  return parting;
+  regionPartition.reconvergedAfter =
+      runUntil(world, 600s, [&] { return world.isConverged() && world.isMembershipComplete(); });
+  return regionPartition;
 }
 }  // namespace
 
@@ -126,7 +127,7 @@
   SteadyResult result;
   result.founded = runUntilFounded(world, 120s);
   for (std::size_t i = 0; i < steady.roles; ++i)
-    world.wantRole("orders/10.0.0.1:" + std::to_string(10000 + i));
+    world.addLeaderRole("orders/10.0.0.1:" + std::to_string(10000 + i));
   if (steady.roles > 0) world.run(10s);
   measureTraffic(world, steady.span, &result);
   measureChanges(world, steady.bodyBytes, &result);
@@ -136,14 +137,15 @@
   world.cut(side, true);
   world.run(20s);
   world.healAll();
-  const auto agreed = [&] { return world.isConverged() && world.knowsAll(); };
+  const auto agreed = [&] { return world.isConverged() && world.isMembershipComplete(); };
   result.convergedAfterCut = runUntil(world, 600s, agreed);
 
   const auto zone = machinesOf(world, {settings.zones - 1});
   world.cut(zone, true);
   result.zoneMissedAfter = runUntil(world, 60s, [&] {
     for (std::size_t i = 0; i < world.size(); ++i) {
-      if (!zone.contains(i) && world.listedBy(i) != world.size() - zone.size()) return false;
+      if (!zone.contains(i) && world.liveMachinesSeenBy(i) != world.size() - zone.size())
+        return false;
     }
     return true;
   });
@@ -151,7 +153,7 @@
   world.healAll();
   result.zoneBackAfter = runUntil(world, 600s, agreed);
   result.hasRegions = steady.part > Span{};
-  if (result.hasRegions) result.parting = partRegions(world, steady.part, settings.zones);
+  if (result.hasRegions) result.regionPartition = partRegions(world, steady.part, settings.zones);
   world.read(0);
   world.run(4s);
   world.checkHistory();
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -125,7 +125,7 @@
   machines_[index].frozenUntil = std::max(machines_[index].frozenUntil, now_ + span);
 }
 
-void World::cutOneWay(std::size_t from, std::size_t to, bool cut) {
+void World::setLinkBlocked(std::size_t from, std::size_t to, bool cut) {
   if (cut)
     cuts_.insert({from, to});
   else
@@ -135,7 +135,7 @@
 void World::cut(const std::set<std::size_t>& side, bool cut) {
   for (std::size_t a = 0; a < machines_.size(); ++a) {
     for (std::size_t b = 0; b < machines_.size(); ++b) {
-      if (side.contains(a) != side.contains(b)) cutOneWay(a, b, cut);
+      if (side.contains(a) != side.contains(b)) setLinkBlocked(a, b, cut);
     }
   }
 }
@@ -145,7 +145,7 @@
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     machines_[i].frozenUntil = now_;
     machines_[i].diskDelay = Span{};
-    mendDisk(i);
+    repairDisk(i);
     start(i);
   }
 }
@@ -233,7 +233,7 @@
             machine.life,
             {},
             std::make_shared<std::vector<ReplicaWork>>(std::move(machine.diskQueue)),
-            machine.diskLife});
+            machine.diskGeneration});
   machine.diskQueue.clear();
 }
 
@@ -258,7 +258,7 @@
   startSync(index);
 }
 
-void World::mendDisk(std::size_t index) {
+void World::repairDisk(std::size_t index) {
   Machine& machine = machines_[index];
   if (!machine.diskFails) return;
   machine.diskFails = false;
@@ -268,7 +268,7 @@
   for (std::size_t i = 0; i < machine.diskQueue.size(); ++i) machine.core->onReplicaWorkDone();
   machine.diskQueue.clear();
   machine.unsynced.clear();
-  ++machine.diskLife;
+  ++machine.diskGeneration;
   machine.diskBusy = false;
   AgentEffects effects;
   if (!machine.core->onDiskReadAnew(machine.synced, &effects))
@@ -339,7 +339,7 @@
       break;
     }
     case Kind::DiskDone: {
-      if (event.diskLife == machine.diskLife) {
+      if (event.diskGeneration == machine.diskGeneration) {
         finishSync(event.machine, *event.batch);
       } else {
         for (std::size_t i = 0; i < event.batch->size(); ++i) machine.core->onReplicaWorkDone();
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -80,13 +80,13 @@
   // The machine was told to end, and serves on meanwhile.
   void leave(std::size_t machine) { machines_[machine].core->setLeaving(true); }
   void freeze(std::size_t machine, Span span);
-  void cutOneWay(std::size_t from, std::size_t to, bool cut);
+  void setLinkBlocked(std::size_t from, std::size_t to, bool cut);
   void cut(const std::set<std::size_t>& side, bool cut);
   void healAll();
-  void failDisk(std::size_t machine, bool failing) { machines_[machine].diskFails = failing; }
+  void setDiskFailing(std::size_t machine, bool failing) { machines_[machine].diskFails = failing; }
   // A failing disk is sound again, and its folder is opened and read anew under the same process.
-  void mendDisk(std::size_t machine);
-  void slowDisk(std::size_t machine, Span delay) { machines_[machine].diskDelay = delay; }
+  void repairDisk(std::size_t machine);
+  void setDiskDelay(std::size_t machine, Span delay) { machines_[machine].diskDelay = delay; }
 
   std::uint64_t change(std::size_t machine, std::uint64_t expectedVersion, std::string body);
   std::uint64_t read(std::size_t machine);
@@ -96,7 +96,7 @@
     settings_.plantUnsyncedDisk = unsynced;
     settings_.plantReusedStore = reused;
   }
-  void wantRole(const std::string& role) { roles_.insert(role); }
+  void addLeaderRole(const std::string& role) { roles_.insert(role); }
 
   bool hasDisk(std::size_t machine) const { return machines_[machine].hasDisk; }
   bool isUp(std::size_t machine) const { return machines_[machine].core != nullptr; }
@@ -117,12 +117,12 @@
   // True when every live machine has confirmed one and the same configuration version lately.
   bool isConverged() const;
   bool isInForce(std::uint64_t version) const;  // at every live machine
-  bool knowsAll() const;                        // every live machine lists all live machines
+  bool isMembershipComplete() const;            // every live machine lists all live machines
   std::size_t zoneOf(std::size_t machine) const { return machine % settings_.zones; }
   bool isConfirmed(std::size_t machine, Span lately) const;
-  std::size_t listedBy(std::size_t machine) const;  // live machines, itself too
+  std::size_t liveMachinesSeenBy(std::size_t machine) const;  // live machines, itself too
   std::uint64_t arrivals(std::size_t machine) const { return machines_[machine].arrivals; }
-  std::uint64_t bytesFrom(std::size_t machine) const { return machines_[machine].bytesSent; }
+  std::uint64_t bytesSentBy(std::size_t machine) const { return machines_[machine].bytesSent; }
 
  private:
   struct Machine {
@@ -137,7 +137,7 @@
     Span diskDelay{};
     std::vector<ReplicaWork> diskQueue;  // taken whole by the next sync, as the real disk does
     bool diskBusy = false;
-    std::uint64_t diskLife = 0;  // rises when a defective disk was read anew
+    std::uint64_t diskGeneration = 0;  // rises when a defective disk was read anew
     Instant frozenUntil{};
     Span clockOffset{};  // machines' boot clocks have nothing in common
     int clockRate = 1;
@@ -154,7 +154,7 @@
     std::uint64_t life = 0;
     std::string bytes;
     std::shared_ptr<std::vector<ReplicaWork>> batch;
-    std::uint64_t diskLife = 0;
+    std::uint64_t diskGeneration = 0;
     bool operator>(const Event& other) const {
       return std::tie(at, order) > std::tie(other.at, other.order);
     }
--- a/src/sim/world_state.cpp
+++ b/src/sim/world_state.cpp
@@ -27,7 +27,7 @@
   return confirmed && local(asked) - *confirmed <= lately;
 }
 
-std::size_t World::listedBy(std::size_t machine) const {
+std::size_t World::liveMachinesSeenBy(std::size_t machine) const {
   const Machine& asked = machines_[machine];
   return asked.core ? asked.core->live(local(asked)).size() : 0;
 }
@@ -38,7 +38,7 @@
   });
 }
 
-bool World::knowsAll() const {
+bool World::isMembershipComplete() const {
   const auto up = static_cast<std::size_t>(
       std::count_if(machines_.begin(), machines_.end(),
                     [](const Machine& machine) { return machine.core != nullptr; }));
--- a/tests/losses_tests.cpp
+++ b/tests/losses_tests.cpp
@@ -34,12 +34,12 @@
     INFO("seed " << settings.seed);
     REQUIRE(result.founded);
     CHECK(result.majorityAtEnd);
-    CHECK(result.newestKept);
+    CHECK(result.newestChangeKept);
     CHECK(result.acknowledged > 20);
     CHECK(Seconds(result.longestGap).count() < Seconds(longestGap).count());
     gap = std::max(gap, result.longestGap);
     for (const auto& violation : result.violations) FAIL_CHECK(violation.what);
-    for (const LossSeen& seen : result.seen) {
+    for (const LossOutcome& seen : result.seen) {
       Sum& sum = sums[seen.kind];
       ++sum.losses;
       sum.epochs += seen.epochs;
@@ -48,7 +48,7 @@
         continue;
       }
       sum.slowest = std::max(sum.slowest, *seen.repairedAfter);
-      sum.leastMargin = std::min(sum.leastMargin, seen.allowedNextAfter - *seen.repairedAfter);
+      sum.leastMargin = std::min(sum.leastMargin, seen.nextLossAllowedAfter - *seen.repairedAfter);
     }
   }
   if (!std::getenv("QUAYRILL_SEEDS")) return sums;
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -188,7 +188,7 @@
     INFO("seed " << seed);
     World world(coreOfFour(seed));
     spanUntil(world, 20s, [&] { return world.isConverged(); });
-    world.wantRole("orders/x");
+    world.addLeaderRole("orders/x");
     spanUntil(world, 20s, [&] {
       bool held = false;
       for (std::size_t i = 0; i < 4; ++i)
--- a/tests/replica_leaving_tests.cpp
+++ b/tests/replica_leaving_tests.cpp
@@ -178,9 +178,9 @@
     const std::size_t stalled = someMember(busy);
     const Epoch before = busy.replicas().epoch;
     for (int stall = 0; stall < 8; ++stall) {
-      world.slowDisk(stalled, 3500ms);
+      world.setDiskDelay(stalled, 3500ms);
       busy.run(100ms);
-      world.slowDisk(stalled, Span{});
+      world.setDiskDelay(stalled, Span{});
       busy.run(6s);
     }
     CHECK(busy.replicas().epoch.value - before.value <= 4);
@@ -196,7 +196,7 @@
   Busy busy(world);
   busy.run(2s);
   const Epoch before = busy.replicas().epoch;
-  world.slowDisk(someMember(busy), 150ms);
+  world.setDiskDelay(someMember(busy), 150ms);
   busy.run(20s);
   CHECK(busy.replicas().epoch == before);
   CHECK(busy.longestGap < kAckBound);
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -204,11 +204,11 @@
   world.setSeeds(late, {Address{"127.9.9.1:7000"}, Address{"127.9.9.2:7000"}});
   world.start(late);
   world.run(20s);
-  REQUIRE(world.listedBy(late) == 1);
+  REQUIRE(world.liveMachinesSeenBy(late) == 1);
   REQUIRE_FALSE(world.isConfirmed(late, 2s));
   world.setSeeds(late, {world.addressOf(1), world.addressOf(2)});
   world.run(5s);
-  CHECK(world.listedBy(late) == world.size());
+  CHECK(world.liveMachinesSeenBy(late) == world.size());
   CHECK(world.isConfirmed(late, 2s));
   CHECK(world.violations().empty());
 }
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -127,7 +127,7 @@
     settings.seed = seed;
     World world(settings);
     REQUIRE(runUntilFounded(world, 60s));
-    world.wantRole("orders/x");
+    world.addLeaderRole("orders/x");
     world.run(3s);
     const RegisterKey role{"hold/orders/x"};
     const auto holder = [&]() -> std::size_t {
@@ -180,7 +180,7 @@
       world.run(8s);
       // Some of them fall to a fast one as soon as it is back.
       for (const char* role : {"orders/x", "orders/y", "orders/z", "orders/u", "orders/v"})
-        world.wantRole(role);
+        world.addLeaderRole(role);
       world.run(8s);
       world.healAll();
       world.run(10s);
@@ -261,13 +261,13 @@
     const std::uint64_t first = world.change(6, 0, "before");
     world.run(2s);
     REQUIRE(world.asked(first).done->result == ChangeResult::Chosen);
-    for (std::size_t i = 0; i < world.diskMachines(); ++i) world.failDisk(i, true);
+    for (std::size_t i = 0; i < world.diskMachines(); ++i) world.setDiskFailing(i, true);
     const std::uint64_t refused = world.change(7, 1, "while full");
     world.run(5s);
     REQUIRE(world.asked(refused).done);
     CHECK(world.asked(refused).done->result != ChangeResult::Chosen);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) CHECK_FALSE(world.core(i).isVoting());
-    for (std::size_t i = 0; i < world.diskMachines(); ++i) world.mendDisk(i);
+    for (std::size_t i = 0; i < world.diskMachines(); ++i) world.repairDisk(i);
     world.run(10s);
     CHECK(world.isConverged());
     for (std::size_t i = 0; i < world.diskMachines(); ++i) CHECK(world.core(i).isVoting());
@@ -380,11 +380,11 @@
   steady.part = 60s;
   const SteadyResult result = runSteady(settings, steady);
   REQUIRE(result.founded);
-  CHECK(result.parting.closedAfter < 3s);
-  CHECK(result.parting.smallerStayedClosed);
-  CHECK(result.parting.chosenByLarger == result.parting.asked);
-  CHECK(result.parting.chosenBySmaller == 0);
-  CHECK(result.parting.agreedAfter < 20s);
+  CHECK(result.regionPartition.minorityClosedAfter < 3s);
+  CHECK(result.regionPartition.minorityStayedClosed);
+  CHECK(result.regionPartition.chosenByMajority == result.regionPartition.asked);
+  CHECK(result.regionPartition.chosenByMinority == 0);
+  CHECK(result.regionPartition.reconvergedAfter < 20s);
   CHECK(result.zoneMissedAfter < 20s);
   CHECK(result.zoneBackAfter < 20s);
   CHECK(result.violations.empty());
