--- a/src/sim/checks.cpp
+++ b/src/sim/checks.cpp
@@ -15,25 +15,25 @@
   const RegisterValue& configuration = freshness.configuration().value;
   if (configuration.version > 0) {
     const auto [row, fresh] =
-        writeOfVersion_.try_emplace(configuration.version, configuration.writeId);
+        writeByVersion_.try_emplace(configuration.version, configuration.writeId);
     if (row->second != configuration.writeId)
-      violate("two configurations in force under one version");
+      recordViolation("two configurations in force under one version");
   }
   if (configuration.version < machine.highestConfiguration)
-    violate("a configuration in force slipped back");
+    recordViolation("a configuration in force slipped back");
   machine.highestConfiguration = std::max(machine.highestConfiguration, configuration.version);
   const auto confirmed = freshness.confirmedAt();
-  if (!confirmed && !settings_.plantStaleConfirm) return;
+  if (!confirmed && !settings_.injectStaleConfirm) return;
   const Instant confirmedAt =
-      settings_.plantStaleConfirm
+      settings_.injectStaleConfirm
           ? now_
           : Instant((*confirmed - machine.clockOffset).time_since_epoch() / machine.clockRate);
   for (auto change = acknowledged_.rbegin(); change != acknowledged_.rend(); ++change) {
     if (change->first >= confirmedAt) continue;
     if (configuration.version < change->second)
-      violate("machine " + std::to_string(index) + " vouches for configuration " +
-              std::to_string(configuration.version) + " though " + std::to_string(change->second) +
-              " was acknowledged before it asked");
+      recordViolation("machine " + std::to_string(index) + " vouches for configuration " +
+                      std::to_string(configuration.version) + " though " +
+                      std::to_string(change->second) + " was acknowledged before it asked");
     break;
   }
 }
@@ -48,14 +48,14 @@
       const auto fence = machine.core->held(RegisterKey{"hold/" + role}, Span{}, local(machine));
       if (!fence) continue;
       ++holders;
-      ++tally_.leasesSeen;
+      ++tally_.leaseObservations;
       auto& [highest, holder] = highestFence_[role];
       if (fence->value < highest || (fence->value == highest && holder != i))
-        violate("fence of " + role + " did not rise with its holder");
+        recordViolation("fence of " + role + " did not rise with its holder");
       highest = fence->value;
       holder = i;
     }
-    if (holders > 1) violate("two daemons hold " + role);
+    if (holders > 1) recordViolation("two daemons hold " + role);
   }
 }
 
@@ -63,17 +63,19 @@
 // change must be the writer of its version, a turned-away one must write none, and nothing that
 // began after an acknowledgement may end with an older version.
 void World::checkHistory() {
-  std::map<std::uint64_t, WriteId> chain = writeOfVersion_;
+  std::map<std::uint64_t, WriteId> chain = writeByVersion_;
   for (const Asked& asked : asked_) {
     if (!asked.done || asked.done->result != ChangeResult::Chosen) continue;
     const RegisterValue& value = asked.done->value;
     if (value.version == 0) continue;
     const auto [row, fresh] = chain.try_emplace(value.version, value.writeId);
-    if (row->second != value.writeId) violate("two changes were acknowledged as one version");
+    if (row->second != value.writeId)
+      recordViolation("two changes were acknowledged as one version");
     for (std::size_t i = 0; i < value.priorWrites.size(); ++i) {
       if (value.priorWrites[i].value == 0 || value.version < i + 2) break;
       const auto [older, unseen] = chain.try_emplace(value.version - i - 1, value.priorWrites[i]);
-      if (older->second != value.priorWrites[i]) violate("a version's history was rewritten");
+      if (older->second != value.priorWrites[i])
+        recordViolation("a version's history was rewritten");
     }
   }
   std::set<std::uint64_t> written;
@@ -85,12 +87,12 @@
     const auto result = asked.done->result;
     if (!asked.change.isRead) {
       if (result == ChangeResult::Chosen && !took)
-        violate("an acknowledged change wrote no version");
+        recordViolation("an acknowledged change wrote no version");
       if ((result == ChangeResult::Conflict || result == ChangeResult::NotTried) && took)
-        violate("a turned-away change took effect");
+        recordViolation("a turned-away change took effect");
     }
     if (result == ChangeResult::Chosen)
-      floors.emplace_back(*asked.doneAt, asked.done->value.version);
+      floors.emplace_back(*asked.completedAt, asked.done->value.version);
   }
   std::sort(floors.begin(), floors.end());
   std::uint64_t highest = 0;
@@ -101,7 +103,7 @@
                                         std::make_pair(asked.askedAt, std::uint64_t{0}));
     if (after == floors.begin()) continue;
     if (asked.done->value.version < std::prev(after)->second)
-      violate("a result is older than what was acknowledged before it was asked");
+      recordViolation("a result is older than what was acknowledged before it was asked");
   }
 }
 
--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -114,9 +114,9 @@
 
   void begin() {
     Loss loss;
-    const std::size_t kinds = std::size(kAllLosses);
+    const std::size_t kinds = std::size(kAllLossKinds);
     loss.kind = settings_.kinds.empty()
-                    ? kAllLosses[world_.random()() % kinds]
+                    ? kAllLossKinds[world_.random()() % kinds]
                     : settings_.kinds[world_.random()() % settings_.kinds.size()];
     loss.machine = victim();
     loss.beganAt = world_.elapsed();
@@ -260,7 +260,7 @@
   void askChange() {
     if (asked_ != 0 && !world_.asked(asked_).done) return;
     if (asked_ != 0 && world_.asked(asked_).done->result == ChangeResult::Chosen) {
-      const Span at = world_.asked(asked_).doneAt->time_since_epoch();
+      const Span at = world_.asked(asked_).completedAt->time_since_epoch();
       result_.longestGap = std::max(result_.longestGap, at - lastAckAt_);
       lastAckAt_ = at;
       ++result_.acknowledged;
--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -17,9 +17,9 @@
   Frozen,     // for some seconds
   Replaced,   // planned: an empty machine starts, then this one is told to end, for good
 };
-inline constexpr LossKind kAllLosses[] = {LossKind::Killed,    LossKind::Wiped,  LossKind::PowerOff,
-                                          LossKind::Restarted, LossKind::CutOff, LossKind::Frozen,
-                                          LossKind::Replaced};
+inline constexpr LossKind kAllLossKinds[] = {
+    LossKind::Killed, LossKind::Wiped,  LossKind::PowerOff, LossKind::Restarted,
+    LossKind::CutOff, LossKind::Frozen, LossKind::Replaced};
 const char* nameOf(LossKind kind);
 
 struct LossesSettings {
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -21,7 +21,7 @@
 }
 }  // namespace
 
-std::string writeChain(const ChainBody& body) {
+std::string encodeSimulatedBody(const SimulatedBody& body) {
   std::ostringstream text;
   text << body.number << ' ' << body.forgotten << ' ' << body.taken.size();
   for (const TakenChange& change : body.taken) text << ' ' << change.number << ' ' << change.digest;
@@ -29,8 +29,8 @@
   return text.str();
 }
 
-ChainBody readChain(const std::string& text) {
-  ChainBody body;
+SimulatedBody decodeSimulatedBody(const std::string& text) {
+  SimulatedBody body;
   std::istringstream read(text.substr(0, text.find('\n')));
   std::size_t count = 0;
   read >> body.number >> body.forgotten >> count;
@@ -42,10 +42,10 @@
   return body;
 }
 
-Update orderOnTop(const SentChange& order, std::size_t padding, bool forgetting) {
+Update updateFor(const SentChange& order, std::size_t padding, bool forgetting) {
   return [order, padding,
           forgetting](const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    ChainBody body = readChain(standing);
+    SimulatedBody body = decodeSimulatedBody(standing);
     if (forgetting) body.taken.clear();
     switch (standingOf(order, body.taken, body.forgotten, body.number)) {
       case ChangeStanding::Taken:
@@ -60,7 +60,7 @@
     body.forgotten = std::max(body.forgotten, addTaken(&body.taken, {order.number, order.digest}));
     body.number = order.number;
     body.padding = padding;
-    return writeChain(body);
+    return encodeSimulatedBody(body);
   };
 }
 
@@ -73,7 +73,7 @@
 
 void Operators::send(std::size_t order, std::size_t machine, bool answerLost) {
   if (!world_.isUp(machine)) return;
-  UpdateOperation updateOperation(orderOnTop(orders_.at(order).change, padding_, forgetting_),
+  UpdateOperation updateOperation(updateFor(orders_.at(order).change, padding_, forgetting_),
                                   kBodyLimit, world_.localNow(machine) + kOrderDue);
   calls_.push_back(
       std::make_unique<Call>(Call{order, machine, answerLost, std::move(updateOperation)}));
@@ -132,7 +132,7 @@
     if (!confirmedOn.try_emplace(order.change.basis, i).second)
       broken.push_back(name + " was confirmed on the basis of another one that was");
   }
-  const ChainBody body = readChain(standing);
+  const SimulatedBody body = decodeSimulatedBody(standing);
   if (body.number < newest_) broken.push_back("what stands is older than what was confirmed");
   for (const TakenChange& taken : body.taken) {
     for (const Order& order : orders_) {
--- a/src/sim/operators.h
+++ b/src/sim/operators.h
@@ -12,15 +12,15 @@
 namespace quayrill::sim {
 
 // The body of the simulated register: the newest number and what was taken, as a dialect keeps it.
-struct ChainBody {
+struct SimulatedBody {
   std::uint64_t number = 0;
   std::uint64_t forgotten = 0;
   TakenChanges taken;
   std::size_t padding = 0;  // bytes that make it as long as a configuration
 };
-std::string writeChain(const ChainBody& body);
-ChainBody readChain(const std::string& text);
-Update orderOnTop(const SentChange& order, std::size_t padding, bool forgetting);
+std::string encodeSimulatedBody(const SimulatedBody& body);
+SimulatedBody decodeSimulatedBody(const std::string& text);
+Update updateFor(const SentChange& order, std::size_t padding, bool forgetting);
 
 struct Order {
   SentChange change;
@@ -48,7 +48,7 @@
   std::uint64_t newestConfirmed() const { return newest_; }
   void setPadding(std::size_t bytes) { padding_ = bytes; }
   // A planted defect: what was taken is not remembered.
-  void plantForgetting(bool plant) { forgetting_ = plant; }
+  void injectForgetting(bool plant) { forgetting_ = plant; }
   // Breaches of what is promised: at most one order on one basis is confirmed, none is both
   // confirmed and refused, and the body that stands was made by confirmed orders or unclear ones.
   std::vector<std::string> broken(const std::string& standing) const;
--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -44,16 +44,17 @@
             << steady.founded << " messages/machine/s " << steady.messagesPerMachineSecond
             << " bytes/machine/s " << steady.bytesPerMachineSecond << " messages/s at a replica "
             << steady.replicaMessagesPerSecond << " change everywhere after ms "
-            << Millis(steady.changeEverywhereAfter).count() << " converged after cut ms "
-            << Millis(steady.convergedAfterCut).count() << "\n"
+            << Millis(steady.changePropagatedAfter).count() << " converged after cut ms "
+            << Millis(steady.reconvergedAfterPartition).count() << "\n"
             << "bytes/s out of a replica " << steady.replicaBytesPerSecond
-            << " processor us/machine/s " << steady.processorPerMachineSecond * 1e6
-            << " bytes of a change " << steady.changeBytes << " of them out of a replica "
-            << steady.changeReplicaBytes << "\n"
-            << "a zone cut off is missed by all after ms " << Millis(steady.zoneMissedAfter).count()
-            << " and back with all after ms " << Millis(steady.zoneBackAfter).count() << "\n"
+            << " processor us/machine/s " << steady.cpuSecondsPerMachineSecond * 1e6
+            << " bytes of a change " << steady.bytesPerChange << " of them out of a replica "
+            << steady.replicaBytesPerChange << "\n"
+            << "a zone cut off is missed by all after ms "
+            << Millis(steady.zoneLossDetectedAfter).count() << " and back with all after ms "
+            << Millis(steady.zoneRejoinedAfter).count() << "\n"
             << "bytes/machine/s by kind";
-  for (const auto& [kind, bytes] : steady.bytesOfKind) {
+  for (const auto& [kind, bytes] : steady.bytesByKind) {
     if (bytes >= 1) std::cout << " " << kind << " " << bytes;
   }
   std::cout << "\nbroken " << steady.violations.size() << "\n";
@@ -74,26 +75,26 @@
 std::size_t runNamed(const quayrill::sim::NamedScenario& scenario, std::uint64_t first,
                      std::uint64_t count, bool plant) {
   using Millis = std::chrono::duration<double, std::milli>;
-  quayrill::sim::NamedResult total;
+  quayrill::sim::NamedScenarioResult total;
   std::size_t broken = 0;
   for (auto seed = first; seed < first + count; ++seed) {
-    const quayrill::sim::NamedResult result = scenario.run(seed, plant);
+    const quayrill::sim::NamedScenarioResult result = scenario.run(seed, plant);
     total.confirmed += result.confirmed;
     total.refused += result.refused;
     total.unclear += result.unclear;
     total.resends += result.resends;
-    total.incidents += result.incidents;
+    total.faultsInjected += result.faultsInjected;
     total.slowestCatchUp = std::max(total.slowestCatchUp, result.slowestCatchUp);
-    total.slowestVote = std::max(total.slowestVote, result.slowestVote);
+    total.slowestRejoin = std::max(total.slowestRejoin, result.slowestRejoin);
     broken += result.broken.empty() ? 0 : 1;
     for (const std::string& what : result.broken)
       std::cout << "seed " << seed << ": " << what << "\n";
   }
-  std::cout << scenario.name << ": seeds " << count << " troubles " << total.incidents
+  std::cout << scenario.name << ": seeds " << count << " troubles " << total.faultsInjected
             << "; orders confirmed " << total.confirmed << " refused " << total.refused
             << " unclear " << total.unclear << " resent " << total.resends
             << "; slowest to catch up ms " << Millis(total.slowestCatchUp).count()
-            << ", to vote again ms " << Millis(total.slowestVote).count() << "; seeds broken "
+            << ", to vote again ms " << Millis(total.slowestRejoin).count() << "; seeds broken "
             << broken << "\n";
   return broken;
 }
@@ -105,10 +106,10 @@
       docopt::docopt(kUsage, {argv + 1, argv + argc}, true, "quayrill-sim " QUAYRILL_VERSION);
   WorldSettings settings;
   const std::string plant = flags["--plant"] ? flags["--plant"].asString() : "";
-  settings.plantUnsyncedDisk = plant == "unsynced";
-  settings.plantReusedStore = plant == "reused";
-  settings.plantFastClocks = plant == "clocks";
-  settings.plantStaleConfirm = plant == "stale";
+  settings.injectUnsyncedDisk = plant == "unsynced";
+  settings.injectReusedStore = plant == "reused";
+  settings.injectFastClocks = plant == "clocks";
+  settings.injectStaleConfirm = plant == "stale";
   std::size_t broken = 0;
   Tally total;
   try {
@@ -142,7 +143,7 @@
       total.conflicts += result.tally.conflicts;
       total.notTried += result.tally.notTried;
       total.unknown += result.tally.unknown;
-      total.leasesSeen += result.tally.leasesSeen;
+      total.leaseObservations += result.tally.leaseObservations;
       if (count == 1)
         std::cout
             << "seed " << seed << " trace " << std::hex << result.traceHash << std::dec
@@ -164,7 +165,7 @@
     return 2;
   }
   std::cout << "changes chosen " << total.chosen << " conflict " << total.conflicts << " not tried "
-            << total.notTried << " unknown " << total.unknown << "; holds seen " << total.leasesSeen
-            << "; seeds broken " << broken << "\n";
+            << total.notTried << " unknown " << total.unknown << "; holds seen "
+            << total.leaseObservations << "; seeds broken " << broken << "\n";
   return broken == 0 ? 0 : 1;
 }
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -32,14 +32,15 @@
   bool founded = false;
   double messagesPerMachineSecond = 0, bytesPerMachineSecond = 0;
   double replicaMessagesPerSecond = 0;        // to the busiest copy
-  Span changeEverywhereAfter{};               // slowest of several changes
-  Span convergedAfterCut{};                   // half of the machines cut off for 20 s, then healed
+  Span changePropagatedAfter{};               // slowest of several changes
+  Span reconvergedAfterPartition{};           // half of the machines cut off for 20 s, then healed
   double replicaBytesPerSecond = 0;           // out of the busiest copy
-  double processorPerMachineSecond = 0;       // of logic and wire format, in seconds
-  std::map<std::string, double> bytesOfKind;  // by kind of message
-  double changeBytes = 0, changeReplicaBytes = 0;  // of one change: by all, by the busiest copy
-  Span zoneMissedAfter{};             // a zone is cut off: all others list themselves alone
-  Span zoneBackAfter{};               // healed: all list all
+  double cpuSecondsPerMachineSecond = 0;      // of logic and wire format, in seconds
+  std::map<std::string, double> bytesByKind;  // by kind of message
+  double bytesPerChange = 0,
+         replicaBytesPerChange = 0;   // of one change: by all, by the busiest copy
+  Span zoneLossDetectedAfter{};       // a zone is cut off: all others list themselves alone
+  Span zoneRejoinedAfter{};           // healed: all list all
   std::vector<Violation> violations;  // of the whole run
   bool hasRegions = false;
   RegionPartition regionPartition{};
--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -10,19 +10,19 @@
 
 namespace quayrill::sim {
 
-struct NamedResult {
+struct NamedScenarioResult {
   std::vector<std::string> broken;
   std::size_t confirmed = 0, refused = 0, unclear = 0;  // orders, by their last clear answer
   std::size_t resends = 0;
-  std::size_t incidents = 0;  // troubles that were brought about
-  Span slowestCatchUp{};      // from the end of a trouble until the newest is confirmed there
-  Span slowestVote{};         // until its replica is a writable member of a settled set
+  std::size_t faultsInjected = 0;  // troubles that were brought about
+  Span slowestCatchUp{};           // from the end of a trouble until the newest is confirmed there
+  Span slowestRejoin{};            // until its replica is a writable member of a settled set
 };
 
 struct NamedScenario {
   std::string_view name;
   std::string_view what;
-  NamedResult (*run)(std::uint64_t seed, bool plant);
+  NamedScenarioResult (*run)(std::uint64_t seed, bool plant);
 };
 const std::vector<NamedScenario>& namedScenarios();
 
@@ -30,12 +30,12 @@
 
 // A control machine is cut off for 20 s while changes go on elsewhere and an operator asks it.
 // Planted: it vouches for its configuration without asking.
-NamedResult runCutOff(std::uint64_t seed, bool plant);
+NamedScenarioResult runCutOff(std::uint64_t seed, bool plant);
 // Two operators pick one number each time, 7 of 10 answers are lost, and all is sent again.
 // Planted: a resend is judged as a new order.
-NamedResult runRacingOperators(std::uint64_t seed, bool plant);
+NamedScenarioResult runRacingOperators(std::uint64_t seed, bool plant);
 // 600 changes while replicas restart, lose power, are emptied, slow, stalled and failing.
 // Planted: an emptied disk comes back under its old identity.
-NamedResult runManyChanges(std::uint64_t seed, bool plant);
+NamedScenarioResult runManyChanges(std::uint64_t seed, bool plant);
 
 }  // namespace quayrill::sim
--- a/src/sim/scenarios_copies.cpp
+++ b/src/sim/scenarios_copies.cpp
@@ -49,7 +49,7 @@
 }
 
 // Makes one change on top of the newest, through any machine that is up, until it is confirmed.
-bool makeChange(World& world, Operators* operators, NamedResult* result) {
+bool makeChange(World& world, Operators* operators, NamedScenarioResult* result) {
   const std::uint64_t basis = operators->newestConfirmed();
   const std::size_t order = operators->make(basis, basis + 1);
   for (int tries = 0; tries < 60; ++tries) {
@@ -66,13 +66,13 @@
 }
 }  // namespace
 
-NamedResult runManyChanges(std::uint64_t seed, bool plant) {
-  NamedResult result;
+NamedScenarioResult runManyChanges(std::uint64_t seed, bool plant) {
+  NamedScenarioResult result;
   WorldSettings settings;
   settings.seed = seed;
   settings.diskMachines = 3;
   settings.edgeMachines = 2;
-  settings.plantReusedStore = plant;
+  settings.injectReusedStore = plant;
   World world(settings);
   if (!runUntilFounded(world, 60s)) result.broken.push_back("not founded");
   Operators operators(world);
@@ -85,7 +85,7 @@
       continue;
     }
     const auto kinds = static_cast<std::size_t>(Trouble::Count);
-    const auto trouble = static_cast<Trouble>(result.incidents++ % kinds);
+    const auto trouble = static_cast<Trouble>(result.faultsInjected++ % kinds);
     machine = (machine + 1) % world.diskMachines();
     begin(world, machine, trouble);
     const Span until = world.elapsed() + kTroubleSpan;
@@ -99,7 +99,7 @@
       world.run(20ms);
       const Span past = world.elapsed() - ended;
       const std::uint64_t number =
-          readChain(world.core(machine).freshness().configuration().value.body).number;
+          decodeSimulatedBody(world.core(machine).freshness().configuration().value.body).number;
       const bool isNewest = number >= operators.newestConfirmed();
       if (caughtUp == Span{} && isNewest && world.isConfirmed(machine, 500ms)) caughtUp = past;
       if (voting == Span{} && votes(world, machine)) voting = past;
@@ -108,7 +108,7 @@
       result.broken.push_back("a replica never came back after trouble " +
                               std::to_string(static_cast<int>(trouble)));
     result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
-    result.slowestVote = std::max(result.slowestVote, voting);
+    result.slowestRejoin = std::max(result.slowestRejoin, voting);
   }
   world.run(4s);
   const std::uint64_t id = world.read(0);
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -54,10 +54,10 @@
 };
 
 std::uint64_t numberAt(World& world, std::size_t machine) {
-  return readChain(world.core(machine).freshness().configuration().value.body).number;
+  return decodeSimulatedBody(world.core(machine).freshness().configuration().value.body).number;
 }
 
-void note(const Operators& operators, NamedResult* result) {
+void note(const Operators& operators, NamedScenarioResult* result) {
   for (const Order& order : operators.orders()) {
     if (order.confirmed)
       ++result->confirmed;
@@ -81,7 +81,7 @@
   return {};
 }
 
-void finish(World& world, const Operators& operators, NamedResult* result) {
+void finish(World& world, const Operators& operators, NamedScenarioResult* result) {
   const std::string body = standing(world, &result->broken);
   for (std::string& what : operators.broken(body)) result->broken.push_back(std::move(what));
   world.checkHistory();
@@ -90,10 +90,10 @@
 }
 }  // namespace
 
-NamedResult runCutOff(std::uint64_t seed, bool plant) {
-  NamedResult result;
+NamedScenarioResult runCutOff(std::uint64_t seed, bool plant) {
+  NamedScenarioResult result;
   WorldSettings settings = smallCore(seed);
-  settings.plantStaleConfirm = plant;
+  settings.injectStaleConfirm = plant;
   World world(settings);
   if (!runUntilFounded(world, kFoundingLimit)) result.broken.push_back("not founded");
   Operators operators(world);
@@ -101,7 +101,7 @@
   for (const Cut kind : {Cut::BothWays, Cut::Inward, Cut::Outward, Cut::FromReplicas}) {
     const std::size_t machine = world.random()() % world.diskMachines();
     const std::size_t elsewhere = (machine + 2) % world.diskMachines();
-    ++result.incidents;
+    ++result.faultsInjected;
     cutOff(world, machine, kind);
     std::vector<std::size_t> there;  // orders that were sent to the machine cut off
     for (Span past{}; past < kCutSpan; past += 500ms) {
@@ -150,11 +150,11 @@
   return result;
 }
 
-NamedResult runRacingOperators(std::uint64_t seed, bool plant) {
-  NamedResult result;
+NamedScenarioResult runRacingOperators(std::uint64_t seed, bool plant) {
+  NamedScenarioResult result;
   WorldSettings settings = smallCore(seed);
-  settings.lossRate = 0.05;
-  settings.duplicateRate = 0.05;
+  settings.messageLossRate = 0.05;
+  settings.messageDuplicationRate = 0.05;
   World world(settings);
   if (!runUntilFounded(world, kFoundingLimit)) result.broken.push_back("not founded");
   Operators operators(world);
@@ -162,7 +162,7 @@
     return std::uniform_real_distribution<>(0, 1)(world.random()) < kAnswersLost;
   };
   const auto anyMachine = [&] { return world.random()() % world.size(); };
-  operators.plantForgetting(plant);
+  operators.injectForgetting(plant);
   std::vector<std::size_t> all;
   for (int round = 0; round < 40; ++round) {
     const std::uint64_t basis = operators.newestConfirmed();
@@ -181,7 +181,7 @@
     // An order of long ago comes again.
     operators.send(all[world.random()() % all.size()], anyMachine(), isLost());
     ++result.resends;
-    ++result.incidents;
+    ++result.faultsInjected;
   }
   operators.run(10s);
   world.healAll();
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -38,14 +38,14 @@
   const auto perMachine = [&](std::uint64_t count) {
     return static_cast<double>(count) / machineSeconds;
   };
-  result->processorPerMachineSecond =
+  result->cpuSecondsPerMachineSecond =
       static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC / machineSeconds;
   result->messagesPerMachineSecond = perMachine(world.tally().messages - before.messages);
   result->bytesPerMachineSecond = perMachine(world.tally().bytes - before.bytes);
-  for (const auto& [kind, bytes] : world.tally().bytesOfKind) {
-    const auto old = before.bytesOfKind.find(kind);
-    result->bytesOfKind[kind] =
-        perMachine(bytes - (old == before.bytesOfKind.end() ? 0 : old->second));
+  for (const auto& [kind, bytes] : world.tally().bytesByKind) {
+    const auto old = before.bytesByKind.find(kind);
+    result->bytesByKind[kind] =
+        perMachine(bytes - (old == before.bytesByKind.end() ? 0 : old->second));
   }
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
     result->replicaMessagesPerSecond =
@@ -68,18 +68,18 @@
     for (int i = 0; i < 3000 && !world.asked(id).done; ++i) world.run(1ms);
     const Span acknowledgedAt = world.elapsed();
     for (int i = 0; i < 10000 && !world.isInForce(version + 1); ++i) world.run(1ms);
-    result->changeEverywhereAfter =
-        std::max(result->changeEverywhereAfter, world.elapsed() - acknowledgedAt);
+    result->changePropagatedAfter =
+        std::max(result->changePropagatedAfter, world.elapsed() - acknowledgedAt);
     world.run(1s);
   }
   const double seconds = std::chrono::duration<double>(world.elapsed() - begun).count();
-  result->changeBytes =
+  result->bytesPerChange =
       (static_cast<double>(world.tally().bytes - bytesBefore) -
        result->bytesPerMachineSecond * seconds * static_cast<double>(world.size())) /
       kChanges;
-  result->changeReplicaBytes = (static_cast<double>(world.bytesSentBy(0) - replicaBefore) -
-                                result->replicaBytesPerSecond * seconds) /
-                               kChanges;
+  result->replicaBytesPerChange = (static_cast<double>(world.bytesSentBy(0) - replicaBefore) -
+                                   result->replicaBytesPerSecond * seconds) /
+                                  kChanges;
 }
 
 RegionPartition partRegions(World& world, Span span, std::size_t zones) {
@@ -138,11 +138,11 @@
   world.run(20s);
   world.healAll();
   const auto agreed = [&] { return world.isConverged() && world.isMembershipComplete(); };
-  result.convergedAfterCut = runUntil(world, 600s, agreed);
+  result.reconvergedAfterPartition = runUntil(world, 600s, agreed);
 
   const auto zone = machinesOf(world, {settings.zones - 1});
   world.cut(zone, true);
-  result.zoneMissedAfter = runUntil(world, 60s, [&] {
+  result.zoneLossDetectedAfter = runUntil(world, 60s, [&] {
     for (std::size_t i = 0; i < world.size(); ++i) {
       if (!zone.contains(i) && world.liveMachinesSeenBy(i) != world.size() - zone.size())
         return false;
@@ -151,7 +151,7 @@
   });
   world.run(20s);
   world.healAll();
-  result.zoneBackAfter = runUntil(world, 600s, agreed);
+  result.zoneRejoinedAfter = runUntil(world, 600s, agreed);
   result.hasRegions = steady.part > Span{};
   if (result.hasRegions) result.regionPartition = partRegions(world, steady.part, settings.zones);
   world.read(0);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -23,7 +23,7 @@
     machine.isReserve = i >= atFirst;
     machine.hasDisk = i < settings.diskMachines || machine.isReserve;
     machine.clockOffset = std::chrono::seconds(random_() % 100000);
-    if (settings.plantFastClocks && i % 2 == 1) machine.clockRate = 6;
+    if (settings.injectFastClocks && i % 2 == 1) machine.clockRate = 6;
     byAddress_[machine.address] = i;
     machines_.push_back(std::move(machine));
   }
@@ -34,7 +34,7 @@
   for (std::size_t i = 0; i < count; ++i) start(i);
 }
 
-void World::violate(const std::string& what) { violations_.push_back({what, elapsed()}); }
+void World::recordViolation(const std::string& what) { violations_.push_back({what, elapsed()}); }
 
 void World::schedule(Event event) {
   event.order = ++order_;
@@ -88,7 +88,7 @@
   const auto store = machines_[index].synced.find("store");
   const auto format = machines_[index].synced.find("format");
   std::map<std::string, std::string> kept;
-  if (settings_.plantReusedStore && store != machines_[index].synced.end())
+  if (settings_.injectReusedStore && store != machines_[index].synced.end())
     kept = {*store, *format};
   machines_[index].synced = kept;
 }
@@ -160,18 +160,19 @@
   ++tally_.messages;
   const std::string bytes = encodeEnvelope(envelope);
   tally_.bytes += bytes.size();
-  tally_.bytesOfKind[messageName(envelope.body)] += bytes.size();
+  tally_.bytesByKind[messageName(envelope.body)] += bytes.size();
   machines_[from].bytesSent += bytes.size();
   if (to >= machines_.size() || cuts_.contains({from, to})) return;
   const auto chance = [&](double rate) {
     return std::uniform_real_distribution<>(0, 1)(random_) < rate;
   };
-  if (from != to && chance(settings_.lossRate)) return;
-  const int replicas = chance(settings_.duplicateRate) ? 2 : 1;
+  if (from != to && chance(settings_.messageLossRate)) return;
+  const int replicas = chance(settings_.messageDuplicationRate) ? 2 : 1;
   for (int i = 0; i < replicas; ++i) {
-    Span delay = settings_.delayLow +
-                 Span(random_() % static_cast<std::uint64_t>(
-                                      (settings_.delayHigh - settings_.delayLow).count()));
+    Span delay =
+        settings_.minMessageDelay +
+        Span(random_() % static_cast<std::uint64_t>(
+                             (settings_.maxMessageDelay - settings_.minMessageDelay).count()));
     if (chance(0.01)) delay *= 40;  // late and out of order
     schedule({now_ + delay, 0, Kind::Arrive, to, 0, bytes, {}});
   }
@@ -182,7 +183,7 @@
   for (const Envelope& envelope : effects.sends) transmit(index, envelope);
   for (ReplicaWork& work : effects.replicaWork) {
     for (const DiskWrite& write : work.writes) machine.unsynced.push_back(write);
-    if (settings_.plantUnsyncedDisk && work.answer) {
+    if (settings_.injectUnsyncedDisk && work.answer) {
       transmit(index, *work.answer);
       work.answer.reset();
     }
@@ -194,7 +195,7 @@
     if (row == pending_.end()) continue;
     Asked& asked = asked_[row->second - 1];
     asked.done = done;
-    asked.doneAt = now_;
+    asked.completedAt = now_;
     pending_.erase(row);
     switch (done.result) {
       case ChangeResult::Chosen:
@@ -225,7 +226,7 @@
                                   [](const ReplicaWork& work) { return !work.writes.empty(); });
   Span cost = writes ? Span(std::chrono::microseconds(100 + random_() % 900)) : Span{};
   if (writes) cost += machine.diskDelay;
-  if (settings_.plantUnsyncedDisk) cost *= 400;
+  if (settings_.injectUnsyncedDisk) cost *= 400;
   schedule({now_ + cost,
             0,
             Kind::DiskDone,
@@ -272,7 +273,7 @@
   machine.diskBusy = false;
   AgentEffects effects;
   if (!machine.core->onDiskReadAnew(machine.synced, &effects))
-    violate("a mended disk could not be read anew");
+    recordViolation("a mended disk could not be read anew");
   apply(index, std::move(effects));
 }
 
@@ -334,7 +335,7 @@
     case Kind::Arrive: {
       ++machine.arrivals;
       const auto envelope = decodeEnvelope(event.bytes);
-      if (!envelope.ok()) return violate("a message did not decode");
+      if (!envelope.ok()) return recordViolation("a message did not decode");
       machine.core->onMessage(*envelope, local(machine), &effects);
       break;
     }
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -27,15 +27,15 @@
   bool bootstrap = false;
   Span leaseSpan{};
   std::size_t zones = 4;  // machines go to zones in turn
-  double lossRate = 0.02;
-  double duplicateRate = 0.02;
-  Span delayLow = std::chrono::microseconds(200);
-  Span delayHigh = std::chrono::milliseconds(8);
+  double messageLossRate = 0.02;
+  double messageDuplicationRate = 0.02;
+  Span minMessageDelay = std::chrono::microseconds(200);
+  Span maxMessageDelay = std::chrono::milliseconds(8);
   // Planted defects: each must trip a checker.
-  bool plantUnsyncedDisk = false;  // answers leave before the write is synced
-  bool plantReusedStore = false;   // an emptied disk comes back under its old identity
-  bool plantFastClocks = false;    // every other machine's clock runs six times too fast
-  bool plantStaleConfirm = false;  // a daemon vouches for the configuration without asking
+  bool injectUnsyncedDisk = false;  // answers leave before the write is synced
+  bool injectReusedStore = false;   // an emptied disk comes back under its old identity
+  bool injectFastClocks = false;    // every other machine's clock runs six times too fast
+  bool injectStaleConfirm = false;  // a daemon vouches for the configuration without asking
 };
 
 struct Violation {
@@ -48,14 +48,14 @@
   std::size_t machine = 0;
   ChangeAsked change;
   Instant askedAt;
-  std::optional<Instant> doneAt;
+  std::optional<Instant> completedAt;
   std::optional<ChangeDone> done;
 };
 
 struct Tally {
   std::uint64_t messages = 0, bytes = 0, chosen = 0, conflicts = 0, notTried = 0, unknown = 0;
-  std::uint64_t leasesSeen = 0, events = 0;
-  std::map<std::string, std::uint64_t> bytesOfKind;
+  std::uint64_t leaseObservations = 0, events = 0;
+  std::map<std::string, std::uint64_t> bytesByKind;
 };
 
 class World {
@@ -93,8 +93,8 @@
   AgentCore::Recovered recover(std::size_t machine, const std::string& given,
                                std::uint64_t givenVersion);
   void plant(bool unsynced, bool reused) {
-    settings_.plantUnsyncedDisk = unsynced;
-    settings_.plantReusedStore = reused;
+    settings_.injectUnsyncedDisk = unsynced;
+    settings_.injectReusedStore = reused;
   }
   void addLeaderRole(const std::string& role) { roles_.insert(role); }
 
@@ -171,7 +171,7 @@
   void handle(const Event& event);
   void checkMachine(std::size_t machine);
   void checkLeases();
-  void violate(const std::string& what);
+  void recordViolation(const std::string& what);
   std::size_t indexOf(const Address& address) const;
 
   WorldSettings settings_;
@@ -186,7 +186,7 @@
   std::map<std::pair<std::size_t, OperationId>, std::uint64_t> pending_;
   std::set<std::string> roles_;
   std::map<std::string, std::pair<std::uint64_t, std::size_t>> highestFence_;
-  std::map<std::uint64_t, WriteId> writeOfVersion_;              // one write per version, for ever
+  std::map<std::uint64_t, WriteId> writeByVersion_;              // one write per version, for ever
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged_;  // (when, version), rising
   std::vector<Violation> violations_;
   std::uint64_t traceHash_ = 0;
--- a/tests/founding_tests.cpp
+++ b/tests/founding_tests.cpp
@@ -116,8 +116,8 @@
     settings.edgeMachines = 2;
     settings.replicasWanted = 3;
     settings.bootstrap = true;
-    settings.delayHigh = 60ms;  // and 2.4 s for one message in a hundred
-    settings.lossRate = 0.1;
+    settings.maxMessageDelay = 60ms;  // and 2.4 s for one message in a hundred
+    settings.messageLossRate = 0.1;
     sim::World world(settings);
     for (int i = 0; i < 6; ++i) {
       world.run(std::chrono::milliseconds(10 + world.random()() % 120));
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -76,8 +76,8 @@
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     INFO("seed " << seed);
     WorldSettings settings = coreOfFour(seed);
-    settings.lossRate = settings.duplicateRate = 0.15;
-    settings.delayHigh = seed % 2 ? 60ms : 8ms;
+    settings.messageLossRate = settings.messageDuplicationRate = 0.15;
+    settings.maxMessageDelay = seed % 2 ? 60ms : 8ms;
     World world(settings);
     auto& random = world.random();
     for (std::size_t deaths = 0; deaths < 1 + seed % 3; ++deaths) {
--- a/tests/scenario_tests.cpp
+++ b/tests/scenario_tests.cpp
@@ -8,17 +8,17 @@
 using namespace quayrill::sim;
 
 namespace {
-void runSeeds(NamedResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
+void runSeeds(NamedScenarioResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     INFO("seed " << seed);
-    const NamedResult result = run(seed, false);
-    CHECK(result.incidents > 0);
+    const NamedScenarioResult result = run(seed, false);
+    CHECK(result.faultsInjected > 0);
     CHECK(result.confirmed > 0);
     for (const std::string& what : result.broken) FAIL_CHECK(what);
   }
 }
 // Some seed finds the planted error.
-bool isFound(NamedResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
+bool isFound(NamedScenarioResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     if (!run(seed, true).broken.empty()) return true;
   }
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -159,7 +159,7 @@
     }
     return broken;
   };
-  CHECK(brokenWith([](WorldSettings& settings) { settings.plantStaleConfirm = true; }) > 0);
+  CHECK(brokenWith([](WorldSettings& settings) { settings.injectStaleConfirm = true; }) > 0);
   CHECK(brokenWith([](WorldSettings&) {}) == 0);
 }
 
@@ -170,7 +170,7 @@
       WorldSettings settings;
       settings.seed = seed;
       settings.diskMachines = 5;  // three of them are a majority
-      settings.plantFastClocks = fast;
+      settings.injectFastClocks = fast;
       World world(settings);
       runUntilFounded(world, 60s);
       // Every other machine, the fast ones, is away until a sound one holds the leader role.
@@ -385,7 +385,7 @@
   CHECK(result.regionPartition.chosenByMajority == result.regionPartition.asked);
   CHECK(result.regionPartition.chosenByMinority == 0);
   CHECK(result.regionPartition.reconvergedAfter < 20s);
-  CHECK(result.zoneMissedAfter < 20s);
-  CHECK(result.zoneBackAfter < 20s);
+  CHECK(result.zoneLossDetectedAfter < 20s);
+  CHECK(result.zoneRejoinedAfter < 20s);
   CHECK(result.violations.empty());
 }
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -306,7 +306,7 @@
     sim::WorldSettings settings;
     settings.seed = seed;
     settings.edgeMachines = 3;
-    settings.lossRate = 0.05;
+    settings.messageLossRate = 0.05;
     Fleet fleet(settings);
     std::uint64_t basis = 0;
     for (std::uint64_t round = 1; round <= 5; ++round) {
