--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -183,7 +183,7 @@
       loss.endsAt = now + settings_.catchUpSpan;
     }
     if (due(loss.healAt)) {
-      if (loss.kind == LossKind::CutOff) world_.cut({loss.machine}, false);
+      if (loss.kind == LossKind::CutOff) world_.setPartitioned({loss.machine}, false);
       loss.endsAt = now + settings_.catchUpSpan;
     }
     if (due(loss.joinAt)) {
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -50,14 +50,14 @@
       world.setLinkBlocked(machine, random() % world.size(), true);
       break;
     case 6:
-      world.cut({machine}, true);
+      world.setPartitioned({machine}, true);
       break;
     case 7: {
       std::set<std::size_t> side;
       for (std::size_t i = 0; i < world.diskMachines(); ++i) {
         if (random() % 2) side.insert(i);
       }
-      world.cut(side, true);
+      world.setPartitioned(side, true);
       break;
     }
     case 8:
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -95,7 +95,7 @@
     return std::any_of(smaller.begin(), smaller.end(),
                        [&](std::size_t i) { return world.isConfirmed(i, 2s); });
   };
-  world.cut(larger, true);
+  world.setPartitioned(larger, true);
   regionPartition.minorityClosedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
   const Span until = world.elapsed() + span;
   const auto countChosen = [&](std::uint64_t id) -> std::size_t {
@@ -134,14 +134,14 @@
 
   std::set<std::size_t> side;
   for (std::size_t i = 0; i < world.size(); i += 2) side.insert(i);
-  world.cut(side, true);
+  world.setPartitioned(side, true);
   world.run(20s);
   world.healAll();
   const auto agreed = [&] { return world.isConverged() && world.isMembershipComplete(); };
   result.reconvergedAfterPartition = runUntil(world, 600s, agreed);
 
   const auto zone = machinesOf(world, {settings.zones - 1});
-  world.cut(zone, true);
+  world.setPartitioned(zone, true);
   result.zoneLossDetectedAfter = runUntil(world, 60s, [&] {
     for (std::size_t i = 0; i < world.size(); ++i) {
       if (!zone.contains(i) && world.liveMachinesSeenBy(i) != world.size() - zone.size())
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -125,17 +125,17 @@
   machines_[index].frozenUntil = std::max(machines_[index].frozenUntil, now_ + span);
 }
 
-void World::setLinkBlocked(std::size_t from, std::size_t to, bool cut) {
-  if (cut)
+void World::setLinkBlocked(std::size_t from, std::size_t to, bool setPartitioned) {
+  if (setPartitioned)
     cuts_.insert({from, to});
   else
     cuts_.erase({from, to});
 }
 
-void World::cut(const std::set<std::size_t>& side, bool cut) {
+void World::setPartitioned(const std::set<std::size_t>& side, bool setPartitioned) {
   for (std::size_t a = 0; a < machines_.size(); ++a) {
     for (std::size_t b = 0; b < machines_.size(); ++b) {
-      if (side.contains(a) != side.contains(b)) setLinkBlocked(a, b, cut);
+      if (side.contains(a) != side.contains(b)) setLinkBlocked(a, b, setPartitioned);
     }
   }
 }
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -80,8 +80,8 @@
   // The machine was told to end, and serves on meanwhile.
   void leave(std::size_t machine) { machines_[machine].core->setLeaving(true); }
   void freeze(std::size_t machine, Span span);
-  void setLinkBlocked(std::size_t from, std::size_t to, bool cut);
-  void cut(const std::set<std::size_t>& side, bool cut);
+  void setLinkBlocked(std::size_t from, std::size_t to, bool setPartitioned);
+  void setPartitioned(const std::set<std::size_t>& side, bool setPartitioned);
   void healAll();
   void setDiskFailing(std::size_t machine, bool failing) { machines_[machine].diskFails = failing; }
   // A failing disk is sound again, and its folder is opened and read anew under the same process.
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -227,7 +227,7 @@
     }
     // So the loss of any one zone leaves a majority.
     const std::uint64_t version = world.core(6).freshness().configuration().value.version;
-    world.cut({seed % 3, seed % 3 + 3}, true);
+    world.setPartitioned({seed % 3, seed % 3 + 3}, true);
     const std::uint64_t id = world.change(6, version, "kept");
     world.run(3s);
     REQUIRE(world.asked(id).done);
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -75,7 +75,7 @@
       World world(settings);
       runUntilFounded(world, 60s);
       // One replica hears nothing of the change; then others fail as planted.
-      world.cut({3}, true);
+      world.setPartitioned({3}, true);
       world.plant(unsynced, reused);
       const std::uint64_t id = world.change(0, 0, "kept");
       for (int i = 0; i < 400 && !world.asked(id).done; ++i) world.run(2ms);
@@ -105,7 +105,7 @@
   const auto age = [&](std::size_t machine) {
     return world.localNow(machine) - *world.core(machine).freshness().confirmedAt();
   };
-  world.cut({7}, true);
+  world.setPartitioned({7}, true);
   world.freeze(8, 6s);
   const std::uint64_t id = world.change(5, 0, "newer");
   world.run(4s);
@@ -176,7 +176,7 @@
       // Every other machine, the fast ones, is away until a sound one holds the leader role.
       std::set<std::size_t> everyOther;
       for (std::size_t i = 1; i < world.size(); i += 2) everyOther.insert(i);
-      world.cut(everyOther, true);
+      world.setPartitioned(everyOther, true);
       world.run(8s);
       // Some of them fall to a fast one as soon as it is back.
       for (const char* role : {"orders/x", "orders/y", "orders/z", "orders/u", "orders/v"})
@@ -362,7 +362,7 @@
     CHECK(world.core(3).freshness().configuration().value.body == "saved");
     // Started again, it still knows that it is disowned, even alone with its old kind.
     world.crash(3, false);
-    world.cut({3}, true);
+    world.setPartitioned({3}, true);
     world.start(3);
     CHECK_FALSE(world.core(3).isWritable());
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
