--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -92,7 +92,7 @@
   std::uint64_t read(std::size_t machine);
   AgentCore::Recovered recover(std::size_t machine, const std::string& given,
                                std::uint64_t givenVersion);
-  void plant(bool unsynced, bool reused) {
+  void injectDefects(bool unsynced, bool reused) {
     settings_.injectUnsyncedDisk = unsynced;
     settings_.injectReusedStore = reused;
   }
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -76,7 +76,7 @@
       runUntilFounded(world, 60s);
       // One replica hears nothing of the change; then others fail as planted.
       world.setPartitioned({3}, true);
-      world.plant(unsynced, reused);
+      world.injectDefects(unsynced, reused);
       const std::uint64_t id = world.change(0, 0, "kept");
       for (int i = 0; i < 400 && !world.asked(id).done; ++i) world.run(2ms);
       if (!world.asked(id).done || world.asked(id).done->result != ChangeResult::Chosen) continue;
@@ -149,12 +149,12 @@
 }
 
 TEST_CASE("sim: each planted error trips its checker") {
-  const auto brokenWith = [](auto plant) {
+  const auto brokenWith = [](auto injectDefects) {
     std::size_t broken = 0;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       WorldSettings settings;
       settings.seed = seed;
-      plant(settings);
+      injectDefects(settings);
       broken += runScenario(settings, 40s).violations.empty() ? 0 : 1;
     }
     return broken;
