--- a/src/sim/checks.cpp
+++ b/src/sim/checks.cpp
@@ -48,7 +48,7 @@
       const auto fence = machine.core->held(RegisterKey{"hold/" + role}, Span{}, local(machine));
       if (!fence) continue;
       ++holders;
-      ++tally_.leaseObservations;
+      ++counters_.leaseObservations;
       auto& [highest, holder] = highestFence_[role];
       if (fence->value < highest || (fence->value == highest && holder != i))
         recordViolation("fence of " + role + " did not rise with its holder");
--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -111,7 +111,7 @@
   settings.injectFastClocks = plant == "clocks";
   settings.injectStaleConfirm = plant == "stale";
   std::size_t broken = 0;
-  Tally total;
+  RunCounters total;
   try {
     settings.diskMachines = static_cast<std::size_t>(std::stoul(flags["--disks"].asString()));
     settings.edgeMachines = static_cast<std::size_t>(std::stoul(flags["--edges"].asString()));
@@ -139,15 +139,15 @@
     for (auto seed = first; seed < first + count; ++seed) {
       settings.seed = seed;
       const ScenarioResult result = runScenario(settings, span);
-      total.chosen += result.tally.chosen;
-      total.conflicts += result.tally.conflicts;
-      total.notTried += result.tally.notTried;
-      total.unknown += result.tally.unknown;
-      total.leaseObservations += result.tally.leaseObservations;
+      total.chosen += result.counters.chosen;
+      total.conflicts += result.counters.conflicts;
+      total.notTried += result.counters.notTried;
+      total.unknown += result.counters.unknown;
+      total.leaseObservations += result.counters.leaseObservations;
       if (count == 1)
         std::cout
             << "seed " << seed << " trace " << std::hex << result.traceHash << std::dec
-            << " messages " << result.tally.messages << " converged after "
+            << " messages " << result.counters.messages << " converged after "
             << std::chrono::duration_cast<std::chrono::milliseconds>(result.convergedAfter).count()
             << " ms\n";
       if (result.violations.empty() && result.converged) continue;
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -116,7 +116,7 @@
   world.checkHistory();
   result.violations = world.violations();
   result.traceHash = world.traceHash();
-  result.tally = world.tally();
+  result.counters = world.counters();
   return result;
 }
 
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -6,7 +6,7 @@
 struct ScenarioResult {
   std::vector<Violation> violations;
   std::uint64_t traceHash = 0;
-  Tally tally;
+  RunCounters counters;
   bool converged = false;
   Span convergedAfter{};  // from the last heal
 };
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -25,7 +25,7 @@
 }
 
 void measureTraffic(World& world, Span span, SteadyResult* result) {
-  const Tally before = world.tally();
+  const RunCounters before = world.counters();
   std::vector<std::uint64_t> sentBefore, arrivedBefore;
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
     sentBefore.push_back(world.bytesSentBy(i));
@@ -40,9 +40,9 @@
   };
   result->cpuSecondsPerMachineSecond =
       static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC / machineSeconds;
-  result->messagesPerMachineSecond = perMachine(world.tally().messages - before.messages);
-  result->bytesPerMachineSecond = perMachine(world.tally().bytes - before.bytes);
-  for (const auto& [kind, bytes] : world.tally().bytesByKind) {
+  result->messagesPerMachineSecond = perMachine(world.counters().messages - before.messages);
+  result->bytesPerMachineSecond = perMachine(world.counters().bytes - before.bytes);
+  for (const auto& [kind, bytes] : world.counters().bytesByKind) {
     const auto old = before.bytesByKind.find(kind);
     result->bytesByKind[kind] =
         perMachine(bytes - (old == before.bytesByKind.end() ? 0 : old->second));
@@ -60,7 +60,7 @@
 // The bytes are those above the steady traffic of the same time.
 void measureChanges(World& world, std::size_t bodyBytes, SteadyResult* result) {
   constexpr std::uint64_t kChanges = 5;
-  const std::uint64_t bytesBefore = world.tally().bytes, replicaBefore = world.bytesSentBy(0);
+  const std::uint64_t bytesBefore = world.counters().bytes, replicaBefore = world.bytesSentBy(0);
   const Span begun = world.elapsed();
   for (std::uint64_t version = 0; version < kChanges; ++version) {
     const std::uint64_t id = world.change(world.size() - 1 - version, version,
@@ -74,7 +74,7 @@
   }
   const double seconds = std::chrono::duration<double>(world.elapsed() - begun).count();
   result->bytesPerChange =
-      (static_cast<double>(world.tally().bytes - bytesBefore) -
+      (static_cast<double>(world.counters().bytes - bytesBefore) -
        result->bytesPerMachineSecond * seconds * static_cast<double>(world.size())) /
       kChanges;
   result->replicaBytesPerChange = (static_cast<double>(world.bytesSentBy(0) - replicaBefore) -
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -157,10 +157,10 @@
 
 void World::transmit(std::size_t from, const Envelope& envelope) {
   const std::size_t to = indexOf(envelope.to);
-  ++tally_.messages;
+  ++counters_.messages;
   const std::string bytes = encodeEnvelope(envelope);
-  tally_.bytes += bytes.size();
-  tally_.bytesByKind[messageName(envelope.body)] += bytes.size();
+  counters_.bytes += bytes.size();
+  counters_.bytesByKind[messageName(envelope.body)] += bytes.size();
   machines_[from].bytesSent += bytes.size();
   if (to >= machines_.size() || cuts_.contains({from, to})) return;
   const auto chance = [&](double rate) {
@@ -199,16 +199,16 @@
     pending_.erase(row);
     switch (done.result) {
       case ChangeResult::Chosen:
-        ++tally_.chosen;
+        ++counters_.chosen;
         break;
       case ChangeResult::Conflict:
-        ++tally_.conflicts;
+        ++counters_.conflicts;
         break;
       case ChangeResult::NotTried:
-        ++tally_.notTried;
+        ++counters_.notTried;
         break;
       case ChangeResult::Unknown:
-        ++tally_.unknown;
+        ++counters_.unknown;
         break;
     }
     if (done.result == ChangeResult::Chosen && done.value.version > 0) {
@@ -320,7 +320,7 @@
   traceHash_ =
       mixHash(traceHash_, mixHash(static_cast<std::uint64_t>(event.at.time_since_epoch().count()),
                                   event.machine * 8 + static_cast<std::uint64_t>(event.kind)));
-  ++tally_.events;
+  ++counters_.events;
   AgentEffects effects;
   switch (event.kind) {
     case Kind::Tick: {
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -52,7 +52,7 @@
   std::optional<ChangeDone> done;
 };
 
-struct Tally {
+struct RunCounters {
   std::uint64_t messages = 0, bytes = 0, chosen = 0, conflicts = 0, notTried = 0, unknown = 0;
   std::uint64_t leaseObservations = 0, events = 0;
   std::map<std::string, std::uint64_t> bytesByKind;
@@ -113,7 +113,7 @@
   const std::vector<Violation>& violations() const { return violations_; }
   void checkHistory();  // linearizability of the configuration register over all that was asked
   std::uint64_t traceHash() const { return traceHash_; }
-  const Tally& tally() const { return tally_; }
+  const RunCounters& counters() const { return counters_; }
   // True when every live machine has confirmed one and the same configuration version lately.
   bool isConverged() const;
   bool isInForce(std::uint64_t version) const;  // at every live machine
@@ -190,7 +190,7 @@
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged_;  // (when, version), rising
   std::vector<Violation> violations_;
   std::uint64_t traceHash_ = 0;
-  Tally tally_;
+  RunCounters counters_;
 };
 
 }  // namespace quayrill::sim
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -23,7 +23,7 @@
     INFO("replay: quayrill-sim --seconds=25 --seed=" << seed);
     for (const auto& violation : result.violations) FAIL_CHECK(violation.what);
     CHECK(result.converged);
-    CHECK(result.tally.chosen > 0);
+    CHECK(result.counters.chosen > 0);
   }
 }
 
