--- a/src/sim/checks.cpp
+++ b/src/sim/checks.cpp
@@ -64,7 +64,7 @@
 // began after an acknowledgement may end with an older version.
 void World::checkHistory() {
   std::map<std::uint64_t, WriteId> chain = writeByVersion_;
-  for (const Asked& asked : asked_) {
+  for (const RecordedOperation& asked : operations_) {
     if (!asked.done || asked.done->result != ChangeResult::Chosen) continue;
     const RegisterValue& value = asked.done->value;
     if (value.version == 0) continue;
@@ -81,7 +81,7 @@
   std::set<std::uint64_t> written;
   for (const auto& [version, write] : chain) written.insert(write.value);
   std::vector<std::pair<Instant, std::uint64_t>> floors;
-  for (const Asked& asked : asked_) {
+  for (const RecordedOperation& asked : operations_) {
     if (!asked.done) continue;
     const bool took = written.contains(asked.change.writeId.value);
     const auto result = asked.done->result;
@@ -97,10 +97,10 @@
   std::sort(floors.begin(), floors.end());
   std::uint64_t highest = 0;
   for (auto& [at, version] : floors) version = highest = std::max(highest, version);
-  for (const Asked& asked : asked_) {
+  for (const RecordedOperation& asked : operations_) {
     if (!asked.done || asked.done->result != ChangeResult::Chosen) continue;
     const auto after = std::lower_bound(floors.begin(), floors.end(),
-                                        std::make_pair(asked.askedAt, std::uint64_t{0}));
+                                        std::make_pair(asked.startedAt, std::uint64_t{0}));
     if (after == floors.begin()) continue;
     if (asked.done->value.version < std::prev(after)->second)
       recordViolation("a result is older than what was acknowledged before it was asked");
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -29,7 +29,7 @@
   std::vector<std::uint64_t> sentBefore, arrivedBefore;
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
     sentBefore.push_back(world.bytesSentBy(i));
-    arrivedBefore.push_back(world.arrivals(i));
+    arrivedBefore.push_back(world.messagesReceived(i));
   }
   const std::clock_t begun = std::clock();
   world.run(span);
@@ -50,7 +50,7 @@
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
     result->replicaMessagesPerSecond =
         std::max(result->replicaMessagesPerSecond,
-                 static_cast<double>(world.arrivals(i) - arrivedBefore[i]) / seconds);
+                 static_cast<double>(world.messagesReceived(i) - arrivedBefore[i]) / seconds);
     result->replicaBytesPerSecond =
         std::max(result->replicaBytesPerSecond,
                  static_cast<double>(world.bytesSentBy(i) - sentBefore[i]) / seconds);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -44,7 +44,7 @@
 void World::start(std::size_t index) {
   Machine& machine = machines_[index];
   if (machine.core || machine.isReserve) return;
-  ++machine.life;
+  ++machine.incarnation;
   machine.highestConfiguration = 0;
   AgentSettings settings{
       machine.address,
@@ -58,7 +58,7 @@
   settings.catchUpSpan = settings_.catchUpSpan;
   if (settings_.bootstrap) {
     settings.mayFound =
-        machine.life == 1 && index < settings_.diskMachines + settings_.edgeMachines;
+        machine.incarnation == 1 && index < settings_.diskMachines + settings_.edgeMachines;
     settings.foundingWait = Span{};
   }
   std::optional<std::map<std::string, std::string>> disk;
@@ -67,7 +67,8 @@
   AgentEffects effects;
   effects.replicaWork = machine.core->start();
   apply(index, std::move(effects));
-  schedule({now_ + Span(random_() % kTick.count()), 0, Kind::Tick, index, machine.life, {}, {}});
+  schedule(
+      {now_ + Span(random_() % kTick.count()), 0, Kind::Tick, index, machine.incarnation, {}, {}});
 }
 
 void World::crash(std::size_t index, bool powerLoss) {
@@ -193,7 +194,7 @@
   for (const ChangeDone& done : effects.done) {
     const auto row = pending_.find({index, done.operation});
     if (row == pending_.end()) continue;
-    Asked& asked = asked_[row->second - 1];
+    RecordedOperation& asked = operations_[row->second - 1];
     asked.done = done;
     asked.completedAt = now_;
     pending_.erase(row);
@@ -231,7 +232,7 @@
             0,
             Kind::DiskDone,
             index,
-            machine.life,
+            machine.incarnation,
             {},
             std::make_shared<std::vector<ReplicaWork>>(std::move(machine.diskQueue)),
             machine.diskGeneration});
@@ -299,8 +300,8 @@
   if (!machine.core || now_ < machine.frozenUntil) return 0;
   change.writeId = WriteId{random_() | 1};
   change.due = local(machine) + 3s;
-  asked_.push_back({asked_.size() + 1, index, change, now_, {}, {}});
-  const std::uint64_t id = asked_.size();
+  operations_.push_back({operations_.size() + 1, index, change, now_, {}, {}});
+  const std::uint64_t id = operations_.size();
   AgentEffects effects;
   const OperationId operation = machine.core->askChange(change, local(machine), &effects);
   pending_[{index, operation}] = id;
@@ -310,7 +311,7 @@
 
 void World::handle(const Event& event) {
   Machine& machine = machines_[event.machine];
-  if (!machine.core || (event.life != 0 && event.life != machine.life)) return;
+  if (!machine.core || (event.incarnation != 0 && event.incarnation != machine.incarnation)) return;
   if (event.kind != Kind::DiskDone && now_ < machine.frozenUntil) {
     Event later = event;
     later.at = machine.frozenUntil + Span(event.order % 1000);
@@ -329,11 +330,11 @@
         if (machine.core->isMine(role, local(machine)))
           machine.core->pursueLease(RegisterKey{"hold/" + role}, local(machine), &effects);
       }
-      schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.life, {}, {}});
+      schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.incarnation, {}, {}});
       break;
     }
     case Kind::Arrive: {
-      ++machine.arrivals;
+      ++machine.messagesReceived;
       const auto envelope = decodeEnvelope(event.bytes);
       if (!envelope.ok()) return recordViolation("a message did not decode");
       machine.core->onMessage(*envelope, local(machine), &effects);
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -43,11 +43,11 @@
   Span at;
 };
 
-struct Asked {
+struct RecordedOperation {
   std::uint64_t id = 0;
   std::size_t machine = 0;
   ChangeAsked change;
-  Instant askedAt;
+  Instant startedAt;
   std::optional<Instant> completedAt;
   std::optional<ChangeDone> done;
 };
@@ -106,8 +106,8 @@
   std::size_t replicasWanted() const {
     return settings_.replicasWanted ? settings_.replicasWanted : settings_.diskMachines;
   }
-  const Asked& asked(std::uint64_t id) const { return asked_.at(id - 1); }
-  const std::vector<Asked>& history() const { return asked_; }
+  const RecordedOperation& asked(std::uint64_t id) const { return operations_.at(id - 1); }
+  const std::vector<RecordedOperation>& history() const { return operations_; }
   Instant localNow(std::size_t machine) const { return local(machines_[machine]); }
   std::mt19937_64& random() { return random_; }
   const std::vector<Violation>& violations() const { return violations_; }
@@ -121,7 +121,9 @@
   std::size_t zoneOf(std::size_t machine) const { return machine % settings_.zones; }
   bool isConfirmed(std::size_t machine, Span lately) const;
   std::size_t liveMachinesSeenBy(std::size_t machine) const;  // live machines, itself too
-  std::uint64_t arrivals(std::size_t machine) const { return machines_[machine].arrivals; }
+  std::uint64_t messagesReceived(std::size_t machine) const {
+    return machines_[machine].messagesReceived;
+  }
   std::uint64_t bytesSentBy(std::size_t machine) const { return machines_[machine].bytesSent; }
 
  private:
@@ -141,9 +143,9 @@
     Instant frozenUntil{};
     Span clockOffset{};  // machines' boot clocks have nothing in common
     int clockRate = 1;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t highestConfiguration = 0;  // of this life
-    std::uint64_t arrivals = 0, bytesSent = 0;
+    std::uint64_t messagesReceived = 0, bytesSent = 0;
   };
   enum class Kind { Tick, Arrive, DiskDone };
   struct Event {
@@ -151,7 +153,7 @@
     std::uint64_t order = 0;
     Kind kind{};
     std::size_t machine = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::string bytes;
     std::shared_ptr<std::vector<ReplicaWork>> batch;
     std::uint64_t diskGeneration = 0;
@@ -182,7 +184,7 @@
   std::map<Address, std::size_t> byAddress_;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::vector<Asked> asked_;
+  std::vector<RecordedOperation> operations_;
   std::map<std::pair<std::size_t, OperationId>, std::uint64_t> pending_;
   std::set<std::string> roles_;
   std::map<std::string, std::pair<std::uint64_t, std::size_t>> highestFence_;
