--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -258,13 +258,13 @@
 
   // One operator who asks an edge for the next change as soon as the last one was answered.
   void askChange() {
-    if (asked_ != 0 && !world_.asked(asked_).done) return;
-    if (asked_ != 0 && world_.asked(asked_).done->result == ChangeResult::Chosen) {
-      const Span at = world_.asked(asked_).completedAt->time_since_epoch();
+    if (asked_ != 0 && !world_.operationById(asked_).done) return;
+    if (asked_ != 0 && world_.operationById(asked_).done->result == ChangeResult::Chosen) {
+      const Span at = world_.operationById(asked_).completedAt->time_since_epoch();
       result_.longestGap = std::max(result_.longestGap, at - lastAckAt_);
       lastAckAt_ = at;
       ++result_.acknowledged;
-      newest_ = world_.asked(asked_).done->value.version;
+      newest_ = world_.operationById(asked_).done->value.version;
     }
     const std::size_t machine = edge();
     const auto known = world_.core(machine).freshness().configuration().value.version;
@@ -275,7 +275,7 @@
     result_.longestGap = std::max(result_.longestGap, world_.elapsed() - lastAckAt_);
     const std::uint64_t read = world_.read(settings_.diskMachines);
     world_.run(4s);
-    const auto& done = world_.asked(read).done;
+    const auto& done = world_.operationById(read).done;
     result_.majorityAtEnd = done && done->result == ChangeResult::Chosen;
     result_.newestChangeKept = result_.majorityAtEnd && done->value.version >= newest_;
     world_.checkHistory();
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -81,7 +81,7 @@
 
 void Operators::pump(Call& call) {
   if (call.pending) {
-    const auto& done = world_.asked(*call.pending).done;
+    const auto& done = world_.operationById(*call.pending).done;
     if (!done) return;
     call.pending.reset();
     call.updateOperation.onAnswer(*done);
--- a/src/sim/scenarios_copies.cpp
+++ b/src/sim/scenarios_copies.cpp
@@ -113,7 +113,7 @@
   world.run(4s);
   const std::uint64_t id = world.read(0);
   world.run(4s);
-  const auto& done = world.asked(id).done;
+  const auto& done = world.operationById(id).done;
   const std::string body = done && done->result == ChangeResult::Chosen ? done->value.body : "";
   for (std::string& what : operators.broken(body)) result.broken.push_back(std::move(what));
   world.checkHistory();
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -74,7 +74,7 @@
     const std::uint64_t id = world.read(static_cast<std::size_t>(tries) % world.size());
     world.run(3500ms);
     if (id == 0) continue;
-    const auto& done = world.asked(id).done;
+    const auto& done = world.operationById(id).done;
     if (done && done->result == ChangeResult::Chosen) return done->value.body;
   }
   broken->push_back("the register did not answer after all was healed");
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -65,7 +65,7 @@
   for (std::uint64_t version = 0; version < kChanges; ++version) {
     const std::uint64_t id = world.change(world.size() - 1 - version, version,
                                           std::string(bodyBytes, static_cast<char>('a' + version)));
-    for (int i = 0; i < 3000 && !world.asked(id).done; ++i) world.run(1ms);
+    for (int i = 0; i < 3000 && !world.operationById(id).done; ++i) world.run(1ms);
     const Span acknowledgedAt = world.elapsed();
     for (int i = 0; i < 10000 && !world.isInForce(version + 1); ++i) world.run(1ms);
     result->changePropagatedAfter =
@@ -99,7 +99,8 @@
   regionPartition.minorityClosedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
   const Span until = world.elapsed() + span;
   const auto countChosen = [&](std::uint64_t id) -> std::size_t {
-    return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
+    return id != 0 && world.operationById(id).done &&
+           world.operationById(id).done->result == ChangeResult::Chosen;
   };
   while (world.elapsed() < until) {
     ++regionPartition.asked;
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -106,7 +106,7 @@
   std::size_t replicasWanted() const {
     return settings_.replicasWanted ? settings_.replicasWanted : settings_.diskMachines;
   }
-  const RecordedOperation& asked(std::uint64_t id) const { return operations_.at(id - 1); }
+  const RecordedOperation& operationById(std::uint64_t id) const { return operations_.at(id - 1); }
   const std::vector<RecordedOperation>& history() const { return operations_; }
   Instant localNow(std::size_t machine) const { return local(machines_[machine]); }
   std::mt19937_64& random() { return random_; }
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -25,15 +25,16 @@
   return world.elapsed() - from;
 }
 bool isChosen(World& world, std::uint64_t id) {
-  return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
+  return id != 0 && world.operationById(id).done &&
+         world.operationById(id).done->result == ChangeResult::Chosen;
 }
 // Changes the configuration from `machine` until one change is acknowledged; gives its version.
 std::uint64_t acknowledge(World& world, std::size_t machine, const std::string& body) {
   for (int i = 0; i < 10; ++i) {
     const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
     const std::uint64_t id = world.change(machine, known, body);
-    spanUntil(world, 4s, [&] { return world.asked(id).done.has_value(); });
-    if (isChosen(world, id)) return world.asked(id).done->value.version;
+    spanUntil(world, 4s, [&] { return world.operationById(id).done.has_value(); });
+    if (isChosen(world, id)) return world.operationById(id).done->value.version;
   }
   return 0;
 }
--- a/tests/replica_leaving_tests.cpp
+++ b/tests/replica_leaving_tests.cpp
@@ -44,9 +44,9 @@
     world.run(25ms);
     fewest = std::min(fewest, replicas().members.size());
     longestGap = std::max(longestGap, world.elapsed() - lastAck);
-    if (asked != 0 && !world.asked(asked).done) return;
-    if (asked != 0 && world.asked(asked).done->result == ChangeResult::Chosen) {
-      newest = world.asked(asked).done->value.version;
+    if (asked != 0 && !world.operationById(asked).done) return;
+    if (asked != 0 && world.operationById(asked).done->result == ChangeResult::Chosen) {
+      newest = world.operationById(asked).done->value.version;
       lastAck = world.elapsed();
       ++acknowledged;
     }
@@ -61,9 +61,9 @@
   void check() {
     const std::uint64_t read = world.read(edge());
     world.run(4s);
-    REQUIRE(world.asked(read).done);
-    CHECK(world.asked(read).done->result == ChangeResult::Chosen);
-    CHECK(world.asked(read).done->value.version >= newest);
+    REQUIRE(world.operationById(read).done);
+    CHECK(world.operationById(read).done->result == ChangeResult::Chosen);
+    CHECK(world.operationById(read).done->value.version >= newest);
     world.checkHistory();
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -137,8 +137,8 @@
     REQUIRE(isFull());
     const std::uint64_t first = world.change(5, 0, "kept");
     world.run(1s);
-    REQUIRE(world.asked(first).done);
-    REQUIRE(world.asked(first).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(first).done);
+    REQUIRE(world.operationById(first).done->result == ChangeResult::Chosen);
     // Two members lose their disks in one moment, right after a yes.
     for (std::size_t machine : {0U, 1U}) {
       world.crash(machine, true);
@@ -147,8 +147,8 @@
     const std::size_t edge = world.diskMachines();
     const std::uint64_t second = world.change(edge, 1, "newer");
     world.run(3s);
-    REQUIRE(world.asked(second).done);
-    CHECK(world.asked(second).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(second).done);
+    CHECK(world.operationById(second).done->result == ChangeResult::Chosen);
     for (std::size_t machine : {0U, 1U}) world.start(machine);
     world.run(10s);
     CHECK(isFull());
@@ -230,8 +230,8 @@
     world.setPartitioned({seed % 3, seed % 3 + 3}, true);
     const std::uint64_t id = world.change(6, version, "kept");
     world.run(3s);
-    REQUIRE(world.asked(id).done);
-    CHECK(world.asked(id).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(id).done);
+    CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
 }
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -224,8 +224,8 @@
   for (std::size_t i = 0; i < world.size(); ++i)
     world.setSeeds(i, {world.addressOf(2), world.addressOf(3)});
   world.run(5s);
-  REQUIRE(world.asked(id).done);
-  CHECK(world.asked(id).done->result == ChangeResult::Chosen);
+  REQUIRE(world.operationById(id).done);
+  CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
   CHECK(world.core(0).store() == store);
   CHECK(world.core(0).freshness().replicas() == replicas);
   CHECK(world.isConverged());
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -53,8 +53,8 @@
     World world(settings);
     REQUIRE(runUntilFounded(world, 60s));
     const std::uint64_t id = world.change(6, 0, "kept");
-    for (int i = 0; i < 400 && !world.asked(id).done; ++i) world.run(5ms);
-    REQUIRE(world.asked(id).done->result == ChangeResult::Chosen);
+    for (int i = 0; i < 400 && !world.operationById(id).done; ++i) world.run(5ms);
+    REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
     // Right after the yes: all lose power, and one its disk.
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.crash(i, true);
     world.wipeDisk(seed % 4);
@@ -78,8 +78,10 @@
       world.setPartitioned({3}, true);
       world.injectDefects(unsynced, reused);
       const std::uint64_t id = world.change(0, 0, "kept");
-      for (int i = 0; i < 400 && !world.asked(id).done; ++i) world.run(2ms);
-      if (!world.asked(id).done || world.asked(id).done->result != ChangeResult::Chosen) continue;
+      for (int i = 0; i < 400 && !world.operationById(id).done; ++i) world.run(2ms);
+      if (!world.operationById(id).done ||
+          world.operationById(id).done->result != ChangeResult::Chosen)
+        continue;
       for (std::size_t i = 0; i < (unsynced ? 3U : 2U); ++i) {
         world.crash(i, true);
         if (reused) world.wipeDisk(i);
@@ -109,7 +111,7 @@
   world.freeze(8, 6s);
   const std::uint64_t id = world.change(5, 0, "newer");
   world.run(4s);
-  REQUIRE(world.asked(id).done->result == ChangeResult::Chosen);
+  REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
   CHECK(age(7) > 3s);
   CHECK(world.core(7).freshness().configuration().value.version == 0);
   CHECK(age(8) > 3s);
@@ -227,8 +229,8 @@
   std::uint64_t version = 0;
   const auto change = [&](std::size_t machine) {
     const std::uint64_t id = world.change(machine, version, "body");
-    for (int i = 0; i < 600 && !world.asked(id).done; ++i) world.run(10ms);
-    REQUIRE(world.asked(id).done->result == ChangeResult::Chosen);
+    for (int i = 0; i < 600 && !world.operationById(id).done; ++i) world.run(10ms);
+    REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
     ++version;
   };
   for (std::size_t machine = 0; machine < 4; ++machine) {
@@ -260,12 +262,12 @@
     REQUIRE(runUntilFounded(world, 60s));
     const std::uint64_t first = world.change(6, 0, "before");
     world.run(2s);
-    REQUIRE(world.asked(first).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(first).done->result == ChangeResult::Chosen);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.setDiskFailing(i, true);
     const std::uint64_t refused = world.change(7, 1, "while full");
     world.run(5s);
-    REQUIRE(world.asked(refused).done);
-    CHECK(world.asked(refused).done->result != ChangeResult::Chosen);
+    REQUIRE(world.operationById(refused).done);
+    CHECK(world.operationById(refused).done->result != ChangeResult::Chosen);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) CHECK_FALSE(world.core(i).isVoting());
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.repairDisk(i);
     world.run(10s);
@@ -275,7 +277,7 @@
     CHECK(version >= 1);
     const std::uint64_t after = world.change(8, version, "after");
     world.run(3s);
-    CHECK(world.asked(after).done->result == ChangeResult::Chosen);
+    CHECK(world.operationById(after).done->result == ChangeResult::Chosen);
     world.checkHistory();
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
@@ -292,7 +294,7 @@
     oldFleet = world.core(6).freshness().replicas().fleet;
     const std::uint64_t id = world.change(6, 0, "kept");
     world.run(2s);
-    REQUIRE(world.asked(id).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
   }
   AgentCore::Recovered recover(std::size_t survivor, const std::string& given,
                                std::uint64_t version) {
@@ -329,7 +331,7 @@
     CHECK(world.core(8).freshness().replicas().members.size() == 4);
     const std::uint64_t id = world.change(9, made.configurationVersion, "new");
     world.run(3s);
-    CHECK(world.asked(id).done->result == ChangeResult::Chosen);
+    CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
     CHECK(world.core(12).freshness().configuration().value.body == "new");
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -279,7 +279,7 @@
   }
   void pump(Call& call) {
     if (call.pending) {
-      const auto& done = world.asked(*call.pending).done;
+      const auto& done = world.operationById(*call.pending).done;
       if (!done) return;
       call.pending.reset();
       call.updateOperation.onAnswer(*done);
