--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -23,22 +23,22 @@
 
 std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * life_; }
 
-std::optional<std::size_t> Caller::nextOrder() const {
+std::optional<std::size_t> Caller::nextChange() const {
   const auto& calls = configuration_->calls[index_];
   if (amending_ || nextCall_ >= calls.size()) return std::nullopt;
   return calls[nextCall_];
 }
 
-void Caller::start(OrderSet acked, StepEffects* effects) {
+void Caller::start(ChangeSet acked, StepEffects* effects) {
   ++nextCall_;
   writes_.clear();
   isLate_ = false;
-  const bool asNew = configuration_->plant == Plant::ResendAsNew;
-  amending_.emplace(updateOf(configuration_->orders[order()], asNew), kBodyLimit, kNever);
+  const bool asNew = configuration_->defect == Defect::ResendAsNew;
+  amending_.emplace(updateOf(configuration_->changes[change()], asNew), kBodyLimit, kNever);
   pump(acked, effects);
 }
 
-void Caller::pump(OrderSet acked, StepEffects* effects) {
+void Caller::pump(ChangeSet acked, StepEffects* effects) {
   const Instant now = isLate_ ? kNever - kLateBefore : proposer_.clock();
   const auto asked = amending_->next(now);
   if (!asked) {
@@ -48,7 +48,7 @@
   }
   isRead_ = asked->isRead;
   ackedBefore_ = acked;
-  const bool minority = isRead_ && configuration_->plant == Plant::MinorityRead;
+  const bool minority = isRead_ && configuration_->defect == Defect::MinorityRead;
   Sends sends =
       proposer_.begin(*asked, minority ? firstMemberOf(known_.replicas()) : known_.replicas());
   if (!isRead_) writes_.push_back(proposer_.writeId());
@@ -56,55 +56,55 @@
 }
 
 void Caller::report(UpdateResult result, StepEffects* effects) {
-  Observed ended;
-  ended.kind = Observed::Kind::OrderEnded;
-  ended.order = order();
+  Observation ended;
+  ended.kind = Observation::Kind::ChangeAnswered;
+  ended.change = change();
   ended.result = result;
-  effects->observed.push_back(ended);
+  effects->observations.push_back(ended);
   const bool mayHold = result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken ||
                        result == UpdateResult::Unknown;
   if (mayHold || writes_.empty()) return;
-  Observed dead;
-  dead.kind = Observed::Kind::DeadWrites;
+  Observation dead;
+  dead.kind = Observation::Kind::DeadWrites;
   dead.writes = writes_;
-  effects->observed.push_back(dead);
+  effects->observations.push_back(dead);
 }
 
-void Caller::take(const std::vector<ChangeDone>& done, OrderSet acked, StepEffects* effects) {
+void Caller::take(const std::vector<ChangeDone>& done, ChangeSet acked, StepEffects* effects) {
   for (const ChangeDone& ended : done) {
     known_.adopt(ended.replicas);
-    Observed seen;
+    Observation observation;
     if (ended.result == ChangeResult::Chosen) {
       known_.learnChosen(ended.key, {ended.ballot, ended.value});
-      seen.key = ended.key;
-      seen.value = ended.value;
-      seen.isRead = isRead_;
-      seen.ackedBefore = ackedBefore_;
-      effects->observed.push_back(seen);
+      observation.key = ended.key;
+      observation.value = ended.value;
+      observation.isRead = isRead_;
+      observation.ackedBefore = ackedBefore_;
+      effects->observations.push_back(observation);
     } else if (!isRead_ && ended.result != ChangeResult::Unknown) {
-      seen.kind = Observed::Kind::DeadWrites;
-      seen.writes = {writes_.back()};
-      effects->observed.push_back(seen);
+      observation.kind = Observation::Kind::DeadWrites;
+      observation.writes = {writes_.back()};
+      effects->observations.push_back(observation);
     }
     amending_->onAnswer(ended);
     pump(acked, effects);
   }
 }
 
-void Caller::answer(const ReplicaAnswer& answer, OrderSet acked, StepEffects* effects) {
+void Caller::answer(const ReplicaAnswer& answer, ChangeSet acked, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposer_.answer(answer, &done);
   known_.adopt(answer.replicas);
   take(done, acked, effects);
 }
 
-void Caller::passPhase(OrderSet acked, StepEffects* effects) {
+void Caller::passPhase(ChangeSet acked, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposer_.passPhase(known_.replicas(), &done);
   take(done, acked, effects);
 }
 
-void Caller::passDeadline(OrderSet acked, StepEffects* effects) {
+void Caller::passDeadline(ChangeSet acked, StepEffects* effects) {
   std::vector<ChangeDone> done;
   proposer_.passDeadline(known_.replicas(), &done);
   isLate_ = true;
--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -17,12 +17,12 @@
 
   bool isBusy() const { return proposer_.isBusy(); }
   // The order that would be sent next, once the one before it has ended.
-  std::optional<std::size_t> nextOrder() const;
+  std::optional<std::size_t> nextChange() const;
   // `acked`: the orders acknowledged so far, by whomever.
-  void start(OrderSet acked, StepEffects* effects);
-  void answer(const ReplicaAnswer& answer, OrderSet acked, StepEffects* effects);
-  void passPhase(OrderSet acked, StepEffects* effects);
-  void passDeadline(OrderSet acked, StepEffects* effects);
+  void start(ChangeSet acked, StepEffects* effects);
+  void answer(const ReplicaAnswer& answer, ChangeSet acked, StepEffects* effects);
+  void passPhase(ChangeSet acked, StepEffects* effects);
+  void passDeadline(ChangeSet acked, StepEffects* effects);
   // The daemon ends: the call gets no answer, and a new daemon sends the next one.
   void die();
   void learn(const ReplicaSet& replicas) { known_.adopt(replicas); }
@@ -34,12 +34,12 @@
   std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
 
  private:
-  void take(const std::vector<ChangeDone>& done, OrderSet acked, StepEffects* effects);
-  void pump(OrderSet acked, StepEffects* effects);
+  void take(const std::vector<ChangeDone>& done, ChangeSet acked, StepEffects* effects);
+  void pump(ChangeSet acked, StepEffects* effects);
   void report(UpdateResult result, StepEffects* effects);
   std::string ownBytes() const;
   std::uint64_t proposerId() const;
-  std::size_t order() const { return configuration_->calls[index_][nextCall_ - 1]; }
+  std::size_t change() const { return configuration_->calls[index_][nextCall_ - 1]; }
 
   const Configuration* configuration_;
   std::size_t index_;
@@ -50,7 +50,7 @@
   std::size_t nextCall_ = 0;
   std::vector<WriteId> writes_;  // proposed for the present call
   bool isRead_ = false;          // the operation under way
-  OrderSet ackedBefore_ = 0;
+  ChangeSet ackedBefore_ = 0;
   // An operation's deadline has passed: time is left for the read that settles, none for a change.
   bool isLate_ = false;
 };
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -10,8 +10,8 @@
 
 namespace quayrill::model {
 
-inline constexpr std::size_t kMostMachines = 4;
-inline constexpr std::size_t kMostCallers = 3;
+inline constexpr std::size_t kMaxMachines = 4;
+inline constexpr std::size_t kMaxCallers = 3;
 
 // A machine joins the set with the store that it has then, or its first store leaves the set.
 struct MembershipStep {
@@ -22,7 +22,7 @@
 
 // How often each fault may come on one schedule. A request that is lost costs nothing: it is one
 // that is never delivered.
-struct Budgets {
+struct FaultBudgets {
   std::uint8_t lostAnswers = 0;
   std::uint8_t duplicates = 0;    // a request that is delivered once more
   std::uint8_t phases = 0;        // a round's time passes and the next round begins
@@ -34,7 +34,7 @@
 };
 
 // Errors built into the harness around the product's classes, each of which the check must find.
-enum class Plant {
+enum class Defect {
   None,
   UnsyncedPromise,  // a promise is answered but not on the disk
   UnsettledEpoch,   // a set that is not settled is followed by the next
@@ -44,23 +44,23 @@
 
 struct Configuration {
   std::string name;
-  std::string about;
+  std::string description;
   std::size_t members = 3;   // machines 0 to members - 1 are the first set
   std::size_t machines = 3;  // the rest wait to join
-  std::vector<Order> orders;
+  std::vector<OperatorChange> changes;
   // For each caller the orders that it sends, one after the other's end. An order that stands in
   // several places is sent again, by the same daemon or by another.
   std::vector<std::vector<std::size_t>> calls;
-  std::size_t movers = 0;  // daemons that take the replica set's steps
+  std::size_t reconfigurers = 0;  // daemons that take the replica set's steps
   // The steps from epoch n + 1 to n + 2 that may be chosen at index n.
   std::vector<std::vector<MembershipStep>> steps;
-  Budgets budgets;
-  Plant plant = Plant::None;
+  FaultBudgets budgets;
+  Defect defect = Defect::None;
 };
 
 // The named configurations, small enough to be exhausted.
 const std::vector<Configuration>& configurations();
-std::optional<Configuration> configurationOf(const std::string& name);
-std::optional<Plant> plantOf(const std::string& name);
+std::optional<Configuration> configurationByName(const std::string& name);
+std::optional<Defect> defectByName(const std::string& name);
 
 }  // namespace quayrill::model
--- a/src/model/configurations.cpp
+++ b/src/model/configurations.cpp
@@ -13,8 +13,8 @@
 Configuration raceOf() {
   Configuration race;
   race.name = "race";
-  race.about = "3 replicas, two operators change the same number, faults of the network";
-  race.orders = {{"a", 0}, {"b", 0}};
+  race.description = "3 replicas, two operators change the same number, faults of the network";
+  race.changes = {{"a", 0}, {"b", 0}};
   race.calls = {{0}, {1}};
   race.budgets.lostAnswers = 1;
   race.budgets.phases = 1;
@@ -25,7 +25,7 @@
 Configuration crashOf() {
   Configuration crash = raceOf();
   crash.name = "crash";
-  crash.about = "as race, with a replica that restarts on its disk in place of a duplicate";
+  crash.description = "as race, with a replica that restarts on its disk in place of a duplicate";
   crash.budgets.duplicates = 0;
   crash.budgets.restarts = 1;
   return crash;
@@ -34,8 +34,9 @@
 Configuration resendOf() {
   Configuration resend;
   resend.name = "resend";
-  resend.about = "3 replicas, three changes of two operators, one sent again by another daemon";
-  resend.orders = {{"a", 0}, {"b", 0}, {"c", 1}};
+  resend.description =
+      "3 replicas, three changes of two operators, one sent again by another daemon";
+  resend.changes = {{"a", 0}, {"b", 0}, {"c", 1}};
   resend.calls = {{0, 2}, {1, 0}};
   resend.budgets.lostAnswers = 1;
   resend.budgets.deadlines = 1;
@@ -46,11 +47,11 @@
 Configuration joinOf() {
   Configuration joining;
   joining.name = "join";
-  joining.about = "3 replicas and one that joins, a change meanwhile";
+  joining.description = "3 replicas and one that joins, a change meanwhile";
   joining.machines = 4;
-  joining.orders = {{"a", 0}};
+  joining.changes = {{"a", 0}};
   joining.calls = {{0}};
-  joining.movers = 1;
+  joining.reconfigurers = 1;
   joining.steps = {{join(3)}};
   joining.budgets.phases = 1;
   return joining;
@@ -59,7 +60,7 @@
 Configuration leaveOf() {
   Configuration leaving = joinOf();
   leaving.name = "leave";
-  leaving.about = "4 replicas and one that leaves, a change meanwhile";
+  leaving.description = "4 replicas and one that leaves, a change meanwhile";
   leaving.members = 4;
   leaving.steps = {{leave(3)}};
   return leaving;
@@ -68,7 +69,8 @@
 Configuration replaceOf() {
   Configuration replacing = joinOf();
   replacing.name = "replace";
-  replacing.about = "3 replicas, the fourth joins and then the first leaves, a change meanwhile";
+  replacing.description =
+      "3 replicas, the fourth joins and then the first leaves, a change meanwhile";
   replacing.steps = {{join(3)}, {leave(0)}};
   replacing.budgets.phases = 0;
   return replacing;
@@ -77,7 +79,7 @@
 Configuration emptiedOf() {
   Configuration emptied = joinOf();
   emptied.name = "emptied";
-  emptied.about = "3 replicas, one is emptied, joins as a new store, the lost one leaves";
+  emptied.description = "3 replicas, one is emptied, joins as a new store, the lost one leaves";
   emptied.machines = 3;
   emptied.steps = {{join(0)}, {leave(0)}};
   emptied.budgets.phases = 0;
@@ -88,11 +90,11 @@
 Configuration rivalsOf() {
   Configuration rivals = joinOf();
   rivals.name = "rivals";
-  rivals.about = "4 replicas, two daemons take different next steps of the set, no change";
+  rivals.description = "4 replicas, two daemons take different next steps of the set, no change";
   rivals.members = 4;
-  rivals.orders = {};
+  rivals.changes = {};
   rivals.calls = {};
-  rivals.movers = 2;
+  rivals.reconfigurers = 2;
   rivals.steps = {{leave(3), leave(2)}};
   return rivals;
 }
@@ -104,7 +106,7 @@
   return kAll;
 }
 
-std::optional<Configuration> configurationOf(const std::string& name) {
+std::optional<Configuration> configurationByName(const std::string& name) {
   const auto& all = configurations();
   const auto found = std::find_if(all.begin(), all.end(), [&](const Configuration& configuration) {
     return configuration.name == name;
@@ -113,12 +115,12 @@
   return *found;
 }
 
-std::optional<Plant> plantOf(const std::string& name) {
-  if (name == "none") return Plant::None;
-  if (name == "unsynced-promise") return Plant::UnsyncedPromise;
-  if (name == "unsettled-epoch") return Plant::UnsettledEpoch;
-  if (name == "minority-read") return Plant::MinorityRead;
-  if (name == "resend-as-new") return Plant::ResendAsNew;
+std::optional<Defect> defectByName(const std::string& name) {
+  if (name == "none") return Defect::None;
+  if (name == "unsynced-promise") return Defect::UnsyncedPromise;
+  if (name == "unsettled-epoch") return Defect::UnsettledEpoch;
+  if (name == "minority-read") return Defect::MinorityRead;
+  if (name == "resend-as-new") return Defect::ResendAsNew;
   return std::nullopt;
 }
 
--- a/src/model/explorer.cpp
+++ b/src/model/explorer.cpp
@@ -46,19 +46,19 @@
 
 class Search {
  public:
-  Search(const Configuration& configuration, const Bounds& bounds)
+  Search(const Configuration& configuration, const SearchBounds& bounds)
       : world_(configuration), bounds_(bounds) {}
 
-  Report run() {
+  SearchReport run() {
     nodes_.push_back({});
     meet(world_.initial());
     std::vector<Waiting> level{{0, world_.initial()}};
-    while (!level.empty() && report_.broken.empty() && !isStopped_) {
+    while (!level.empty() && report_.violation.empty() && !isStopped_) {
       if (report_.depth >= bounds_.depth) break;
       level = expand(level);
-      if (!level.empty() || !report_.broken.empty()) ++report_.depth;
+      if (!level.empty() || !report_.violation.empty()) ++report_.depth;
     }
-    report_.isExhausted = level.empty() && report_.broken.empty() && !isStopped_;
+    report_.isExhausted = level.empty() && report_.violation.empty() && !isStopped_;
     report_.distinct = seen_.size();
     report_.parts = world_.partCount();
     report_.time = std::chrono::steady_clock::now() - begun_;
@@ -68,7 +68,8 @@
  private:
   bool meet(const State& state) {
     ++report_.visited;
-    const std::string bytes = bounds_.mergesAlike ? world_.signature(state) : state.bytes();
+    const std::string bytes =
+        bounds_.mergesSymmetricStates ? world_.signature(state) : state.bytes();
     return seen_.insert(fingerprintOf(bytes)).second;
   }
 
@@ -86,8 +87,8 @@
       }
       ++report_.expanded;
       for (Successor& successor : world_.successors(waiting.state)) {
-        if (!successor.broken.empty()) {
-          report_.broken = successor.broken;
+        if (!successor.violation.empty()) {
+          report_.violation = successor.violation;
           tell(waiting.node, successor.event);
           return next;
         }
@@ -112,8 +113,8 @@
   }
 
   World world_;
-  Bounds bounds_;
-  Report report_;
+  SearchBounds bounds_;
+  SearchReport report_;
   std::vector<Node> nodes_;
   std::unordered_set<Fingerprint, FingerprintHash> seen_;
   std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
@@ -121,7 +122,7 @@
 };
 }  // namespace
 
-Report explore(const Configuration& configuration, const Bounds& bounds) {
+SearchReport explore(const Configuration& configuration, const SearchBounds& bounds) {
   return Search(configuration, bounds).run();
 }
 
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -12,8 +12,9 @@
   return result == UpdateResult::Refused || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
-std::string versionName(const Observed& seen) {
-  return "version " + std::to_string(seen.value.version) + " of '" + seen.key.value + "'";
+std::string versionName(const Observation& observation) {
+  return "version " + std::to_string(observation.value.version) + " of '" + observation.key.value +
+         "'";
 }
 }  // namespace
 
@@ -40,16 +41,17 @@
          std::any_of(value.priorWrites.begin(), value.priorWrites.end(), isDead);
 }
 
-std::string History::observe(const Observed& seen, const std::vector<Order>& orders) {
-  switch (seen.kind) {
-    case Observed::Kind::Chosen:
-      return observeChosen(seen, orders);
-    case Observed::Kind::OrderEnded:
-      return observeEnd(seen, orders);
-    case Observed::Kind::DeadWrites:
+std::string History::observe(const Observation& observation,
+                             const std::vector<OperatorChange>& changes) {
+  switch (observation.kind) {
+    case Observation::Kind::Chosen:
+      return observeChosen(observation, changes);
+    case Observation::Kind::ChangeAnswered:
+      return observeEnd(observation, changes);
+    case Observation::Kind::DeadWrites:
       break;
   }
-  dead_.insert(dead_.end(), seen.writes.begin(), seen.writes.end());
+  dead_.insert(dead_.end(), observation.writes.begin(), observation.writes.end());
   std::sort(dead_.begin(), dead_.end());
   dead_.erase(std::unique(dead_.begin(), dead_.end()), dead_.end());
   for (const auto& [key, versions] : chosen_) {
@@ -60,20 +62,25 @@
   return "";
 }
 
-std::string History::observeChosen(const Observed& seen, const std::vector<Order>& orders) {
-  const auto [row, isNew] = chosen_[seen.key].try_emplace(seen.value.version, seen.value);
-  if (!isNew && !(row->second == seen.value))
-    return "two values were chosen as " + versionName(seen);
-  if (holdsDeadWrite(seen.value)) return "a write said to be dead was chosen: " + versionName(seen);
-  if (seen.key == kReplicaSetKey) {
+std::string History::observeChosen(const Observation& observation,
+                                   const std::vector<OperatorChange>& changes) {
+  const auto [row, isNew] =
+      chosen_[observation.key].try_emplace(observation.value.version, observation.value);
+  if (!isNew && !(row->second == observation.value))
+    return "two values were chosen as " + versionName(observation);
+  if (holdsDeadWrite(observation.value))
+    return "a write said to be dead was chosen: " + versionName(observation);
+  if (observation.key == kReplicaSetKey) {
     ReplicaSet replicas;
-    if (!decodeValue(seen.value.body, &replicas)) return "a chosen replica set can't be read";
+    if (!decodeValue(observation.value.body, &replicas))
+      return "a chosen replica set can't be read";
     return observeSet(replicas);
   }
-  const OrderSet found = ordersIn(seen.value.body, orders);
-  if (seen.isRead && (seen.ackedBefore & ~found) != 0)
-    return "a read shows no sign of a change acknowledged before it began: " + versionName(seen);
-  if ((refused_ & found) != 0) return "a refused change was chosen: " + versionName(seen);
+  const ChangeSet found = changesIn(observation.value.body, changes);
+  if (observation.isRead && (observation.ackedBefore & ~found) != 0)
+    return "a read shows no sign of a change acknowledged before it began: " +
+           versionName(observation);
+  if ((refused_ & found) != 0) return "a refused change was chosen: " + versionName(observation);
   return "";
 }
 
@@ -95,20 +102,24 @@
   return "";
 }
 
-std::string History::observeEnd(const Observed& seen, const std::vector<Order>& orders) {
-  const OrderSet bit = bitOf(seen.order);
-  if (isYes(seen.result)) acked_ |= bit;
-  if (isNo(seen.result)) refused_ |= bit;
+std::string History::observeEnd(const Observation& observation,
+                                const std::vector<OperatorChange>& changes) {
+  const ChangeSet bit = bitOf(observation.change);
+  if (isYes(observation.result)) acked_ |= bit;
+  if (isNo(observation.result)) refused_ |= bit;
   if ((acked_ & refused_) != 0)
-    return "change '" + orders[seen.order].name + "' was acknowledged once and refused once";
+    return "change '" + changes[observation.change].name +
+           "' was acknowledged once and refused once";
   // Each acknowledged change has the number after its basis: two of one basis share a number.
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    const bool isRival = i != seen.order && orders[i].basis == orders[seen.order].basis;
+  for (std::size_t i = 0; i < changes.size(); ++i) {
+    const bool isRival =
+        i != observation.change && changes[i].basis == changes[observation.change].basis;
     if (isRival && (acked_ & bit) != 0 && (acked_ & bitOf(i)) != 0)
       return "two changes were acknowledged under one number";
   }
   for (const auto& [version, value] : chosen_[kConfigurationKey]) {
-    if ((ordersIn(value.body, orders) & refused_) != 0) return "a refused change was chosen before";
+    if ((changesIn(value.body, changes) & refused_) != 0)
+      return "a refused change was chosen before";
   }
   return "";
 }
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -13,10 +13,10 @@
   explicit History(const ReplicaSet& founded) { sets_.push_back(founded); }
 
   // The broken invariant in words; "" where none is.
-  std::string observe(const Observed& seen, const std::vector<Order>& orders);
+  std::string observe(const Observation& observation, const std::vector<OperatorChange>& changes);
 
-  OrderSet acked() const { return acked_; }
-  OrderSet refused() const { return refused_; }
+  ChangeSet acked() const { return acked_; }
+  ChangeSet refused() const { return refused_; }
   // A write that was said never to take effect stands in this value or its history.
   bool holdsDeadWrite(const RegisterValue& value) const;
   // The chosen replica sets by epoch, each as it was seen last.
@@ -24,11 +24,13 @@
   std::string stateBytes() const;
 
  private:
-  std::string observeChosen(const Observed& seen, const std::vector<Order>& orders);
+  std::string observeChosen(const Observation& observation,
+                            const std::vector<OperatorChange>& changes);
   std::string observeSet(const ReplicaSet& replicas);
-  std::string observeEnd(const Observed& seen, const std::vector<Order>& orders);
+  std::string observeEnd(const Observation& observation,
+                         const std::vector<OperatorChange>& changes);
 
-  OrderSet acked_ = 0, refused_ = 0;
+  ChangeSet acked_ = 0, refused_ = 0;
   std::map<RegisterKey, std::map<std::uint64_t, RegisterValue>> chosen_;  // by version
   std::vector<WriteId> dead_;                                             // sorted
   std::vector<ReplicaSet> sets_;
--- a/src/model/invariants.cpp
+++ b/src/model/invariants.cpp
@@ -12,15 +12,15 @@
   Epoch epoch;
   ConfirmedKey configuration;
   Epoch replicaSetEpoch;  // of the set that it accepted
-  OrderSet orders = 0;
+  ChangeSet changes = 0;
 };
 
-View viewOf(const Machine& machine, const std::vector<Order>& orders) {
+View viewOf(const Machine& machine, const std::vector<OperatorChange>& changes) {
   View view;
   view.store = machine.replica().store();
   view.epoch = machine.replica().replicas().epoch;
   view.configuration = machine.accepted(kConfigurationKey);
-  view.orders = ordersIn(view.configuration.value.body, orders);
+  view.changes = changesIn(view.configuration.value.body, changes);
   ReplicaSet accepted;
   const std::string body = machine.accepted(kReplicaSetKey).value.body;
   if (!body.empty() && decodeValue(body, &accepted)) view.replicaSetEpoch = accepted.epoch;
@@ -40,10 +40,10 @@
   for (const View* view : quorum) {
     if (view->configuration.acceptedAt > highest->configuration.acceptedAt) highest = view;
   }
-  if ((history.acked() & ~highest->orders) != 0)
+  if ((history.acked() & ~highest->changes) != 0)
     return "a quorum would read a value without an acknowledged change: " +
            setName(replicas, quorum);
-  if ((history.refused() & highest->orders) != 0)
+  if ((history.refused() & highest->changes) != 0)
     return "a quorum would read a refused change: " + setName(replicas, quorum);
   if (history.holdsDeadWrite(highest->configuration.value))
     return "a quorum would read a write said to be dead: " + setName(replicas, quorum);
@@ -54,10 +54,10 @@
 // accepted a newer replica set the reader goes by that set, and else it must be shown the change.
 std::string brokenConfirm(const ReplicaSet& replicas, const std::vector<const View*>& asked,
                           const History& history) {
-  OrderSet shown = 0;
+  ChangeSet shown = 0;
   for (const View* view : asked) {
     if (view->replicaSetEpoch > replicas.epoch) return "";
-    shown |= view->orders;
+    shown |= view->changes;
   }
   if ((history.acked() & ~shown) == 0) return "";
   return "a confirmation would miss an acknowledged change: " + setName(replicas, asked);
@@ -85,11 +85,11 @@
     for (std::size_t i = 0; i < able.size(); ++i) {
       if ((bits >> i) & 1) asked.push_back(&able[i]);
     }
-    std::string broken;
-    if (asked.size() == majorityOf(replicas)) broken = brokenRead(replicas, asked, history);
-    if (broken.empty() && asked.size() == confirming)
-      broken = brokenConfirm(replicas, asked, history);
-    if (!broken.empty()) return broken;
+    std::string violation;
+    if (asked.size() == majorityOf(replicas)) violation = brokenRead(replicas, asked, history);
+    if (violation.empty() && asked.size() == confirming)
+      violation = brokenConfirm(replicas, asked, history);
+    if (!violation.empty()) return violation;
   }
   return "";
 }
@@ -99,14 +99,14 @@
 std::string brokenHolders(const ReplicaSet& newest, const std::vector<View>& views,
                           const History& history) {
   if (!newest.settled) return "";
-  for (OrderSet left = history.acked(); left != 0; left &= left - 1) {
-    const OrderSet order = left & -left;
+  for (ChangeSet left = history.acked(); left != 0; left &= left - 1) {
+    const ChangeSet change = left & -left;
     std::size_t holders = newest.members.size();
     for (const View& view : views) {
       const bool isMember =
           std::any_of(newest.members.begin(), newest.members.end(),
                       [&](const ReplicaMember& member) { return member.store == view.store; });
-      if (isMember && (view.orders & order) == 0) --holders;
+      if (isMember && (view.changes & change) == 0) --holders;
     }
     if (holders < majorityOf(newest))
       return "a settled set holds an acknowledged change on a minority: epoch " +
@@ -116,15 +116,15 @@
 }
 }  // namespace
 
-std::string brokenInvariant(const std::vector<const Machine*>& machines, const History& history,
-                            const std::vector<Order>& orders) {
+std::string findViolation(const std::vector<const Machine*>& machines, const History& history,
+                          const std::vector<OperatorChange>& changes) {
   std::vector<View> views;
   for (const Machine* machine : machines) {
-    if (machine->replica().isVoting()) views.push_back(viewOf(*machine, orders));
+    if (machine->replica().isVoting()) views.push_back(viewOf(*machine, changes));
   }
   for (const ReplicaSet& replicas : history.sets()) {
-    std::string broken = brokenIn(replicas, views, history);
-    if (!broken.empty()) return broken;
+    std::string violation = brokenIn(replicas, views, history);
+    if (!violation.empty()) return violation;
   }
   return brokenHolders(history.sets().back(), views, history);
 }
--- a/src/model/invariants.h
+++ b/src/model/invariants.h
@@ -9,7 +9,7 @@
 namespace quayrill::model {
 
 // The broken invariant in words; "" where none is. `machines`: all that run, in any order.
-std::string brokenInvariant(const std::vector<const Machine*>& machines, const History& history,
-                            const std::vector<Order>& orders);
+std::string findViolation(const std::vector<const Machine*>& machines, const History& history,
+                          const std::vector<OperatorChange>& changes);
 
 }  // namespace quayrill::model
--- a/src/model/modelcheck.cpp
+++ b/src/model/modelcheck.cpp
@@ -42,8 +42,8 @@
 )";
 
 using Flags = std::map<std::string, docopt::value>;
-using quayrill::model::Budgets;
 using quayrill::model::Configuration;
+using quayrill::model::FaultBudgets;
 
 void takeBudget(const Flags& flags, const std::string& name, std::uint8_t* budget) {
   const docopt::value& flag = flags.at("--" + name);
@@ -54,7 +54,7 @@
   *budget = static_cast<std::uint8_t>(given);
 }
 
-void takeBudgets(const Flags& flags, Budgets* budgets) {
+void takeBudgets(const Flags& flags, FaultBudgets* budgets) {
   takeBudget(flags, "lost-answers", &budgets->lostAnswers);
   takeBudget(flags, "duplicates", &budgets->duplicates);
   takeBudget(flags, "phases", &budgets->phases);
@@ -67,18 +67,18 @@
 
 Configuration configurationFrom(const Flags& flags) {
   const std::string name = flags.at("--configuration").asString();
-  auto configuration = quayrill::model::configurationOf(name);
+  auto configuration = quayrill::model::configurationByName(name);
   if (!configuration) throw std::invalid_argument("no configuration '" + name + "': see --list");
   const std::string planted = flags.at("--plant").asString();
-  const auto plant = quayrill::model::plantOf(planted);
-  if (!plant) throw std::invalid_argument("no error '" + planted + "' to plant: see --help");
-  configuration->plant = *plant;
+  const auto defect = quayrill::model::defectByName(planted);
+  if (!defect) throw std::invalid_argument("no error '" + planted + "' to plant: see --help");
+  configuration->defect = *defect;
   takeBudgets(flags, &configuration->budgets);
   return *configuration;
 }
 
-quayrill::model::Bounds boundsFrom(const Flags& flags) {
-  quayrill::model::Bounds bounds;
+quayrill::model::SearchBounds boundsFrom(const Flags& flags) {
+  quayrill::model::SearchBounds bounds;
   const auto positive = [&](const std::string& name) {
     const long given = flags.at(name).asLong();
     if (given <= 0) throw std::invalid_argument(name + " is not above 0");
@@ -90,9 +90,9 @@
   return bounds;
 }
 
-int report(const Configuration& configuration, const quayrill::model::Report& report) {
-  const Budgets& budgets = configuration.budgets;
-  std::cout << configuration.name << ": " << configuration.about << "\n"
+int report(const Configuration& configuration, const quayrill::model::SearchReport& report) {
+  const FaultBudgets& budgets = configuration.budgets;
+  std::cout << configuration.name << ": " << configuration.description << "\n"
             << "budgets: lost answers " << +budgets.lostAnswers << ", duplicates "
             << +budgets.duplicates << ", phases " << +budgets.phases << ", deadlines "
             << +budgets.deadlines << ", daemon deaths " << +budgets.daemonDeaths << ", restarts "
@@ -101,8 +101,8 @@
             << "states visited " << report.visited << ", distinct " << report.distinct
             << ", expanded " << report.expanded << ", depth " << report.depth << ", parts "
             << report.parts << ", seconds " << report.time.count() << "\n";
-  if (!report.broken.empty()) {
-    std::cout << "BROKEN: " << report.broken << "\nshortest schedule:\n";
+  if (!report.violation.empty()) {
+    std::cout << "BROKEN: " << report.violation << "\nshortest schedule:\n";
     for (std::size_t i = 0; i < report.schedule.size(); ++i)
       std::cout << "  " << i + 1 << ". " << report.schedule[i] << "\n";
     return 1;
@@ -118,7 +118,7 @@
                                      "quayrill-modelcheck " QUAYRILL_VERSION);
   if (flags.at("--list").asBool()) {
     for (const Configuration& configuration : quayrill::model::configurations())
-      std::cout << configuration.name << ": " << configuration.about << "\n";
+      std::cout << configuration.name << ": " << configuration.description << "\n";
     return 0;
   }
   try {
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -6,21 +6,22 @@
 std::size_t proposerFor(const RegisterKey& key) { return key == kReplicaSetKey ? 0 : 1; }
 }  // namespace
 
-Mover::Mover(const Configuration* configuration, std::size_t index, const ChosenValue& replicaSet)
+Reconfigurer::Reconfigurer(const Configuration* configuration, std::size_t index,
+                           const ChosenValue& replicaSet)
     : configuration_(configuration), index_(index), isRead_(kProposers, false) {
   for (std::size_t i = 0; i < kProposers; ++i) proposers_.push_back(madeProposer(i));
   known_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-std::uint64_t Mover::proposerId(std::size_t proposer) const {
+std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
   return 50 + kProposers * index_ + proposer + 100 * life_;
 }
 
-TimedProposer Mover::madeProposer(std::size_t proposer) const {
+TimedProposer Reconfigurer::madeProposer(std::size_t proposer) const {
   return TimedProposer(ProposerId{proposerId(proposer)});
 }
 
-void Mover::begin(const ChangeAsked& ask, StepEffects* effects) {
+void Reconfigurer::begin(const ChangeAsked& ask, StepEffects* effects) {
   const std::size_t proposer = proposerFor(ask.key);
   if (proposers_[proposer].isBusy()) return;
   isRead_[proposer] = ask.isRead;
@@ -28,36 +29,37 @@
     effects->sends.push_back(std::move(send));
 }
 
-void Mover::step(const std::optional<std::vector<RegisterKey>>& listed,
-                 const std::optional<ReplicaSet>& following, StepEffects* effects) {
+void Reconfigurer::step(const std::optional<std::vector<RegisterKey>>& listed,
+                        const std::optional<ReplicaSet>& following, StepEffects* effects) {
   if (wantsRead_) {
     begin({{}, kReplicaSetKey, true, 0, {}, {}, {}}, effects);
     return;
   }
   ReplicaSet replicas = known_.replicas();
-  if (configuration_->plant == Plant::UnsettledEpoch) replicas.settled = true;
+  if (configuration_->defect == Defect::UnsettledEpoch) replicas.settled = true;
   const Instant now = proposers_[0].clock();
   const auto asks = sweep_.next(replicas, known_.replicaSetVersion(), listed, following, now);
   for (const ChangeAsked& ask : asks) begin(ask, effects);
 }
 
-void Mover::take(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects) {
+void Reconfigurer::take(std::size_t proposer, const std::vector<ChangeDone>& done,
+                        StepEffects* effects) {
   for (const ChangeDone& ended : done) {
     known_.adopt(ended.replicas);
     const bool isChosen = ended.result == ChangeResult::Chosen;
     if (isChosen) {
       known_.learnChosen(ended.key, {ended.ballot, ended.value});
-      Observed seen;
-      seen.key = ended.key;
-      seen.value = ended.value;
-      effects->observed.push_back(seen);
+      Observation observation;
+      observation.key = ended.key;
+      observation.value = ended.value;
+      effects->observations.push_back(observation);
     }
     if (isRead_[proposer] && !wantsRead_) sweep_.onReadDone(ended);
     if (ended.key == kReplicaSetKey) wantsRead_ = !isChosen && (wantsRead_ || !isRead_[proposer]);
   }
 }
 
-void Mover::answer(const ReplicaAnswer& answer, StepEffects* effects) {
+void Reconfigurer::answer(const ReplicaAnswer& answer, StepEffects* effects) {
   for (std::size_t i = 0; i < kProposers; ++i) {
     if (proposerOf(answer.operation) != proposerId(i)) continue;
     std::vector<ChangeDone> done;
@@ -67,33 +69,33 @@
   }
 }
 
-void Mover::passPhase(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::passPhase(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposers_[proposer].passPhase(known_.replicas(), &done);
   take(proposer, done, effects);
 }
 
-void Mover::passDeadline(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::passDeadline(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
   proposers_[proposer].passDeadline(known_.replicas(), &done);
   take(proposer, done, effects);
 }
 
-void Mover::die() {
+void Reconfigurer::die() {
   ++life_;
   for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = madeProposer(i);
   sweep_ = EpochSweep();
   wantsRead_ = false;
 }
 
-const TimedProposer* Mover::proposer(std::uint64_t id) const {
+const TimedProposer* Reconfigurer::proposer(std::uint64_t id) const {
   for (std::size_t i = 0; i < kProposers; ++i) {
     if (id == proposerId(i)) return &proposers_[i];
   }
   return nullptr;
 }
 
-std::string Mover::ownBytes() const {
+std::string Reconfigurer::ownBytes() const {
   std::string bytes = "mover" + encodeValue(index_) + encodeValue(life_) +
                       encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
                       encodeValue(known_.replicaSetVersion()) + sweep_.stateBytes() +
@@ -102,19 +104,19 @@
   return bytes;
 }
 
-std::string Mover::sharedBytes() const {
+std::string Reconfigurer::sharedBytes() const {
   std::string bytes = ownBytes();
   for (const TimedProposer& proposer : proposers_) bytes += proposer.sharedBytes();
   return bytes;
 }
 
-std::string Mover::bytesHeardFrom(StoreId store) const {
+std::string Reconfigurer::bytesHeardFrom(StoreId store) const {
   std::string bytes;
   for (const TimedProposer& proposer : proposers_) bytes += proposer.bytesHeardFrom(store);
   return bytes;
 }
 
-std::string Mover::stateBytes() const {
+std::string Reconfigurer::stateBytes() const {
   std::string bytes = ownBytes();
   for (const TimedProposer& proposer : proposers_) bytes += proposer.stateBytes();
   return bytes;
--- a/src/model/mover.h
+++ b/src/model/mover.h
@@ -11,12 +11,13 @@
 
 namespace quayrill::model {
 
-class Mover {
+class Reconfigurer {
  public:
   static constexpr std::size_t kProposers = 2;  // of the replica set's key, of the configuration's
 
   // `configuration` outlives the mover.
-  Mover(const Configuration* configuration, std::size_t index, const ChosenValue& replicaSet);
+  Reconfigurer(const Configuration* configuration, std::size_t index,
+               const ChosenValue& replicaSet);
 
   bool isBusy(std::size_t proposer) const { return proposers_[proposer].isBusy(); }
   // `listed` and `following` as EpochSweep asks for them.
--- a/src/model/observed.h
+++ b/src/model/observed.h
@@ -8,26 +8,26 @@
 
 namespace quayrill::model {
 
-struct Observed {
+struct Observation {
   enum class Kind {
-    Chosen,      // a value was proved chosen
-    DeadWrites,  // these writes were said never to take effect
-    OrderEnded,  // the operator was answered
+    Chosen,          // a value was proved chosen
+    DeadWrites,      // these writes were said never to take effect
+    ChangeAnswered,  // the operator was answered
   };
   Kind kind = Kind::Chosen;
   RegisterKey key;
   RegisterValue value;
   bool isRead = false;
-  OrderSet ackedBefore = 0;  // what was acknowledged when the read began
+  ChangeSet ackedBefore = 0;  // what was acknowledged when the read began
   std::vector<WriteId> writes;
-  std::size_t order = 0;
+  std::size_t change = 0;
   UpdateResult result{};
 };
 
 // What one step of a daemon sends and shows.
 struct StepEffects {
   Sends sends;
-  std::vector<Observed> observed;
+  std::vector<Observation> observations;
 };
 
 }  // namespace quayrill::model
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -9,7 +9,9 @@
 // The model's days are short: every change is remembered.
 constexpr std::uint64_t kNoneForgotten = 0;
 
-std::string digestOf(const Order& order) { return changeDigest("order", order.basis, order.name); }
+std::string digestOf(const OperatorChange& change) {
+  return changeDigest("order", change.basis, change.name);
+}
 
 TakenChanges readBody(const std::string& body) {
   std::istringstream in(body);
@@ -26,28 +28,28 @@
 }
 }  // namespace
 
-Update updateOf(const Order& order, bool judgesResendsAsNew) {
-  return [order, judgesResendsAsNew](
+Update updateOf(const OperatorChange& change, bool judgesResendsAsNew) {
+  return [change, judgesResendsAsNew](
              const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
     TakenChanges taken = readBody(standing);
-    const std::string digest = digestOf(order);
+    const std::string digest = digestOf(change);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
-    const SentChange sent{order.basis + 1, order.basis, digest};
-    const ChangeStanding standingOfOrder = standingOf(sent, taken, kNoneForgotten, number);
-    if (!judgesResendsAsNew && standingOfOrder == ChangeStanding::Taken)
+    const SentChange sent{change.basis + 1, change.basis, digest};
+    const ChangeStanding changeStanding = standingOf(sent, taken, kNoneForgotten, number);
+    if (!judgesResendsAsNew && changeStanding == ChangeStanding::Taken)
       return std::optional<std::string>{};
-    if (number != order.basis)
+    if (number != change.basis)
       return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
     addTaken(&taken, {number + 1, digest});
     return std::optional<std::string>{writeBody(taken)};
   };
 }
 
-OrderSet ordersIn(const std::string& body, const std::vector<Order>& orders) {
+ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes) {
   const TakenChanges taken = readBody(body);
-  OrderSet found = 0;
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    const TakenChange made{orders[i].basis + 1, digestOf(orders[i])};
+  ChangeSet found = 0;
+  for (std::size_t i = 0; i < changes.size(); ++i) {
+    const TakenChange made{changes[i].basis + 1, digestOf(changes[i])};
     if (std::find(taken.begin(), taken.end(), made) != taken.end()) found |= bitOf(i);
   }
   return found;
--- a/src/model/orders.h
+++ b/src/model/orders.h
@@ -10,19 +10,19 @@
 namespace quayrill::model {
 
 // One change. Two calls with the same name and basis are the same change sent again.
-struct Order {
+struct OperatorChange {
   std::string name;
   std::uint64_t basis = 0;
 };
 
 // A set of orders by their index in the configuration, as bits.
-using OrderSet = std::uint32_t;
-inline OrderSet bitOf(std::size_t order) { return OrderSet{1} << order; }
+using ChangeSet = std::uint32_t;
+inline ChangeSet bitOf(std::size_t change) { return ChangeSet{1} << change; }
 
 // `judgesResendsAsNew` plants the error that a taken change is not known again.
-Update updateOf(const Order& order, bool judgesResendsAsNew);
+Update updateOf(const OperatorChange& change, bool judgesResendsAsNew);
 
 // Those of `orders` that the body has taken.
-OrderSet ordersIn(const std::string& body, const std::vector<Order>& orders);
+ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes);
 
 }  // namespace quayrill::model
--- a/src/model/state.cpp
+++ b/src/model/state.cpp
@@ -13,7 +13,7 @@
   bytes.reserve(80 + 4 * requests.size());
   for (const PartId id : machines) append(&bytes, id);
   for (const PartId id : callers) append(&bytes, id);
-  for (const PartId id : movers) append(&bytes, id);
+  for (const PartId id : reconfigurers) append(&bytes, id);
   append(&bytes, history);
   for (const std::uint8_t left :
        {budgets.lostAnswers, budgets.duplicates, budgets.phases, budgets.deadlines,
@@ -24,8 +24,9 @@
 }
 
 bool State::equalsButBudgets(const State& other) const {
-  return machines == other.machines && callers == other.callers && movers == other.movers &&
-         history == other.history && requests == other.requests;
+  return machines == other.machines && callers == other.callers &&
+         reconfigurers == other.reconfigurers && history == other.history &&
+         requests == other.requests;
 }
 
 }  // namespace quayrill::model
--- a/src/model/state.h
+++ b/src/model/state.h
@@ -11,14 +11,14 @@
 
 using PartId = std::uint32_t;
 
-inline constexpr std::size_t kMostMovers = 2;
+inline constexpr std::size_t kMaxReconfigurers = 2;
 
 struct State {
-  std::array<PartId, kMostMachines> machines{};
-  std::array<PartId, kMostCallers> callers{};
-  std::array<PartId, kMostMovers> movers{};
+  std::array<PartId, kMaxMachines> machines{};
+  std::array<PartId, kMaxCallers> callers{};
+  std::array<PartId, kMaxReconfigurers> reconfigurers{};
   PartId history = 0;
-  Budgets budgets;
+  FaultBudgets budgets;
   std::vector<PartId> requests;  // sent and not delivered or lost for good; sorted, each once
 
   // Equal bytes: the same state.
@@ -35,14 +35,14 @@
     Phase,           // a round's time passes
     Deadline,        // an operation's time passes
     DaemonDies,
-    MoverSteps,
+    ReconfigurerSteps,
     Restart,
     Empty,
     ReplicaLearns,
     DaemonLearns,
   };
   Kind kind = Kind::Deliver;
-  std::uint8_t who = 0;     // machine, caller, or kMostCallers + mover
+  std::uint8_t who = 0;     // machine, caller, or kMaxCallers + mover
   std::uint8_t choice = 0;  // mover: proposer for its time events, else index of the step
   std::uint8_t quorum = 0;  // mover: bits of the machines that told their keys; 0: none
   PartId request = 0;
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -45,7 +45,7 @@
   const ReplicaSet replicas = firstSet(configuration_->members);
   std::vector<Machine> machines;
   for (std::size_t i = 0; i < configuration_->machines; ++i)
-    machines.emplace_back(firstStoreOf(i), configuration_->plant == Plant::UnsyncedPromise);
+    machines.emplace_back(firstStoreOf(i), configuration_->defect == Defect::UnsyncedPromise);
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     stores_.push_back(firstStoreOf(i));
     stores_.push_back(emptiedStoreOf(i));
@@ -56,8 +56,8 @@
     initial_.machines[i] = machines_.idOf(machines[i]);
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i)
     initial_.callers[i] = callers_.idOf(Caller(configuration_.get(), i, founded));
-  for (std::size_t i = 0; i < configuration_->movers; ++i)
-    initial_.movers[i] = movers_.idOf(Mover(configuration_.get(), i, founded));
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i)
+    initial_.reconfigurers[i] = reconfigurers_.idOf(Reconfigurer(configuration_.get(), i, founded));
   initial_.history = histories_.idOf(History(replicas));
   initial_.budgets = configuration_->budgets;
 }
@@ -101,16 +101,16 @@
     case Event::Kind::ReplicaLearns:
       applyMachine(event, &next);
       break;
-    case Event::Kind::MoverSteps:
-      applyDaemon(event, moverArgument(state, event), &next);
+    case Event::Kind::ReconfigurerSteps:
+      applyDaemon(event, reconfigurerArgument(state, event), &next);
       break;
     default:
       applyDaemon(event, event.kind == Event::Kind::DaemonLearns ? state.history : event.choice,
                   &next);
   }
-  if (next.broken.empty()) prune(&next.state);
-  if (next.broken.empty() && next.state.equalsButBudgets(state)) return std::nullopt;
-  if (next.broken.empty()) next.broken = brokenIn(next.state);
+  if (next.violation.empty()) prune(&next.state);
+  if (next.violation.empty() && next.state.equalsButBudgets(state)) return std::nullopt;
+  if (next.violation.empty()) next.violation = brokenIn(next.state);
   return next;
 }
 
@@ -164,19 +164,19 @@
   if (event.kind == Event::Kind::Deadline) --state.budgets.deadlines;
   if (event.kind == Event::Kind::DaemonDies) --state.budgets.daemonDeaths;
   if (event.kind == Event::Kind::DaemonLearns) --state.budgets.learns;
-  PartId& daemon =
-      event.who < kMostCallers ? state.callers[event.who] : state.movers[event.who - kMostCallers];
+  PartId& daemon = event.who < kMaxCallers ? state.callers[event.who]
+                                           : state.reconfigurers[event.who - kMaxCallers];
   const Stepped& stepped = step(event, daemon, argument, histories_[state.history]);
   daemon = stepped.daemon;
   state.requests.insert(state.requests.end(), stepped.requests.begin(), stepped.requests.end());
   std::sort(state.requests.begin(), state.requests.end());
   state.requests.erase(std::unique(state.requests.begin(), state.requests.end()),
                        state.requests.end());
-  if (stepped.observed.empty()) return;
+  if (stepped.observations.empty()) return;
   History history = histories_[state.history];
-  for (const Observed& seen : stepped.observed) {
-    next->broken = history.observe(seen, configuration_->orders);
-    if (!next->broken.empty()) break;
+  for (const Observation& observation : stepped.observations) {
+    next->violation = history.observe(observation, configuration_->changes);
+    if (!next->violation.empty()) break;
   }
   state.history = histories_.idOf(std::move(history));
 }
@@ -194,9 +194,9 @@
     if (const auto* found = callers_[state.callers[i]].proposer(proposer))
       return {static_cast<std::uint8_t>(i), found};
   }
-  for (std::size_t i = 0; i < configuration_->movers; ++i) {
-    if (const auto* found = movers_[state.movers[i]].proposer(proposer))
-      return {static_cast<std::uint8_t>(kMostCallers + i), found};
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+    if (const auto* found = reconfigurers_[state.reconfigurers[i]].proposer(proposer))
+      return {static_cast<std::uint8_t>(kMaxCallers + i), found};
   }
   return {0, nullptr};
 }
@@ -252,12 +252,11 @@
   std::vector<const Machine*> machines;
   for (std::size_t i = 0; i < configuration_->machines; ++i)
     machines.push_back(&machines_[state.machines[i]]);
-  return broken_[key] =
-             brokenInvariant(machines, histories_[state.history], configuration_->orders);
+  return broken_[key] = findViolation(machines, histories_[state.history], configuration_->changes);
 }
 
 std::size_t World::partCount() const {
-  return machines_.size() + callers_.size() + movers_.size() + histories_.size() +
+  return machines_.size() + callers_.size() + reconfigurers_.size() + histories_.size() +
          requests_.size() + answers_.size();
 }
 
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -32,7 +32,7 @@
 struct Successor {
   Event event;
   State state;
-  std::string broken;  // the invariant that breaks on the way or in the state; "" for none
+  std::string violation;  // the invariant that breaks on the way or in the state; "" for none
 };
 
 class World {
@@ -75,7 +75,7 @@
   struct Stepped {
     PartId daemon = 0;
     std::vector<PartId> requests;
-    std::vector<Observed> observed;
+    std::vector<Observation> observations;
   };
   // (kind and choice of the event and kind of daemon, daemon, argument, acknowledged orders)
   using StepKey = std::array<std::uint32_t, 4>;
@@ -89,7 +89,8 @@
   void addDaemonEvents(const State& state, std::vector<Event>* events) const;
   void addTimeEvents(const State& state, std::uint8_t who, std::uint8_t proposer,
                      std::vector<Event>* events) const;
-  void addMoverSteps(const State& state, std::size_t mover, std::vector<Event>* events) const;
+  void addReconfigurerSteps(const State& state, std::size_t reconfigurer,
+                            std::vector<Event>* events) const;
   void addMachineEvents(const State& state, std::vector<Event>* events) const;
   bool mayStart(const State& state, const Caller& caller) const;
 
@@ -102,10 +103,10 @@
                       const History& history);
   void stepCaller(const Event& event, std::uint32_t argument, const History& history,
                   Caller* caller, StepEffects* effects) const;
-  void stepMover(const Event& event, std::uint32_t argument, const History& history, Mover* mover,
-                 StepEffects* effects) const;
+  void stepReconfigurer(const Event& event, std::uint32_t argument, const History& history,
+                        Reconfigurer* reconfigurer, StepEffects* effects) const;
   // What a mover's step builds on, as a number: the keys that were listed, and the set to follow.
-  std::uint32_t moverArgument(const State& state, const Event& event) const;
+  std::uint32_t reconfigurerArgument(const State& state, const Event& event) const;
   std::optional<ReplicaSet> following(const ReplicaSet& replicas, std::uint32_t argument) const;
 
   const Taken& take(PartId machine, PartId request);
@@ -138,14 +139,14 @@
   State initial_;
   Interned<Machine> machines_;
   Interned<Caller> callers_;
-  Interned<Mover> movers_;
+  Interned<Reconfigurer> reconfigurers_;
   Interned<History> histories_;
   Interned<Request> requests_;
   Interned<Answer> answers_;
   Interned<Text> texts_;
   std::vector<StoreId> stores_;  // all that there may ever be
   std::vector<bool> isNamed_;    // by machine: a step or planted error means it and no other
-  std::unordered_map<PartId, Parts> callerParts_, moverParts_;
+  std::unordered_map<PartId, Parts> callerParts_, reconfigurerParts_;
   std::unordered_map<PartId, PartId> machineContents_, requestContents_;
   std::unordered_map<std::uint64_t, Taken> taken_;  // by machine and request
   std::unordered_map<PartId, PartId> restarted_;
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -43,13 +43,13 @@
 // A call comes after the one before it has ended, and builds only on what was acknowledged: a
 // number that nobody was told is none that an operator can build on.
 bool World::mayStart(const State& state, const Caller& caller) const {
-  const auto order = caller.nextOrder();
-  if (!order) return false;
-  const std::uint64_t basis = configuration_->orders[*order].basis;
+  const auto change = caller.nextChange();
+  if (!change) return false;
+  const std::uint64_t basis = configuration_->changes[*change].basis;
   if (basis == 0) return true;
-  const OrderSet acked = histories_[state.history].acked();
-  for (std::size_t i = 0; i < configuration_->orders.size(); ++i) {
-    if ((acked & bitOf(i)) != 0 && configuration_->orders[i].basis + 1 == basis) return true;
+  const ChangeSet acked = histories_[state.history].acked();
+  for (std::size_t i = 0; i < configuration_->changes.size(); ++i) {
+    if ((acked & bitOf(i)) != 0 && configuration_->changes[i].basis + 1 == basis) return true;
   }
   return false;
 }
@@ -77,27 +77,28 @@
     if (caller.isBusy()) addTimeEvents(state, static_cast<std::uint8_t>(i), 0, events);
     addFaults(i, caller.isBusy(), caller.replicas());
   }
-  for (std::size_t i = 0; i < configuration_->movers; ++i) {
-    const Mover& mover = movers_[state.movers[i]];
-    const std::size_t who = kMostCallers + i;
-    addMoverSteps(state, i, events);
-    for (std::uint8_t proposer = 0; proposer < Mover::kProposers; ++proposer) {
-      if (mover.isBusy(proposer))
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+    const Reconfigurer& reconfigurer = reconfigurers_[state.reconfigurers[i]];
+    const std::size_t who = kMaxCallers + i;
+    addReconfigurerSteps(state, i, events);
+    for (std::uint8_t proposer = 0; proposer < Reconfigurer::kProposers; ++proposer) {
+      if (reconfigurer.isBusy(proposer))
         addTimeEvents(state, static_cast<std::uint8_t>(who), proposer, events);
     }
-    addFaults(who, mover.isBusy(0) || mover.isBusy(1), mover.replicas());
+    addFaults(who, reconfigurer.isBusy(0) || reconfigurer.isBusy(1), reconfigurer.replicas());
   }
 }
 
 // As the product's agent does: no step while an operation on the set's own key is under way. The
 // keys are told by any majority of members that are inside the epoch, at one moment: what is told
 // later than that can only be more, for a replica forgets no key and leaves no epoch.
-void World::addMoverSteps(const State& state, std::size_t mover, std::vector<Event>* events) const {
-  const Mover& daemon = movers_[state.movers[mover]];
+void World::addReconfigurerSteps(const State& state, std::size_t reconfigurer,
+                                 std::vector<Event>* events) const {
+  const Reconfigurer& daemon = reconfigurers_[state.reconfigurers[reconfigurer]];
   if (daemon.isBusy(0)) return;
   const ReplicaSet& replicas = daemon.replicas();
-  Event event = eventOf(Event::Kind::MoverSteps, kMostCallers + mover);
-  const bool mayMove = replicas.settled || configuration_->plant == Plant::UnsettledEpoch;
+  Event event = eventOf(Event::Kind::ReconfigurerSteps, kMaxCallers + reconfigurer);
+  const bool mayMove = replicas.settled || configuration_->defect == Defect::UnsettledEpoch;
   const std::size_t index = replicas.epoch.value - 1;
   if (mayMove && index < configuration_->steps.size()) {
     for (std::size_t i = 0; i < configuration_->steps[index].size(); ++i) {
--- a/src/model/world_steps.cpp
+++ b/src/model/world_steps.cpp
@@ -13,7 +13,7 @@
 
 const World::Stepped& World::step(const Event& event, PartId daemon, std::uint32_t argument,
                                   const History& history) {
-  const bool isCaller = event.who < kMostCallers;
+  const bool isCaller = event.who < kMaxCallers;
   const std::uint32_t what =
       static_cast<std::uint32_t>(event.kind) * 16 + event.choice * 2u + (isCaller ? 1u : 0u);
   const StepKey key{what, daemon, argument, history.acked()};
@@ -26,19 +26,19 @@
     stepCaller(event, argument, history, &caller, &effects);
     stepped.daemon = callers_.idOf(std::move(caller));
   } else {
-    Mover mover = movers_[daemon];
-    stepMover(event, argument, history, &mover, &effects);
-    stepped.daemon = movers_.idOf(std::move(mover));
+    Reconfigurer reconfigurer = reconfigurers_[daemon];
+    stepReconfigurer(event, argument, history, &reconfigurer, &effects);
+    stepped.daemon = reconfigurers_.idOf(std::move(reconfigurer));
   }
   for (auto& [member, message] : effects.sends)
     stepped.requests.push_back(requests_.idOf({member.store, std::move(message)}));
-  stepped.observed = std::move(effects.observed);
+  stepped.observations = std::move(effects.observations);
   return stepped_[key] = std::move(stepped);
 }
 
 void World::stepCaller(const Event& event, std::uint32_t argument, const History& history,
                        Caller* caller, StepEffects* effects) const {
-  const OrderSet acked = history.acked();
+  const ChangeSet acked = history.acked();
   switch (event.kind) {
     case Event::Kind::Deliver:
       return caller->answer(answers_[argument].body, acked, effects);
@@ -57,33 +57,34 @@
   }
 }
 
-void World::stepMover(const Event& event, std::uint32_t argument, const History& history,
-                      Mover* mover, StepEffects* effects) const {
+void World::stepReconfigurer(const Event& event, std::uint32_t argument, const History& history,
+                             Reconfigurer* reconfigurer, StepEffects* effects) const {
   switch (event.kind) {
     case Event::Kind::Deliver:
-      return mover->answer(answers_[argument].body, effects);
-    case Event::Kind::MoverSteps: {
+      return reconfigurer->answer(answers_[argument].body, effects);
+    case Event::Kind::ReconfigurerSteps: {
       std::optional<std::vector<RegisterKey>> listed;
       if ((argument & kListed) != 0) listed.emplace({kReplicaSetKey});
       if ((argument & kListsConfiguration) != 0) listed->push_back(kConfigurationKey);
-      return mover->step(listed, following(mover->replicas(), argument), effects);
+      return reconfigurer->step(listed, following(reconfigurer->replicas(), argument), effects);
     }
     case Event::Kind::Phase:
-      return mover->passPhase(event.choice, effects);
+      return reconfigurer->passPhase(event.choice, effects);
     case Event::Kind::Deadline:
-      return mover->passDeadline(event.choice, effects);
+      return reconfigurer->passDeadline(event.choice, effects);
     case Event::Kind::DaemonDies:
-      return mover->die();
+      return reconfigurer->die();
     case Event::Kind::DaemonLearns:
-      return mover->learn(history.sets().back());
+      return reconfigurer->learn(history.sets().back());
     default:
       throw std::logic_error("no event of a mover");
   }
 }
 
-std::uint32_t World::moverArgument(const State& state, const Event& event) const {
+std::uint32_t World::reconfigurerArgument(const State& state, const Event& event) const {
   std::uint32_t argument = static_cast<std::uint32_t>(event.choice) << kChoiceShift;
-  const ReplicaSet& replicas = movers_[state.movers[event.who - kMostCallers]].replicas();
+  const ReplicaSet& replicas =
+      reconfigurers_[state.reconfigurers[event.who - kMaxCallers]].replicas();
   const std::size_t index = replicas.epoch.value - 1;
   if (index < configuration_->steps.size()) {
     const auto& options = configuration_->steps[index];
--- a/src/model/world_symmetry.cpp
+++ b/src/model/world_symmetry.cpp
@@ -25,7 +25,7 @@
   for (const auto& options : configuration_->steps) {
     for (const MembershipStep& step : options) isNamed_[step.machine] = true;
   }
-  if (configuration_->plant == Plant::MinorityRead) isNamed_[0] = true;
+  if (configuration_->defect == Defect::MinorityRead) isNamed_[0] = true;
 }
 
 // One whose disk was emptied is no member any more.
@@ -69,9 +69,9 @@
       const PartId id = state.callers[i];
       append(&bytes, partsOf(id, callers_[id], &callerParts_).heard[store]);
     }
-    for (std::size_t i = 0; i < configuration_->movers; ++i) {
-      const PartId id = state.movers[i];
-      append(&bytes, partsOf(id, movers_[id], &moverParts_).heard[store]);
+    for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+      const PartId id = state.reconfigurers[i];
+      append(&bytes, partsOf(id, reconfigurers_[id], &reconfigurerParts_).heard[store]);
     }
   }
   const StoreId store = machines_[state.machines[machine]].replica().store();
@@ -93,9 +93,9 @@
     const PartId id = state.callers[i];
     shared.callers[i] = partsOf(id, callers_[id], &callerParts_).shared;
   }
-  for (std::size_t i = 0; i < configuration_->movers; ++i) {
-    const PartId id = state.movers[i];
-    shared.movers[i] = partsOf(id, movers_[id], &moverParts_).shared;
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+    const PartId id = state.reconfigurers[i];
+    shared.reconfigurers[i] = partsOf(id, reconfigurers_[id], &reconfigurerParts_).shared;
   }
   std::string bytes = shared.bytes();
   std::vector<std::string> alike;
--- a/src/model/world_words.cpp
+++ b/src/model/world_words.cpp
@@ -12,8 +12,8 @@
 }
 
 std::string daemonName(std::uint8_t who) {
-  if (who < kMostCallers) return "caller " + std::to_string(who + 1);
-  return "mover " + std::to_string(who - kMostCallers + 1);
+  if (who < kMaxCallers) return "caller " + std::to_string(who + 1);
+  return "mover " + std::to_string(who - kMaxCallers + 1);
 }
 
 std::string machineName(std::size_t index) { return "replica " + std::to_string(index + 1); }
@@ -26,10 +26,10 @@
 }
 
 // The names of the orders in a set, as "a b".
-std::string ordersName(OrderSet set, const std::vector<Order>& orders) {
+std::string changeNames(ChangeSet set, const std::vector<OperatorChange>& changes) {
   std::string text;
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    if ((set & bitOf(i)) != 0) text += (text.empty() ? "" : " ") + orders[i].name;
+  for (std::size_t i = 0; i < changes.size(); ++i) {
+    if ((set & bitOf(i)) != 0) text += (text.empty() ? "" : " ") + changes[i].name;
   }
   return text.empty() ? "none" : text;
 }
@@ -45,8 +45,8 @@
                      std::to_string(accept.value.version);
   ReplicaSet replicas;
   if (accept.key == kConfigurationKey)
-    text += " with " +
-            ordersName(ordersIn(accept.value.body, configuration_->orders), configuration_->orders);
+    text += " with " + changeNames(changesIn(accept.value.body, configuration_->changes),
+                                   configuration_->changes);
   else if (decodeValue(accept.value.body, &replicas))
     text += " " + setName(replicas);
   return text + store;
@@ -57,9 +57,9 @@
   const History& is = histories_[after.history];
   std::string text;
   if (is.acked() != was.acked())
-    text += "; acknowledged now: " + ordersName(is.acked(), configuration_->orders);
+    text += "; acknowledged now: " + changeNames(is.acked(), configuration_->changes);
   if (is.refused() != was.refused())
-    text += "; refused now: " + ordersName(is.refused(), configuration_->orders);
+    text += "; refused now: " + changeNames(is.refused(), configuration_->changes);
   if (is.sets() != was.sets()) text += "; known as chosen now: " + setName(is.sets().back());
   std::vector<PartId> sent;
   std::set_difference(after.requests.begin(), after.requests.end(), before.requests.begin(),
@@ -81,8 +81,8 @@
       text = "delivered, and a duplicate stays under way: " + describeRequest(event.request);
       break;
     case Event::Kind::Start: {
-      const auto order = callers_[before.callers[event.who]].nextOrder();
-      text = daemonName(event.who) + " is sent order " + configuration_->orders[*order].name;
+      const auto change = callers_[before.callers[event.who]].nextChange();
+      text = daemonName(event.who) + " is sent order " + configuration_->changes[*change].name;
       break;
     }
     case Event::Kind::Phase:
@@ -94,7 +94,7 @@
     case Event::Kind::DaemonDies:
       text = daemonName(event.who) + " ends, another daemon takes its place";
       break;
-    case Event::Kind::MoverSteps:
+    case Event::Kind::ReconfigurerSteps:
       text = daemonName(event.who) + " takes the replica set's next step";
       break;
     case Event::Kind::Restart:
--- a/tests/model_tests.cpp
+++ b/tests/model_tests.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 Configuration named(const std::string& name) {
-  const auto configuration = configurationOf(name);
+  const auto configuration = configurationByName(name);
   REQUIRE(configuration);
   return *configuration;
 }
 
-Report search(const Configuration& configuration, std::size_t states) {
-  Bounds bounds;
+SearchReport search(const Configuration& configuration, std::size_t states) {
+  SearchBounds bounds;
   bounds.states = states;
   bounds.time = std::chrono::seconds(250);  // a loaded machine: the states are the bound
-  Report report = explore(configuration, bounds);
+  SearchReport report = explore(configuration, bounds);
   std::string schedule;
   for (const std::string& event : report.schedule) schedule += "\n  " + event;
   WARN(configuration.name << ": distinct " << report.distinct << " visited " << report.visited
                           << " depth " << report.depth << " seconds " << report.time.count()
-                          << (report.isExhausted ? " exhausted" : "") << " " << report.broken);
+                          << (report.isExhausted ? " exhausted" : "") << " " << report.violation);
   UNSCOPED_INFO("schedule:" << schedule);
   return report;
 }
@@ -38,35 +38,35 @@
 Configuration unsyncedPromise() {
   Configuration configuration = withoutFaults(named("crash"));
   configuration.budgets.restarts = 1;
-  configuration.plant = Plant::UnsyncedPromise;
+  configuration.defect = Defect::UnsyncedPromise;
   return configuration;
 }
 Configuration unsettledEpoch() {
   Configuration configuration = named("replace");
-  configuration.plant = Plant::UnsettledEpoch;
+  configuration.defect = Defect::UnsettledEpoch;
   return configuration;
 }
 Configuration minorityRead() {
   Configuration configuration = withoutFaults(named("race"));
-  configuration.plant = Plant::MinorityRead;
+  configuration.defect = Defect::MinorityRead;
   return configuration;
 }
 Configuration resendAsNew() {
   Configuration configuration = withoutFaults(named("resend"));
-  configuration.orders.resize(1);
+  configuration.changes.resize(1);
   configuration.calls = {{0}, {0}};
-  configuration.plant = Plant::ResendAsNew;
+  configuration.defect = Defect::ResendAsNew;
   return configuration;
 }
 
 // The error is found, and up to twice as many states without it are clean.
-Report checkPlanted(Configuration configuration, std::size_t states) {
-  Report found = search(configuration, states);
-  CHECK_FALSE(found.broken.empty());
+SearchReport checkPlanted(Configuration configuration, std::size_t states) {
+  SearchReport found = search(configuration, states);
+  CHECK_FALSE(found.violation.empty());
   CHECK(found.schedule.size() == found.depth);
-  configuration.plant = Plant::None;
-  const Report clean = search(configuration, 2 * found.distinct);
-  CHECK(clean.broken.empty());
+  configuration.defect = Defect::None;
+  const SearchReport clean = search(configuration, 2 * found.distinct);
+  CHECK(clean.violation.empty());
   CHECK((clean.isExhausted || clean.distinct >= 2 * found.distinct));
   return found;
 }
@@ -74,8 +74,8 @@
 // A named configuration, with all of its faults, up to a bound that the test prints.
 void checkNamed(const std::string& name) {
   constexpr std::size_t kStates = 30'000;
-  const Report report = search(named(name), kStates);
-  CHECK(report.broken.empty());
+  const SearchReport report = search(named(name), kStates);
+  CHECK(report.violation.empty());
   CHECK((report.isExhausted || report.distinct >= kStates));
   CHECK(report.distinct > 5'000);
 }
@@ -89,8 +89,8 @@
 }  // namespace
 
 TEST_CASE("model: a race of two operators without faults is exhausted and holds") {
-  const Report report = search(withoutFaults(named("race")), 1'000'000);
-  CHECK(report.broken.empty());
+  const SearchReport report = search(withoutFaults(named("race")), 1'000'000);
+  CHECK(report.violation.empty());
   CHECK(report.isExhausted);
   CHECK(report.distinct > 4'000);
   CHECK(report.depth >= 20);
@@ -99,18 +99,18 @@
 // Three like replicas: at most six states become one, and no depth is lost.
 TEST_CASE("model: merging states of like replicas loses none") {
   const Configuration race = withoutFaults(named("race"));
-  Bounds each;
-  each.mergesAlike = false;
-  const Report merged = explore(race, {});
-  const Report apart = explore(race, each);
+  SearchBounds each;
+  each.mergesSymmetricStates = false;
+  const SearchReport merged = explore(race, {});
+  const SearchReport apart = explore(race, each);
   REQUIRE(merged.isExhausted);
   REQUIRE(apart.isExhausted);
   CHECK(merged.depth == apart.depth);
   CHECK(merged.distinct < apart.distinct);
   CHECK(6 * merged.distinct >= apart.distinct);
-  const Report foundMerged = explore(unsyncedPromise(), {});
-  const Report foundApart = explore(unsyncedPromise(), each);
-  CHECK_FALSE(foundMerged.broken.empty());
+  const SearchReport foundMerged = explore(unsyncedPromise(), {});
+  const SearchReport foundApart = explore(unsyncedPromise(), each);
+  CHECK_FALSE(foundMerged.violation.empty());
   CHECK(foundMerged.depth == foundApart.depth);
 }
 
@@ -118,8 +118,8 @@
 TEST_CASE("model: a race in which one round's time passes is exhausted and holds") {
   Configuration race = withoutFaults(named("race"));
   race.budgets.phases = 1;
-  const Report report = search(race, 1'000'000);
-  CHECK(report.broken.empty());
+  const SearchReport report = search(race, 1'000'000);
+  CHECK(report.violation.empty());
   CHECK(report.isExhausted);
   CHECK(report.distinct > 100'000);
 }
@@ -140,26 +140,26 @@
 }
 
 TEST_CASE("model: finds a promise that was answered before it was on the disk") {
-  const Report found = checkPlanted(unsyncedPromise(), 400'000);
-  CHECK(found.broken.find("without an acknowledged change") != std::string::npos);
+  const SearchReport found = checkPlanted(unsyncedPromise(), 400'000);
+  CHECK(found.violation.find("without an acknowledged change") != std::string::npos);
   Configuration unharmed = unsyncedPromise();
   unharmed.budgets.restarts = 0;  // memory still knows what the disk does not
-  CHECK(search(unharmed, 1'000'000).broken.empty());
+  CHECK(search(unharmed, 1'000'000).violation.empty());
 }
 
 TEST_CASE("model: finds a replica set that follows one that is not settled") {
-  const Report found = checkPlanted(unsettledEpoch(), 400'000);
-  CHECK(found.broken.find("without an acknowledged change: epoch 3") != std::string::npos);
+  const SearchReport found = checkPlanted(unsettledEpoch(), 400'000);
+  CHECK(found.violation.find("without an acknowledged change: epoch 3") != std::string::npos);
 }
 
 TEST_CASE("model: finds a read that asks a minority") {
-  const Report found = checkPlanted(minorityRead(), 100'000);
-  CHECK(found.broken.find("acknowledged before it began") != std::string::npos);
+  const SearchReport found = checkPlanted(minorityRead(), 100'000);
+  CHECK(found.violation.find("acknowledged before it began") != std::string::npos);
 }
 
 TEST_CASE("model: finds a change sent again that is judged as a new one") {
-  const Report found = checkPlanted(resendAsNew(), 100'000);
-  CHECK(found.broken.find("refused") != std::string::npos);
+  const SearchReport found = checkPlanted(resendAsNew(), 100'000);
+  CHECK(found.violation.find("refused") != std::string::npos);
 }
 
 TEST_CASE("model: which majorities meet") {
