--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -7,9 +7,9 @@
 namespace {
 constexpr std::size_t kBodyLimit = 1 << 20;
 // Within the share of the product's Amending that is left for the settling read alone.
-constexpr Span kLateBefore = 100ms;
+constexpr Span kTimeLeftAfterDeadline = 100ms;
 
-ReplicaSet firstMemberOf(const ReplicaSet& replicas) {
+ReplicaSet onlyFirstMember(const ReplicaSet& replicas) {
   ReplicaSet one = replicas;
   one.members.resize(1);
   return one;
@@ -18,40 +18,40 @@
 
 Caller::Caller(const Configuration* configuration, std::size_t index, const ChosenValue& replicaSet)
     : configuration_(configuration), index_(index), proposer_(ProposerId{proposerId()}) {
-  known_.learnChosen(kReplicaSetKey, replicaSet);
+  freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * life_; }
+std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * incarnation_; }
 
 std::optional<std::size_t> Caller::nextChange() const {
   const auto& calls = configuration_->calls[index_];
-  if (amending_ || nextCall_ >= calls.size()) return std::nullopt;
+  if (update_ || nextCall_ >= calls.size()) return std::nullopt;
   return calls[nextCall_];
 }
 
-void Caller::start(ChangeSet acked, StepEffects* effects) {
+void Caller::start(ChangeSet acknowledged, StepEffects* effects) {
   ++nextCall_;
-  writes_.clear();
-  isLate_ = false;
+  proposedWrites_.clear();
+  isChangeDeadlinePassed_ = false;
   const bool asNew = configuration_->defect == Defect::ResendAsNew;
-  amending_.emplace(updateOf(configuration_->changes[change()], asNew), kBodyLimit, kNever);
-  pump(acked, effects);
+  update_.emplace(updateOf(configuration_->changes[change()], asNew), kBodyLimit, kNever);
+  pump(acknowledged, effects);
 }
 
-void Caller::pump(ChangeSet acked, StepEffects* effects) {
-  const Instant now = isLate_ ? kNever - kLateBefore : proposer_.clock();
-  const auto asked = amending_->next(now);
+void Caller::pump(ChangeSet acknowledged, StepEffects* effects) {
+  const Instant now = isChangeDeadlinePassed_ ? kNever - kTimeLeftAfterDeadline : proposer_.clock();
+  const auto asked = update_->next(now);
   if (!asked) {
-    report(amending_->done()->result, effects);
-    amending_.reset();
+    report(update_->done()->result, effects);
+    update_.reset();
     return;
   }
   isRead_ = asked->isRead;
-  ackedBefore_ = acked;
+  acknowledgedBefore_ = acknowledged;
   const bool minority = isRead_ && configuration_->defect == Defect::MinorityRead;
-  Sends sends =
-      proposer_.begin(*asked, minority ? firstMemberOf(known_.replicas()) : known_.replicas());
-  if (!isRead_) writes_.push_back(proposer_.writeId());
+  Sends sends = proposer_.begin(
+      *asked, minority ? onlyFirstMember(freshness_.replicas()) : freshness_.replicas());
+  if (!isRead_) proposedWrites_.push_back(proposer_.writeId());
   effects->sends = std::move(sends);
 }
 
@@ -63,60 +63,61 @@
   effects->observations.push_back(ended);
   const bool mayHold = result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken ||
                        result == UpdateResult::Unknown;
-  if (mayHold || writes_.empty()) return;
+  if (mayHold || proposedWrites_.empty()) return;
   Observation dead;
-  dead.kind = Observation::Kind::DeadWrites;
-  dead.writes = writes_;
+  dead.kind = Observation::Kind::WritesRejected;
+  dead.writes = proposedWrites_;
   effects->observations.push_back(dead);
 }
 
-void Caller::take(const std::vector<ChangeDone>& done, ChangeSet acked, StepEffects* effects) {
+void Caller::take(const std::vector<ChangeDone>& done, ChangeSet acknowledged,
+                  StepEffects* effects) {
   for (const ChangeDone& ended : done) {
-    known_.adopt(ended.replicas);
+    freshness_.adopt(ended.replicas);
     Observation observation;
     if (ended.result == ChangeResult::Chosen) {
-      known_.learnChosen(ended.key, {ended.ballot, ended.value});
+      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
       observation.key = ended.key;
       observation.value = ended.value;
       observation.isRead = isRead_;
-      observation.ackedBefore = ackedBefore_;
+      observation.acknowledgedBefore = acknowledgedBefore_;
       effects->observations.push_back(observation);
     } else if (!isRead_ && ended.result != ChangeResult::Unknown) {
-      observation.kind = Observation::Kind::DeadWrites;
-      observation.writes = {writes_.back()};
+      observation.kind = Observation::Kind::WritesRejected;
+      observation.writes = {proposedWrites_.back()};
       effects->observations.push_back(observation);
     }
-    amending_->onAnswer(ended);
-    pump(acked, effects);
+    update_->onAnswer(ended);
+    pump(acknowledged, effects);
   }
 }
 
-void Caller::answer(const ReplicaAnswer& answer, ChangeSet acked, StepEffects* effects) {
+void Caller::answer(const ReplicaAnswer& answer, ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposer_.answer(answer, &done);
-  known_.adopt(answer.replicas);
-  take(done, acked, effects);
+  freshness_.adopt(answer.replicas);
+  take(done, acknowledged, effects);
 }
 
-void Caller::passPhase(ChangeSet acked, StepEffects* effects) {
+void Caller::expirePhase(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeDone> done;
-  effects->sends = proposer_.passPhase(known_.replicas(), &done);
-  take(done, acked, effects);
+  effects->sends = proposer_.expirePhase(freshness_.replicas(), &done);
+  take(done, acknowledged, effects);
 }
 
-void Caller::passDeadline(ChangeSet acked, StepEffects* effects) {
+void Caller::expireDeadline(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeDone> done;
-  proposer_.passDeadline(known_.replicas(), &done);
-  isLate_ = true;
-  take(done, acked, effects);
+  proposer_.expireDeadline(freshness_.replicas(), &done);
+  isChangeDeadlinePassed_ = true;
+  take(done, acknowledged, effects);
 }
 
 void Caller::die() {
-  ++life_;
+  ++incarnation_;
   proposer_ = TimedProposer(ProposerId{proposerId()});
-  amending_.reset();
-  writes_.clear();
-  isLate_ = false;
+  update_.reset();
+  proposedWrites_.clear();
+  isChangeDeadlinePassed_ = false;
 }
 
 const TimedProposer* Caller::proposer(std::uint64_t id) const {
@@ -124,12 +125,14 @@
 }
 
 std::string Caller::ownBytes() const {
-  std::string bytes = "caller" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + encodeValue(nextCall_) +
-                      encodeValue(writes_) + encodeValue(ackedBefore_);
-  for (const bool flag : {isRead_, isLate_, amending_.has_value()}) bytes += flag ? '1' : '0';
-  if (amending_) bytes += amending_->stateBytes();
+  std::string bytes = "caller" + encodeValue(index_) + encodeValue(incarnation_) +
+                      encodeValue(freshness_.replicas()) +
+                      encodeValue(freshness_.question({}, false)) +
+                      encodeValue(freshness_.replicaSetVersion()) + encodeValue(nextCall_) +
+                      encodeValue(proposedWrites_) + encodeValue(acknowledgedBefore_);
+  for (const bool flag : {isRead_, isChangeDeadlinePassed_, update_.has_value()})
+    bytes += flag ? '1' : '0';
+  if (update_) bytes += update_->stateBytes();
   return bytes;
 }
 
--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -19,14 +19,14 @@
   // The order that would be sent next, once the one before it has ended.
   std::optional<std::size_t> nextChange() const;
   // `acked`: the orders acknowledged so far, by whomever.
-  void start(ChangeSet acked, StepEffects* effects);
-  void answer(const ReplicaAnswer& answer, ChangeSet acked, StepEffects* effects);
-  void passPhase(ChangeSet acked, StepEffects* effects);
-  void passDeadline(ChangeSet acked, StepEffects* effects);
+  void start(ChangeSet acknowledged, StepEffects* effects);
+  void answer(const ReplicaAnswer& answer, ChangeSet acknowledged, StepEffects* effects);
+  void expirePhase(ChangeSet acknowledged, StepEffects* effects);
+  void expireDeadline(ChangeSet acknowledged, StepEffects* effects);
   // The daemon ends: the call gets no answer, and a new daemon sends the next one.
   void die();
-  void learn(const ReplicaSet& replicas) { known_.adopt(replicas); }
-  const ReplicaSet& replicas() const { return known_.replicas(); }
+  void learn(const ReplicaSet& replicas) { freshness_.adopt(replicas); }
+  const ReplicaSet& replicas() const { return freshness_.replicas(); }
   const TimedProposer* proposer(std::uint64_t id) const;
   std::string stateBytes() const;
   // The same in parts: what stands whoever answered, and what one replica answered.
@@ -34,8 +34,8 @@
   std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
 
  private:
-  void take(const std::vector<ChangeDone>& done, ChangeSet acked, StepEffects* effects);
-  void pump(ChangeSet acked, StepEffects* effects);
+  void take(const std::vector<ChangeDone>& done, ChangeSet acknowledged, StepEffects* effects);
+  void pump(ChangeSet acknowledged, StepEffects* effects);
   void report(UpdateResult result, StepEffects* effects);
   std::string ownBytes() const;
   std::uint64_t proposerId() const;
@@ -43,16 +43,16 @@
 
   const Configuration* configuration_;
   std::size_t index_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   TimedProposer proposer_;
-  Freshness known_{0};
-  std::optional<UpdateOperation> amending_;
+  Freshness freshness_{0};
+  std::optional<UpdateOperation> update_;
   std::size_t nextCall_ = 0;
-  std::vector<WriteId> writes_;  // proposed for the present call
-  bool isRead_ = false;          // the operation under way
-  ChangeSet ackedBefore_ = 0;
+  std::vector<WriteId> proposedWrites_;  // proposed for the present call
+  bool isRead_ = false;                  // the operation under way
+  ChangeSet acknowledgedBefore_ = 0;
   // An operation's deadline has passed: time is left for the read that settles, none for a change.
-  bool isLate_ = false;
+  bool isChangeDeadlinePassed_ = false;
 };
 
 }  // namespace quayrill::model
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -5,40 +5,40 @@
 namespace quayrill::model {
 
 namespace {
-bool isYes(UpdateResult result) {
+bool isAcknowledged(UpdateResult result) {
   return result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken;
 }
-bool isNo(UpdateResult result) {
+bool isRefused(UpdateResult result) {
   return result == UpdateResult::Refused || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
-std::string versionName(const Observation& observation) {
+std::string describeVersion(const Observation& observation) {
   return "version " + std::to_string(observation.value.version) + " of '" + observation.key.value +
          "'";
 }
 }  // namespace
 
 // Two majorities are apart where each can be made of its own members and of different common ones.
-bool majoritiesMeet(const ReplicaSet& one, const ReplicaSet& other) {
+bool majoritiesIntersect(const ReplicaSet& one, const ReplicaSet& other) {
   std::size_t common = 0;
   for (const ReplicaMember& member : one.members) {
     common += static_cast<std::size_t>(std::count_if(
         other.members.begin(), other.members.end(),
         [&](const ReplicaMember& candidate) { return candidate.store == member.store; }));
   }
-  const auto wantsOfCommon = [&](const ReplicaSet& set) {
+  const auto neededFromCommon = [&](const ReplicaSet& set) {
     const std::size_t own = set.members.size() - common;
     return majorityOf(set) > own ? majorityOf(set) - own : 0;
   };
-  return wantsOfCommon(one) + wantsOfCommon(other) > common;
+  return neededFromCommon(one) + neededFromCommon(other) > common;
 }
 
-bool History::holdsDeadWrite(const RegisterValue& value) const {
-  const auto isDead = [&](WriteId write) {
-    return std::binary_search(dead_.begin(), dead_.end(), write);
+bool History::containsRejectedWrite(const RegisterValue& value) const {
+  const auto isRejected = [&](WriteId write) {
+    return std::binary_search(rejectedWrites_.begin(), rejectedWrites_.end(), write);
   };
-  return isDead(value.writeId) ||
-         std::any_of(value.priorWrites.begin(), value.priorWrites.end(), isDead);
+  return isRejected(value.writeId) ||
+         std::any_of(value.priorWrites.begin(), value.priorWrites.end(), isRejected);
 }
 
 std::string History::observe(const Observation& observation,
@@ -47,16 +47,18 @@
     case Observation::Kind::Chosen:
       return observeChosen(observation, changes);
     case Observation::Kind::ChangeAnswered:
-      return observeEnd(observation, changes);
-    case Observation::Kind::DeadWrites:
+      return observeAnswer(observation, changes);
+    case Observation::Kind::WritesRejected:
       break;
   }
-  dead_.insert(dead_.end(), observation.writes.begin(), observation.writes.end());
-  std::sort(dead_.begin(), dead_.end());
-  dead_.erase(std::unique(dead_.begin(), dead_.end()), dead_.end());
+  rejectedWrites_.insert(rejectedWrites_.end(), observation.writes.begin(),
+                         observation.writes.end());
+  std::sort(rejectedWrites_.begin(), rejectedWrites_.end());
+  rejectedWrites_.erase(std::unique(rejectedWrites_.begin(), rejectedWrites_.end()),
+                        rejectedWrites_.end());
   for (const auto& [key, versions] : chosen_) {
     for (const auto& [version, value] : versions) {
-      if (holdsDeadWrite(value)) return "a write said to be dead was chosen before";
+      if (containsRejectedWrite(value)) return "a write said to be dead was chosen before";
     }
   }
   return "";
@@ -67,54 +69,55 @@
   const auto [row, isNew] =
       chosen_[observation.key].try_emplace(observation.value.version, observation.value);
   if (!isNew && !(row->second == observation.value))
-    return "two values were chosen as " + versionName(observation);
-  if (holdsDeadWrite(observation.value))
-    return "a write said to be dead was chosen: " + versionName(observation);
+    return "two values were chosen as " + describeVersion(observation);
+  if (containsRejectedWrite(observation.value))
+    return "a write said to be dead was chosen: " + describeVersion(observation);
   if (observation.key == kReplicaSetKey) {
     ReplicaSet replicas;
     if (!decodeValue(observation.value.body, &replicas))
       return "a chosen replica set can't be read";
-    return observeSet(replicas);
+    return observeReplicaSet(replicas);
   }
   const ChangeSet found = changesIn(observation.value.body, changes);
-  if (observation.isRead && (observation.ackedBefore & ~found) != 0)
+  if (observation.isRead && (observation.acknowledgedBefore & ~found) != 0)
     return "a read shows no sign of a change acknowledged before it began: " +
-           versionName(observation);
-  if ((refused_ & found) != 0) return "a refused change was chosen: " + versionName(observation);
+           describeVersion(observation);
+  if ((refused_ & found) != 0)
+    return "a refused change was chosen: " + describeVersion(observation);
   return "";
 }
 
-std::string History::observeSet(const ReplicaSet& replicas) {
-  for (ReplicaSet& known : sets_) {
+std::string History::observeReplicaSet(const ReplicaSet& replicas) {
+  for (ReplicaSet& known : replicaSets_) {
     if (known.epoch != replicas.epoch) continue;
     if (known.members != replicas.members) return "two replica sets were chosen under one epoch";
     known.settled = known.settled || replicas.settled;
     return "";
   }
-  sets_.push_back(replicas);
-  std::sort(sets_.begin(), sets_.end(),
+  replicaSets_.push_back(replicas);
+  std::sort(replicaSets_.begin(), replicaSets_.end(),
             [](const ReplicaSet& a, const ReplicaSet& b) { return a.epoch < b.epoch; });
-  for (std::size_t i = 1; i < sets_.size(); ++i) {
-    const bool areNeighbours = sets_[i].epoch.value == sets_[i - 1].epoch.value + 1;
-    if (areNeighbours && !majoritiesMeet(sets_[i - 1], sets_[i]))
+  for (std::size_t i = 1; i < replicaSets_.size(); ++i) {
+    const bool areConsecutive = replicaSets_[i].epoch.value == replicaSets_[i - 1].epoch.value + 1;
+    if (areConsecutive && !majoritiesIntersect(replicaSets_[i - 1], replicaSets_[i]))
       return "majorities of neighbouring replica sets have no common member";
   }
   return "";
 }
 
-std::string History::observeEnd(const Observation& observation,
-                                const std::vector<OperatorChange>& changes) {
+std::string History::observeAnswer(const Observation& observation,
+                                   const std::vector<OperatorChange>& changes) {
   const ChangeSet bit = bitOf(observation.change);
-  if (isYes(observation.result)) acked_ |= bit;
-  if (isNo(observation.result)) refused_ |= bit;
-  if ((acked_ & refused_) != 0)
+  if (isAcknowledged(observation.result)) acknowledged_ |= bit;
+  if (isRefused(observation.result)) refused_ |= bit;
+  if ((acknowledged_ & refused_) != 0)
     return "change '" + changes[observation.change].name +
            "' was acknowledged once and refused once";
   // Each acknowledged change has the number after its basis: two of one basis share a number.
   for (std::size_t i = 0; i < changes.size(); ++i) {
-    const bool isRival =
+    const bool isCompeting =
         i != observation.change && changes[i].basis == changes[observation.change].basis;
-    if (isRival && (acked_ & bit) != 0 && (acked_ & bitOf(i)) != 0)
+    if (isCompeting && (acknowledged_ & bit) != 0 && (acknowledged_ & bitOf(i)) != 0)
       return "two changes were acknowledged under one number";
   }
   for (const auto& [version, value] : chosen_[kConfigurationKey]) {
@@ -125,12 +128,13 @@
 }
 
 std::string History::stateBytes() const {
-  std::string bytes = encodeValue(acked_) + encodeValue(refused_) + encodeValue(dead_);
+  std::string bytes =
+      encodeValue(acknowledged_) + encodeValue(refused_) + encodeValue(rejectedWrites_);
   for (const auto& [key, versions] : chosen_) {
     bytes += encodeValue(key) + encodeValue(versions.size());
     for (const auto& [version, value] : versions) bytes += encodeValue(value);
   }
-  return bytes + encodeValue(sets_);
+  return bytes + encodeValue(replicaSets_);
 }
 
 }  // namespace quayrill::model
--- a/src/model/invariants.cpp
+++ b/src/model/invariants.cpp
@@ -40,12 +40,12 @@
   for (const View* view : quorum) {
     if (view->configuration.acceptedAt > highest->configuration.acceptedAt) highest = view;
   }
-  if ((history.acked() & ~highest->changes) != 0)
+  if ((history.acknowledged() & ~highest->changes) != 0)
     return "a quorum would read a value without an acknowledged change: " +
            setName(replicas, quorum);
   if ((history.refused() & highest->changes) != 0)
     return "a quorum would read a refused change: " + setName(replicas, quorum);
-  if (history.holdsDeadWrite(highest->configuration.value))
+  if (history.containsRejectedWrite(highest->configuration.value))
     return "a quorum would read a write said to be dead: " + setName(replicas, quorum);
   return "";
 }
@@ -59,7 +59,7 @@
     if (view->replicaSetEpoch > replicas.epoch) return "";
     shown |= view->changes;
   }
-  if ((history.acked() & ~shown) == 0) return "";
+  if ((history.acknowledged() & ~shown) == 0) return "";
   return "a confirmation would miss an acknowledged change: " + setName(replicas, asked);
 }
 
@@ -75,8 +75,8 @@
   return found;
 }
 
-std::string brokenIn(const ReplicaSet& replicas, const std::vector<View>& views,
-                     const History& history) {
+std::string findViolationIn(const ReplicaSet& replicas, const std::vector<View>& views,
+                            const History& history) {
   const std::vector<View> able = answering(replicas, views);
   const std::size_t confirming =
       replicas.settled ? meetsEveryMajority(replicas) : majorityOf(replicas);
@@ -99,7 +99,7 @@
 std::string brokenHolders(const ReplicaSet& newest, const std::vector<View>& views,
                           const History& history) {
   if (!newest.settled) return "";
-  for (ChangeSet left = history.acked(); left != 0; left &= left - 1) {
+  for (ChangeSet left = history.acknowledged(); left != 0; left &= left - 1) {
     const ChangeSet change = left & -left;
     std::size_t holders = newest.members.size();
     for (const View& view : views) {
@@ -122,11 +122,11 @@
   for (const Machine* machine : machines) {
     if (machine->replica().isVoting()) views.push_back(viewOf(*machine, changes));
   }
-  for (const ReplicaSet& replicas : history.sets()) {
-    std::string violation = brokenIn(replicas, views, history);
+  for (const ReplicaSet& replicas : history.replicaSets()) {
+    std::string violation = findViolationIn(replicas, views, history);
     if (!violation.empty()) return violation;
   }
-  return brokenHolders(history.sets().back(), views, history);
+  return brokenHolders(history.replicaSets().back(), views, history);
 }
 
 }  // namespace quayrill::model
--- a/src/model/machine.cpp
+++ b/src/model/machine.cpp
@@ -3,11 +3,11 @@
 namespace quayrill::model {
 
 namespace {
-constexpr char kStoreRow[] = "store";  // of the product's disk format: the store's id alone
+constexpr char kStoreKey[] = "store";  // of the product's disk format: the store's id alone
 }  // namespace
 
-Machine::Machine(StoreId store, bool forgetsPromises)
-    : replica_(store), forgetsPromises_(forgetsPromises) {
+Machine::Machine(StoreId store, bool dropsPromiseWrites)
+    : replica_(store), dropsPromiseWrites_(dropsPromiseWrites) {
   sync(replica_.identityWrites());
 }
 
@@ -19,7 +19,7 @@
   ReplicaEffects effects;
   if (const auto* prepare = std::get_if<Prepare>(&request)) {
     effects = replica_.onPrepare(*prepare);
-    if (forgetsPromises_) {
+    if (dropsPromiseWrites_) {
       std::erase_if(effects.writes,
                     [](const DiskWrite& write) { return write.key.rfind("slot/", 0) == 0; });
     }
@@ -65,14 +65,16 @@
   return std::get<ConfirmAnswer>(*effects.answer).allKeys;
 }
 
-std::string Machine::bytesButStore() const {
+std::string Machine::stateBytesWithoutStore() const {
   std::string bytes = replica_.stateBytes();
   for (const auto& [key, row] : disk_) {
-    if (key != kStoreRow) bytes += encodeValue(key) + encodeValue(row);
+    if (key != kStoreKey) bytes += encodeValue(key) + encodeValue(row);
   }
   return bytes;
 }
 
-std::string Machine::stateBytes() const { return encodeValue(replica_.store()) + bytesButStore(); }
+std::string Machine::stateBytes() const {
+  return encodeValue(replica_.store()) + stateBytesWithoutStore();
+}
 
 }  // namespace quayrill::model
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -11,7 +11,7 @@
 
 class Machine {
  public:
-  Machine(StoreId store, bool forgetsPromises);
+  Machine(StoreId store, bool dropsPromiseWrites);
 
   const RegisterReplica& replica() const { return replica_; }
   // Takes a request and syncs what it writes. The answer has left with that: a crash before it is a
@@ -26,14 +26,14 @@
   std::vector<RegisterKey> keys() const;
   std::string stateBytes() const;
   // The same without the store's id.
-  std::string bytesButStore() const;
+  std::string stateBytesWithoutStore() const;
 
  private:
   void sync(const std::vector<DiskWrite>& writes);
 
   RegisterReplica replica_;
   std::map<std::string, std::string> disk_;
-  bool forgetsPromises_;
+  bool dropsPromiseWrites_;
 };
 
 }  // namespace quayrill::model
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -9,15 +9,15 @@
 Reconfigurer::Reconfigurer(const Configuration* configuration, std::size_t index,
                            const ChosenValue& replicaSet)
     : configuration_(configuration), index_(index), isRead_(kProposers, false) {
-  for (std::size_t i = 0; i < kProposers; ++i) proposers_.push_back(madeProposer(i));
-  known_.learnChosen(kReplicaSetKey, replicaSet);
+  for (std::size_t i = 0; i < kProposers; ++i) proposers_.push_back(makeProposer(i));
+  freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
 std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
-  return 50 + kProposers * index_ + proposer + 100 * life_;
+  return 50 + kProposers * index_ + proposer + 100 * incarnation_;
 }
 
-TimedProposer Reconfigurer::madeProposer(std::size_t proposer) const {
+TimedProposer Reconfigurer::makeProposer(std::size_t proposer) const {
   return TimedProposer(ProposerId{proposerId(proposer)});
 }
 
@@ -25,67 +25,68 @@
   const std::size_t proposer = proposerFor(ask.key);
   if (proposers_[proposer].isBusy()) return;
   isRead_[proposer] = ask.isRead;
-  for (auto& send : proposers_[proposer].begin(ask, known_.replicas()))
+  for (auto& send : proposers_[proposer].begin(ask, freshness_.replicas()))
     effects->sends.push_back(std::move(send));
 }
 
 void Reconfigurer::step(const std::optional<std::vector<RegisterKey>>& listed,
-                        const std::optional<ReplicaSet>& following, StepEffects* effects) {
-  if (wantsRead_) {
+                        const std::optional<ReplicaSet>& nextReplicaSet, StepEffects* effects) {
+  if (needsRead_) {
     begin({{}, kReplicaSetKey, true, 0, {}, {}, {}}, effects);
     return;
   }
-  ReplicaSet replicas = known_.replicas();
+  ReplicaSet replicas = freshness_.replicas();
   if (configuration_->defect == Defect::UnsettledEpoch) replicas.settled = true;
   const Instant now = proposers_[0].clock();
-  const auto asks = sweep_.next(replicas, known_.replicaSetVersion(), listed, following, now);
+  const auto asks =
+      sweep_.next(replicas, freshness_.replicaSetVersion(), listed, nextReplicaSet, now);
   for (const ChangeAsked& ask : asks) begin(ask, effects);
 }
 
 void Reconfigurer::take(std::size_t proposer, const std::vector<ChangeDone>& done,
                         StepEffects* effects) {
   for (const ChangeDone& ended : done) {
-    known_.adopt(ended.replicas);
+    freshness_.adopt(ended.replicas);
     const bool isChosen = ended.result == ChangeResult::Chosen;
     if (isChosen) {
-      known_.learnChosen(ended.key, {ended.ballot, ended.value});
+      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
       Observation observation;
       observation.key = ended.key;
       observation.value = ended.value;
       effects->observations.push_back(observation);
     }
-    if (isRead_[proposer] && !wantsRead_) sweep_.onReadDone(ended);
-    if (ended.key == kReplicaSetKey) wantsRead_ = !isChosen && (wantsRead_ || !isRead_[proposer]);
+    if (isRead_[proposer] && !needsRead_) sweep_.onReadDone(ended);
+    if (ended.key == kReplicaSetKey) needsRead_ = !isChosen && (needsRead_ || !isRead_[proposer]);
   }
 }
 
 void Reconfigurer::answer(const ReplicaAnswer& answer, StepEffects* effects) {
   for (std::size_t i = 0; i < kProposers; ++i) {
-    if (proposerOf(answer.operation) != proposerId(i)) continue;
+    if (proposerIdOf(answer.operation) != proposerId(i)) continue;
     std::vector<ChangeDone> done;
     effects->sends = proposers_[i].answer(answer, &done);
-    known_.adopt(answer.replicas);
+    freshness_.adopt(answer.replicas);
     take(i, done, effects);
   }
 }
 
-void Reconfigurer::passPhase(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::expirePhase(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
-  effects->sends = proposers_[proposer].passPhase(known_.replicas(), &done);
+  effects->sends = proposers_[proposer].expirePhase(freshness_.replicas(), &done);
   take(proposer, done, effects);
 }
 
-void Reconfigurer::passDeadline(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::expireDeadline(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
-  proposers_[proposer].passDeadline(known_.replicas(), &done);
+  proposers_[proposer].expireDeadline(freshness_.replicas(), &done);
   take(proposer, done, effects);
 }
 
 void Reconfigurer::die() {
-  ++life_;
-  for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = madeProposer(i);
+  ++incarnation_;
+  for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = makeProposer(i);
   sweep_ = EpochSweep();
-  wantsRead_ = false;
+  needsRead_ = false;
 }
 
 const TimedProposer* Reconfigurer::proposer(std::uint64_t id) const {
@@ -96,10 +97,10 @@
 }
 
 std::string Reconfigurer::ownBytes() const {
-  std::string bytes = "mover" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + sweep_.stateBytes() +
-                      (wantsRead_ ? '1' : '0');
+  std::string bytes =
+      "mover" + encodeValue(index_) + encodeValue(incarnation_) +
+      encodeValue(freshness_.replicas()) + encodeValue(freshness_.question({}, false)) +
+      encodeValue(freshness_.replicaSetVersion()) + sweep_.stateBytes() + (needsRead_ ? '1' : '0');
   for (const bool isRead : isRead_) bytes += isRead ? '1' : '0';
   return bytes;
 }
--- a/src/model/mover.h
+++ b/src/model/mover.h
@@ -22,13 +22,13 @@
   bool isBusy(std::size_t proposer) const { return proposers_[proposer].isBusy(); }
   // `listed` and `following` as EpochSweep asks for them.
   void step(const std::optional<std::vector<RegisterKey>>& listed,
-            const std::optional<ReplicaSet>& following, StepEffects* effects);
+            const std::optional<ReplicaSet>& nextReplicaSet, StepEffects* effects);
   void answer(const ReplicaAnswer& answer, StepEffects* effects);
-  void passPhase(std::size_t proposer, StepEffects* effects);
-  void passDeadline(std::size_t proposer, StepEffects* effects);
+  void expirePhase(std::size_t proposer, StepEffects* effects);
+  void expireDeadline(std::size_t proposer, StepEffects* effects);
   void die();
-  void learn(const ReplicaSet& replicas) { known_.adopt(replicas); }
-  const ReplicaSet& replicas() const { return known_.replicas(); }
+  void learn(const ReplicaSet& replicas) { freshness_.adopt(replicas); }
+  const ReplicaSet& replicas() const { return freshness_.replicas(); }
   const TimedProposer* proposer(std::uint64_t id) const;
   std::string stateBytes() const;
   // The same in parts: what stands whoever answered, and what one replica answered.
@@ -40,17 +40,17 @@
   void begin(const ChangeAsked& ask, StepEffects* effects);
   void take(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects);
   std::uint64_t proposerId(std::size_t proposer) const;
-  TimedProposer madeProposer(std::size_t proposer) const;
+  TimedProposer makeProposer(std::size_t proposer) const;
 
   const Configuration* configuration_;
   std::size_t index_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::vector<TimedProposer> proposers_;
-  Freshness known_{0};
+  Freshness freshness_{0};
   EpochSweep sweep_;
   std::vector<bool> isRead_;  // by proposer: the operation under way
   // The last change of the set was turned away or is unknown: a read comes before the next.
-  bool wantsRead_ = false;
+  bool needsRead_ = false;
 };
 
 }  // namespace quayrill::model
--- a/src/model/observed.h
+++ b/src/model/observed.h
@@ -11,14 +11,14 @@
 struct Observation {
   enum class Kind {
     Chosen,          // a value was proved chosen
-    DeadWrites,      // these writes were said never to take effect
+    WritesRejected,  // these writes were said never to take effect
     ChangeAnswered,  // the operator was answered
   };
   Kind kind = Kind::Chosen;
   RegisterKey key;
   RegisterValue value;
   bool isRead = false;
-  ChangeSet ackedBefore = 0;  // what was acknowledged when the read began
+  ChangeSet acknowledgedBefore = 0;  // what was acknowledged when the read began
   std::vector<WriteId> writes;
   std::size_t change = 0;
   UpdateResult result{};
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -13,7 +13,7 @@
   return changeDigest("order", change.basis, change.name);
 }
 
-TakenChanges readBody(const std::string& body) {
+TakenChanges decodeBody(const std::string& body) {
   std::istringstream in(body);
   TakenChanges taken;
   TakenChange change;
@@ -21,36 +21,36 @@
   return taken;
 }
 
-std::string writeBody(const TakenChanges& taken) {
+std::string encodeBody(const TakenChanges& taken) {
   std::ostringstream out;
   for (const TakenChange& change : taken) out << change.number << ' ' << change.digest << ' ';
   return out.str();
 }
 }  // namespace
 
-Update updateOf(const OperatorChange& change, bool judgesResendsAsNew) {
-  return [change, judgesResendsAsNew](
+Update updateOf(const OperatorChange& change, bool treatsResendAsNew) {
+  return [change, treatsResendAsNew](
              const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    TakenChanges taken = readBody(standing);
+    TakenChanges taken = decodeBody(standing);
     const std::string digest = digestOf(change);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
     const SentChange sent{change.basis + 1, change.basis, digest};
     const ChangeStanding changeStanding = standingOf(sent, taken, kNoneForgotten, number);
-    if (!judgesResendsAsNew && changeStanding == ChangeStanding::Taken)
+    if (!treatsResendAsNew && changeStanding == ChangeStanding::Taken)
       return std::optional<std::string>{};
     if (number != change.basis)
       return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
     addTaken(&taken, {number + 1, digest});
-    return std::optional<std::string>{writeBody(taken)};
+    return std::optional<std::string>{encodeBody(taken)};
   };
 }
 
 ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes) {
-  const TakenChanges taken = readBody(body);
+  const TakenChanges taken = decodeBody(body);
   ChangeSet found = 0;
   for (std::size_t i = 0; i < changes.size(); ++i) {
-    const TakenChange made{changes[i].basis + 1, digestOf(changes[i])};
-    if (std::find(taken.begin(), taken.end(), made) != taken.end()) found |= bitOf(i);
+    const TakenChange takenChange{changes[i].basis + 1, digestOf(changes[i])};
+    if (std::find(taken.begin(), taken.end(), takenChange) != taken.end()) found |= bitOf(i);
   }
   return found;
 }
--- a/src/model/orders.h
+++ b/src/model/orders.h
@@ -19,8 +19,8 @@
 using ChangeSet = std::uint32_t;
 inline ChangeSet bitOf(std::size_t change) { return ChangeSet{1} << change; }
 
-// `judgesResendsAsNew` plants the error that a taken change is not known again.
-Update updateOf(const OperatorChange& change, bool judgesResendsAsNew);
+// `treatsResendAsNew` plants the error that a taken change is not known again.
+Update updateOf(const OperatorChange& change, bool treatsResendAsNew);
 
 // Those of `orders` that the body has taken.
 ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes);
--- a/src/model/state.cpp
+++ b/src/model/state.cpp
@@ -23,7 +23,7 @@
   return bytes;
 }
 
-bool State::equalsButBudgets(const State& other) const {
+bool State::equalsIgnoringBudgets(const State& other) const {
   return machines == other.machines && callers == other.callers &&
          reconfigurers == other.reconfigurers && history == other.history &&
          requests == other.requests;
--- a/src/model/state.h
+++ b/src/model/state.h
@@ -23,18 +23,18 @@
 
   // Equal bytes: the same state.
   std::string bytes() const;
-  bool equalsButBudgets(const State& other) const;
+  bool equalsIgnoringBudgets(const State& other) const;
 };
 
 struct Event {
   enum class Kind : std::uint8_t {
-    Deliver,         // a request to its replica, and the answer back
-    DeliverUnheard,  // the answer is lost
-    Duplicate,       // as Deliver, and the request stays under way
-    Start,           // an operator's next call
-    Phase,           // a round's time passes
-    Deadline,        // an operation's time passes
-    DaemonDies,
+    Deliver,            // a request to its replica, and the answer back
+    DeliverAnswerLost,  // the answer is lost
+    Duplicate,          // as Deliver, and the request stays under way
+    Start,              // an operator's next call
+    PhaseTimeout,       // a round's time passes
+    OperationTimeout,   // an operation's time passes
+    DaemonCrash,
     ReconfigurerSteps,
     Restart,
     Empty,
@@ -42,7 +42,7 @@
     DaemonLearns,
   };
   Kind kind = Kind::Deliver;
-  std::uint8_t who = 0;     // machine, caller, or kMaxCallers + mover
+  std::uint8_t actor = 0;   // machine, caller, or kMaxCallers + mover
   std::uint8_t choice = 0;  // mover: proposer for its time events, else index of the step
   std::uint8_t quorum = 0;  // mover: bits of the machines that told their keys; 0: none
   PartId request = 0;
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -5,11 +5,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kLeap = 1s;  // longer than any phase, rest or repeat of the product's proposer
+constexpr Span kClockAdvance =
+    1s;  // longer than any phase, rest or repeat of the product's proposer
 constexpr std::uint64_t kSeed = 1;  // the jitter says only how long a rest is
 }  // namespace
 
-std::uint64_t proposerOf(OperationId operation) { return operation.value / kOperationsEach; }
+std::uint64_t proposerIdOf(OperationId operation) {
+  return operation.value / kOperationIdsPerProposer;
+}
 
 TimedProposer::TimedProposer(ProposerId id) : proposer_(id, kSeed), id_(id) {}
 
@@ -18,11 +21,11 @@
   const Message& message = sends.front().second;
   if (const auto* prepare = std::get_if<Prepare>(&message)) {
     ballot_ = prepare->ballot;
-    accepting_ = false;
+    isAcceptPhase_ = false;
   }
   if (const auto* accept = std::get_if<Accept>(&message)) {
     ballot_ = accept->ballot;
-    accepting_ = true;
+    isAcceptPhase_ = true;
   }
 }
 
@@ -31,7 +34,7 @@
 }
 
 Sends TimedProposer::begin(ChangeAsked change, const ReplicaSet& replicas) {
-  change.operation = OperationId{id_.value * kOperationsEach + ++operations_};
+  change.operation = OperationId{id_.value * kOperationIdsPerProposer + ++operationCount_};
   change.writeId = WriteId{change.operation.value};
   change.due = kNever;
   isBusy_ = true;
@@ -47,11 +50,11 @@
   return sends;
 }
 
-Sends TimedProposer::passPhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
-  clock_ += kLeap;
+Sends TimedProposer::expirePhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
+  clock_ += kClockAdvance;
   Sends sends = proposer_.onTick(replicas, clock_, done);
   if (sends.empty() && done->empty()) {
-    clock_ += kLeap;
+    clock_ += kClockAdvance;
     sends = proposer_.onTick(replicas, clock_, done);
   }
   note(sends);
@@ -59,7 +62,7 @@
   return sends;
 }
 
-void TimedProposer::passDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
+void TimedProposer::expireDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
   proposer_.onTick(replicas, kNever, done);
   end(*done);
 }
@@ -67,8 +70,8 @@
 // The clock is left out: the operation's times were set by the same clock, and all that is ever
 // asked of them is whether a leap passes them, which each does.
 std::string TimedProposer::ownBytes() const {
-  return encodeValue(operations_) + (isBusy_ ? '1' : '0') + encodeValue(ballot_) +
-         (accepting_ ? '1' : '0');
+  return encodeValue(operationCount_) + (isBusy_ ? '1' : '0') + encodeValue(ballot_) +
+         (isAcceptPhase_ ? '1' : '0');
 }
 
 std::string TimedProposer::sharedBytes() const { return proposer_.sharedBytes() + ownBytes(); }
--- a/src/model/timed_proposer.h
+++ b/src/model/timed_proposer.h
@@ -13,7 +13,7 @@
 inline constexpr Instant kNever{std::chrono::hours(100000)};
 
 // An operation's id is its proposer's id times this, and a count.
-inline constexpr std::uint64_t kOperationsEach = 1000;
+inline constexpr std::uint64_t kOperationIdsPerProposer = 1000;
 
 class TimedProposer {
  public:
@@ -23,16 +23,18 @@
   Sends begin(ChangeAsked change, const ReplicaSet& replicas);
   Sends answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done);
   // The time of the present phase has passed, and the rest before the next round too.
-  Sends passPhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
-  void passDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
+  Sends expirePhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
+  void expireDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
   bool isBusy() const { return isBusy_; }
   // Whether an answer to this request could still move the operation under way.
-  bool awaits(const Ballot& ballot, bool accepting) const {
-    return isBusy_ && ballot == ballot_ && accepting == accepting_;
+  bool isAwaiting(const Ballot& ballot, bool isAcceptPhase) const {
+    return isBusy_ && ballot == ballot_ && isAcceptPhase == isAcceptPhase_;
   }
   Instant clock() const { return clock_; }
   // Of the operation begun last, which has a write id of its own.
-  WriteId writeId() const { return WriteId{id_.value * kOperationsEach + operations_}; }
+  WriteId writeId() const {
+    return WriteId{id_.value * kOperationIdsPerProposer + operationCount_};
+  }
   std::string stateBytes() const;
   // The same in parts, as the product's proposer has them.
   std::string sharedBytes() const;
@@ -46,14 +48,14 @@
   Proposer proposer_;
   ProposerId id_;
   Instant clock_{std::chrono::hours(1)};
-  std::uint64_t operations_ = 0;
+  std::uint64_t operationCount_ = 0;
   bool isBusy_ = false;
   Ballot ballot_;  // of the round under way
-  bool accepting_ = false;
+  bool isAcceptPhase_ = false;
 };
 
 // Operations of different proposers never share an id, as in the product's messages, which go back
 // to the address that asked.
-std::uint64_t proposerOf(OperationId operation);
+std::uint64_t proposerIdOf(OperationId operation);
 
 }  // namespace quayrill::model
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -7,11 +7,12 @@
 namespace quayrill::model {
 
 namespace {
-constexpr std::uint64_t kFounder = 1;          // its proposer's id, below all others
-constexpr std::uint64_t kEmptiedStores = 100;  // a store made on an emptied disk, and the machine
+constexpr std::uint64_t kFounderId = 1;  // its proposer's id, below all others
+constexpr std::uint64_t kEmptiedStoreBase =
+    100;  // a store made on an emptied disk, and the machine
 
 StoreId firstStoreOf(std::size_t machine) { return StoreId{machine + 1}; }
-StoreId emptiedStoreOf(std::size_t machine) { return StoreId{kEmptiedStores + machine + 1}; }
+StoreId emptiedStoreOf(std::size_t machine) { return StoreId{kEmptiedStoreBase + machine + 1}; }
 Address addressOf(std::size_t machine) { return Address{"m" + std::to_string(machine + 1)}; }
 
 ReplicaSet firstSet(std::size_t members) {
@@ -50,7 +51,7 @@
     stores_.push_back(firstStoreOf(i));
     stores_.push_back(emptiedStoreOf(i));
   }
-  markNamed();
+  markDistinguished();
   const ChosenValue founded = found(&machines, replicas);
   for (std::size_t i = 0; i < machines.size(); ++i)
     initial_.machines[i] = machines_.idOf(machines[i]);
@@ -63,7 +64,7 @@
 }
 
 ChosenValue World::found(std::vector<Machine>* machines, const ReplicaSet& replicas) const {
-  TimedProposer founder{ProposerId{kFounder}};
+  TimedProposer founder{ProposerId{kFounderId}};
   ChangeAsked ask;
   ask.key = kReplicaSetKey;
   ask.body = encodeValue(replicas);
@@ -92,7 +93,7 @@
   Successor next{event, state, {}};
   switch (event.kind) {
     case Event::Kind::Deliver:
-    case Event::Kind::DeliverUnheard:
+    case Event::Kind::DeliverAnswerLost:
     case Event::Kind::Duplicate:
       if (!applyDelivery(event, &next)) return std::nullopt;
       break;
@@ -108,9 +109,9 @@
       applyDaemon(event, event.kind == Event::Kind::DaemonLearns ? state.history : event.choice,
                   &next);
   }
-  if (next.violation.empty()) prune(&next.state);
-  if (next.violation.empty() && next.state.equalsButBudgets(state)) return std::nullopt;
-  if (next.violation.empty()) next.violation = brokenIn(next.state);
+  if (next.violation.empty()) pruneRequests(&next.state);
+  if (next.violation.empty() && next.state.equalsIgnoringBudgets(state)) return std::nullopt;
+  if (next.violation.empty()) next.violation = findViolationIn(next.state);
   return next;
 }
 
@@ -127,21 +128,21 @@
   } else {
     state.requests.erase(std::find(state.requests.begin(), state.requests.end(), event.request));
   }
-  if (event.kind == Event::Kind::DeliverUnheard) {
+  if (event.kind == Event::Kind::DeliverAnswerLost) {
     --state.budgets.lostAnswers;
     return isHeard;
   }
   if (!isHeard) return true;
   Event heard = event;
   heard.kind = Event::Kind::Deliver;
-  heard.who = daemonOf(state, proposerOf(operationOf(body))).first;
+  heard.actor = daemonOf(state, proposerIdOf(operationOf(body))).first;
   applyDaemon(heard, *taken.answer, next);
   return true;
 }
 
 void World::applyMachine(const Event& event, Successor* next) {
   State& state = next->state;
-  PartId& id = state.machines[event.who];
+  PartId& id = state.machines[event.actor];
   if (event.kind == Event::Kind::Restart) {
     --state.budgets.restarts;
     id = restarted(id);
@@ -150,7 +151,7 @@
   Machine machine = machines_[id];
   if (event.kind == Event::Kind::Empty) {
     --state.budgets.emptied;
-    machine.empty(emptiedStoreOf(event.who));
+    machine.empty(emptiedStoreOf(event.actor));
   } else {
     --state.budgets.learns;
     machine.adopt(newestSet(state));
@@ -160,21 +161,22 @@
 
 void World::applyDaemon(const Event& event, std::uint32_t argument, Successor* next) {
   State& state = next->state;
-  if (event.kind == Event::Kind::Phase) --state.budgets.phases;
-  if (event.kind == Event::Kind::Deadline) --state.budgets.deadlines;
-  if (event.kind == Event::Kind::DaemonDies) --state.budgets.daemonDeaths;
+  if (event.kind == Event::Kind::PhaseTimeout) --state.budgets.phases;
+  if (event.kind == Event::Kind::OperationTimeout) --state.budgets.deadlines;
+  if (event.kind == Event::Kind::DaemonCrash) --state.budgets.daemonDeaths;
   if (event.kind == Event::Kind::DaemonLearns) --state.budgets.learns;
-  PartId& daemon = event.who < kMaxCallers ? state.callers[event.who]
-                                           : state.reconfigurers[event.who - kMaxCallers];
-  const Stepped& stepped = step(event, daemon, argument, histories_[state.history]);
-  daemon = stepped.daemon;
-  state.requests.insert(state.requests.end(), stepped.requests.begin(), stepped.requests.end());
+  PartId& daemon = event.actor < kMaxCallers ? state.callers[event.actor]
+                                             : state.reconfigurers[event.actor - kMaxCallers];
+  const DaemonStep& daemonStep = step(event, daemon, argument, histories_[state.history]);
+  daemon = daemonStep.daemon;
+  state.requests.insert(state.requests.end(), daemonStep.requests.begin(),
+                        daemonStep.requests.end());
   std::sort(state.requests.begin(), state.requests.end());
   state.requests.erase(std::unique(state.requests.begin(), state.requests.end()),
                        state.requests.end());
-  if (stepped.observations.empty()) return;
+  if (daemonStep.observations.empty()) return;
   History history = histories_[state.history];
-  for (const Observation& observation : stepped.observations) {
+  for (const Observation& observation : daemonStep.observations) {
     next->violation = history.observe(observation, configuration_->changes);
     if (!next->violation.empty()) break;
   }
@@ -202,18 +204,19 @@
 }
 
 bool World::isAwaited(const State& state, const Message& request) const {
-  const auto* proposer = daemonOf(state, proposerOf(operationOf(request))).second;
-  return proposer && proposer->awaits(ballotOf(request), std::holds_alternative<Accept>(request));
+  const auto* proposer = daemonOf(state, proposerIdOf(operationOf(request))).second;
+  return proposer &&
+         proposer->isAwaiting(ballotOf(request), std::holds_alternative<Accept>(request));
 }
 
-void World::prune(State* state) {
-  std::erase_if(state->requests, [&](PartId request) { return isPointless(*state, request); });
+void World::pruneRequests(State* state) {
+  std::erase_if(state->requests, [&](PartId request) { return isRedundant(*state, request); });
 }
 
 // An Accept that leaves the replica as it is does so for ever: it was refused, and neither promise
 // nor epoch ever falls, or it was accepted before. The replica that would restart on its disk is
 // asked too, so that nothing is lost where a planted error makes the disk forget.
-bool World::isPointless(const State& state, PartId request) {
+bool World::isRedundant(const State& state, PartId request) {
   const auto machine = machineOf(state, requests_[request].store);
   if (!machine) return true;
   if (isAwaited(state, requests_[request].body)) return false;
@@ -225,14 +228,14 @@
 
 const World::Taken& World::take(PartId machine, PartId request) {
   const std::uint64_t key = (std::uint64_t{machine} << 32) | request;
-  const auto found = taken_.find(key);
-  if (found != taken_.end()) return found->second;
+  const auto found = replicaSteps_.find(key);
+  if (found != replicaSteps_.end()) return found->second;
   Machine changed = machines_[machine];
   const auto answer = changed.take(requests_[request].body);
   Taken taken;
   taken.machine = machines_.idOf(std::move(changed));
   if (answer) taken.answer = answers_.idOf({*answer});
-  return taken_[key] = taken;
+  return replicaSteps_[key] = taken;
 }
 
 PartId World::restarted(PartId machine) {
@@ -243,16 +246,17 @@
   return restarted_[machine] = machines_.idOf(std::move(changed));
 }
 
-const std::string& World::brokenIn(const State& state) {
+const std::string& World::findViolationIn(const State& state) {
   std::string key;
   for (const PartId id : state.machines) key += std::to_string(id) + ' ';
   key += std::to_string(state.history);
-  const auto found = broken_.find(key);
-  if (found != broken_.end()) return found->second;
+  const auto found = violations_.find(key);
+  if (found != violations_.end()) return found->second;
   std::vector<const Machine*> machines;
   for (std::size_t i = 0; i < configuration_->machines; ++i)
     machines.push_back(&machines_[state.machines[i]]);
-  return broken_[key] = findViolation(machines, histories_[state.history], configuration_->changes);
+  return violations_[key] =
+             findViolation(machines, histories_[state.history], configuration_->changes);
 }
 
 std::size_t World::partCount() const {
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -72,7 +72,7 @@
     PartId machine = 0;
     std::optional<PartId> answer;
   };
-  struct Stepped {
+  struct DaemonStep {
     PartId daemon = 0;
     std::vector<PartId> requests;
     std::vector<Observation> observations;
@@ -87,8 +87,8 @@
   std::vector<Event> events(const State& state) const;
   void addDeliveries(const State& state, std::vector<Event>* events) const;
   void addDaemonEvents(const State& state, std::vector<Event>* events) const;
-  void addTimeEvents(const State& state, std::uint8_t who, std::uint8_t proposer,
-                     std::vector<Event>* events) const;
+  void addTimeoutEvents(const State& state, std::uint8_t actor, std::uint8_t proposer,
+                        std::vector<Event>* events) const;
   void addReconfigurerSteps(const State& state, std::size_t reconfigurer,
                             std::vector<Event>* events) const;
   void addMachineEvents(const State& state, std::vector<Event>* events) const;
@@ -99,30 +99,31 @@
   void applyMachine(const Event& event, Successor* next);
   void applyDaemon(const Event& event, std::uint32_t argument, Successor* next);
 
-  const Stepped& step(const Event& event, PartId daemon, std::uint32_t argument,
-                      const History& history);
+  const DaemonStep& step(const Event& event, PartId daemon, std::uint32_t argument,
+                         const History& history);
   void stepCaller(const Event& event, std::uint32_t argument, const History& history,
                   Caller* caller, StepEffects* effects) const;
   void stepReconfigurer(const Event& event, std::uint32_t argument, const History& history,
                         Reconfigurer* reconfigurer, StepEffects* effects) const;
   // What a mover's step builds on, as a number: the keys that were listed, and the set to follow.
   std::uint32_t reconfigurerArgument(const State& state, const Event& event) const;
-  std::optional<ReplicaSet> following(const ReplicaSet& replicas, std::uint32_t argument) const;
+  std::optional<ReplicaSet> nextReplicaSet(const ReplicaSet& replicas,
+                                           std::uint32_t argument) const;
 
   const Taken& take(PartId machine, PartId request);
   PartId restarted(PartId machine);
-  void prune(State* state);
-  bool isPointless(const State& state, PartId request);
-  const std::string& brokenIn(const State& state);
+  void pruneRequests(State* state);
+  bool isRedundant(const State& state, PartId request);
+  const std::string& findViolationIn(const State& state);
 
-  void markNamed();
-  bool isAlike(const State& state, std::size_t machine) const;
-  PartId textOf(std::string bytes) { return texts_.idOf({std::move(bytes)}); }
+  void markDistinguished();
+  bool isInterchangeable(const State& state, std::size_t machine) const;
+  PartId internText(std::string bytes) { return texts_.idOf({std::move(bytes)}); }
   template <class Daemon>
   const Parts& partsOf(PartId id, const Daemon& daemon, std::unordered_map<PartId, Parts>* known);
-  PartId contentOf(PartId machine);
+  PartId contentOfMachine(PartId machine);
   PartId contentOfRequest(PartId request);
-  std::string bytesAbout(const State& state, std::size_t machine);
+  std::string bytesOfMachine(const State& state, std::size_t machine);
 
   std::optional<std::size_t> machineOf(const State& state, StoreId store) const;
   // The daemon that has this proposer, as an event names it, and the proposer.
@@ -130,7 +131,7 @@
                                                          std::uint64_t proposer) const;
   bool isAwaited(const State& state, const Message& request) const;
   const ReplicaSet& newestSet(const State& state) const {
-    return histories_[state.history].sets().back();
+    return histories_[state.history].replicaSets().back();
   }
   std::string describeRequest(PartId request) const;
   std::string describeChanges(const State& before, const State& after) const;
@@ -144,14 +145,14 @@
   Interned<Request> requests_;
   Interned<Answer> answers_;
   Interned<Text> texts_;
-  std::vector<StoreId> stores_;  // all that there may ever be
-  std::vector<bool> isNamed_;    // by machine: a step or planted error means it and no other
+  std::vector<StoreId> stores_;        // all that there may ever be
+  std::vector<bool> isDistinguished_;  // by machine: a step or planted error means it and no other
   std::unordered_map<PartId, Parts> callerParts_, reconfigurerParts_;
   std::unordered_map<PartId, PartId> machineContents_, requestContents_;
-  std::unordered_map<std::uint64_t, Taken> taken_;  // by machine and request
+  std::unordered_map<std::uint64_t, Taken> replicaSteps_;  // by machine and request
   std::unordered_map<PartId, PartId> restarted_;
-  std::map<StepKey, Stepped> stepped_;
-  std::unordered_map<std::string, std::string> broken_;  // by machines and history
+  std::map<StepKey, DaemonStep> daemonSteps_;
+  std::unordered_map<std::string, std::string> violations_;  // by machines and history
 };
 
 }  // namespace quayrill::model
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -11,10 +11,10 @@
          (replicas.epoch == than.epoch && replicas.settled && !than.settled);
 }
 
-Event eventOf(Event::Kind kind, std::size_t who) {
+Event makeEvent(Event::Kind kind, std::size_t actor) {
   Event event;
   event.kind = kind;
-  event.who = static_cast<std::uint8_t>(who);
+  event.actor = static_cast<std::uint8_t>(actor);
   return event;
 }
 }  // namespace
@@ -33,7 +33,7 @@
     event.request = request;
     event.kind = Event::Kind::Deliver;
     events->push_back(event);
-    event.kind = Event::Kind::DeliverUnheard;
+    event.kind = Event::Kind::DeliverAnswerLost;
     if (state.budgets.lostAnswers > 0) events->push_back(event);
     event.kind = Event::Kind::Duplicate;
     if (state.budgets.duplicates > 0) events->push_back(event);
@@ -47,45 +47,46 @@
   if (!change) return false;
   const std::uint64_t basis = configuration_->changes[*change].basis;
   if (basis == 0) return true;
-  const ChangeSet acked = histories_[state.history].acked();
+  const ChangeSet acknowledged = histories_[state.history].acknowledged();
   for (std::size_t i = 0; i < configuration_->changes.size(); ++i) {
-    if ((acked & bitOf(i)) != 0 && configuration_->changes[i].basis + 1 == basis) return true;
+    if ((acknowledged & bitOf(i)) != 0 && configuration_->changes[i].basis + 1 == basis)
+      return true;
   }
   return false;
 }
 
-void World::addTimeEvents(const State& state, std::uint8_t who, std::uint8_t proposer,
-                          std::vector<Event>* events) const {
-  Event event = eventOf(Event::Kind::Phase, who);
+void World::addTimeoutEvents(const State& state, std::uint8_t actor, std::uint8_t proposer,
+                             std::vector<Event>* events) const {
+  Event event = makeEvent(Event::Kind::PhaseTimeout, actor);
   event.choice = proposer;
   if (state.budgets.phases > 0) events->push_back(event);
-  event.kind = Event::Kind::Deadline;
+  event.kind = Event::Kind::OperationTimeout;
   if (state.budgets.deadlines > 0) events->push_back(event);
 }
 
 void World::addDaemonEvents(const State& state, std::vector<Event>* events) const {
   const ReplicaSet& newest = newestSet(state);
-  const auto addFaults = [&](std::size_t who, bool isBusy, const ReplicaSet& known) {
+  const auto addFaults = [&](std::size_t actor, bool isBusy, const ReplicaSet& known) {
     if (isBusy && state.budgets.daemonDeaths > 0)
-      events->push_back(eventOf(Event::Kind::DaemonDies, who));
+      events->push_back(makeEvent(Event::Kind::DaemonCrash, actor));
     if (state.budgets.learns > 0 && isNewer(newest, known))
-      events->push_back(eventOf(Event::Kind::DaemonLearns, who));
+      events->push_back(makeEvent(Event::Kind::DaemonLearns, actor));
   };
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
     const Caller& caller = callers_[state.callers[i]];
-    if (mayStart(state, caller)) events->push_back(eventOf(Event::Kind::Start, i));
-    if (caller.isBusy()) addTimeEvents(state, static_cast<std::uint8_t>(i), 0, events);
+    if (mayStart(state, caller)) events->push_back(makeEvent(Event::Kind::Start, i));
+    if (caller.isBusy()) addTimeoutEvents(state, static_cast<std::uint8_t>(i), 0, events);
     addFaults(i, caller.isBusy(), caller.replicas());
   }
   for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
     const Reconfigurer& reconfigurer = reconfigurers_[state.reconfigurers[i]];
-    const std::size_t who = kMaxCallers + i;
+    const std::size_t actor = kMaxCallers + i;
     addReconfigurerSteps(state, i, events);
     for (std::uint8_t proposer = 0; proposer < Reconfigurer::kProposers; ++proposer) {
       if (reconfigurer.isBusy(proposer))
-        addTimeEvents(state, static_cast<std::uint8_t>(who), proposer, events);
+        addTimeoutEvents(state, static_cast<std::uint8_t>(actor), proposer, events);
     }
-    addFaults(who, reconfigurer.isBusy(0) || reconfigurer.isBusy(1), reconfigurer.replicas());
+    addFaults(actor, reconfigurer.isBusy(0) || reconfigurer.isBusy(1), reconfigurer.replicas());
   }
 }
 
@@ -97,7 +98,7 @@
   const Reconfigurer& daemon = reconfigurers_[state.reconfigurers[reconfigurer]];
   if (daemon.isBusy(0)) return;
   const ReplicaSet& replicas = daemon.replicas();
-  Event event = eventOf(Event::Kind::ReconfigurerSteps, kMaxCallers + reconfigurer);
+  Event event = makeEvent(Event::Kind::ReconfigurerSteps, kMaxCallers + reconfigurer);
   const bool mayMove = replicas.settled || configuration_->defect == Defect::UnsettledEpoch;
   const std::size_t index = replicas.epoch.value - 1;
   if (mayMove && index < configuration_->steps.size()) {
@@ -128,10 +129,10 @@
   const ReplicaSet& newest = newestSet(state);
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     const RegisterReplica& replica = machines_[state.machines[i]].replica();
-    if (state.budgets.restarts > 0) events->push_back(eventOf(Event::Kind::Restart, i));
-    if (state.budgets.emptied > 0) events->push_back(eventOf(Event::Kind::Empty, i));
+    if (state.budgets.restarts > 0) events->push_back(makeEvent(Event::Kind::Restart, i));
+    if (state.budgets.emptied > 0) events->push_back(makeEvent(Event::Kind::Empty, i));
     if (state.budgets.learns > 0 && isNewer(newest, replica.replicas()))
-      events->push_back(eventOf(Event::Kind::ReplicaLearns, i));
+      events->push_back(makeEvent(Event::Kind::ReplicaLearns, i));
   }
 }
 
--- a/src/model/world_steps.cpp
+++ b/src/model/world_steps.cpp
@@ -11,47 +11,47 @@
 constexpr unsigned kChoiceShift = 4, kStoreShift = 8;
 }  // namespace
 
-const World::Stepped& World::step(const Event& event, PartId daemon, std::uint32_t argument,
-                                  const History& history) {
-  const bool isCaller = event.who < kMaxCallers;
+const World::DaemonStep& World::step(const Event& event, PartId daemon, std::uint32_t argument,
+                                     const History& history) {
+  const bool isCaller = event.actor < kMaxCallers;
   const std::uint32_t what =
       static_cast<std::uint32_t>(event.kind) * 16 + event.choice * 2u + (isCaller ? 1u : 0u);
-  const StepKey key{what, daemon, argument, history.acked()};
-  const auto found = stepped_.find(key);
-  if (found != stepped_.end()) return found->second;
-  Stepped stepped;
+  const StepKey key{what, daemon, argument, history.acknowledged()};
+  const auto found = daemonSteps_.find(key);
+  if (found != daemonSteps_.end()) return found->second;
+  DaemonStep daemonStep;
   StepEffects effects;
   if (isCaller) {
     Caller caller = callers_[daemon];
     stepCaller(event, argument, history, &caller, &effects);
-    stepped.daemon = callers_.idOf(std::move(caller));
+    daemonStep.daemon = callers_.idOf(std::move(caller));
   } else {
     Reconfigurer reconfigurer = reconfigurers_[daemon];
     stepReconfigurer(event, argument, history, &reconfigurer, &effects);
-    stepped.daemon = reconfigurers_.idOf(std::move(reconfigurer));
+    daemonStep.daemon = reconfigurers_.idOf(std::move(reconfigurer));
   }
   for (auto& [member, message] : effects.sends)
-    stepped.requests.push_back(requests_.idOf({member.store, std::move(message)}));
-  stepped.observations = std::move(effects.observations);
-  return stepped_[key] = std::move(stepped);
+    daemonStep.requests.push_back(requests_.idOf({member.store, std::move(message)}));
+  daemonStep.observations = std::move(effects.observations);
+  return daemonSteps_[key] = std::move(daemonStep);
 }
 
 void World::stepCaller(const Event& event, std::uint32_t argument, const History& history,
                        Caller* caller, StepEffects* effects) const {
-  const ChangeSet acked = history.acked();
+  const ChangeSet acknowledged = history.acknowledged();
   switch (event.kind) {
     case Event::Kind::Deliver:
-      return caller->answer(answers_[argument].body, acked, effects);
+      return caller->answer(answers_[argument].body, acknowledged, effects);
     case Event::Kind::Start:
-      return caller->start(acked, effects);
-    case Event::Kind::Phase:
-      return caller->passPhase(acked, effects);
-    case Event::Kind::Deadline:
-      return caller->passDeadline(acked, effects);
-    case Event::Kind::DaemonDies:
+      return caller->start(acknowledged, effects);
+    case Event::Kind::PhaseTimeout:
+      return caller->expirePhase(acknowledged, effects);
+    case Event::Kind::OperationTimeout:
+      return caller->expireDeadline(acknowledged, effects);
+    case Event::Kind::DaemonCrash:
       return caller->die();
     case Event::Kind::DaemonLearns:
-      return caller->learn(history.sets().back());
+      return caller->learn(history.replicaSets().back());
     default:
       throw std::logic_error("no event of a caller");
   }
@@ -66,16 +66,17 @@
       std::optional<std::vector<RegisterKey>> listed;
       if ((argument & kListed) != 0) listed.emplace({kReplicaSetKey});
       if ((argument & kListsConfiguration) != 0) listed->push_back(kConfigurationKey);
-      return reconfigurer->step(listed, following(reconfigurer->replicas(), argument), effects);
+      return reconfigurer->step(listed, nextReplicaSet(reconfigurer->replicas(), argument),
+                                effects);
     }
-    case Event::Kind::Phase:
-      return reconfigurer->passPhase(event.choice, effects);
-    case Event::Kind::Deadline:
-      return reconfigurer->passDeadline(event.choice, effects);
-    case Event::Kind::DaemonDies:
+    case Event::Kind::PhaseTimeout:
+      return reconfigurer->expirePhase(event.choice, effects);
+    case Event::Kind::OperationTimeout:
+      return reconfigurer->expireDeadline(event.choice, effects);
+    case Event::Kind::DaemonCrash:
       return reconfigurer->die();
     case Event::Kind::DaemonLearns:
-      return reconfigurer->learn(history.sets().back());
+      return reconfigurer->learn(history.replicaSets().back());
     default:
       throw std::logic_error("no event of a mover");
   }
@@ -84,7 +85,7 @@
 std::uint32_t World::reconfigurerArgument(const State& state, const Event& event) const {
   std::uint32_t argument = static_cast<std::uint32_t>(event.choice) << kChoiceShift;
   const ReplicaSet& replicas =
-      reconfigurers_[state.reconfigurers[event.who - kMaxCallers]].replicas();
+      reconfigurers_[state.reconfigurers[event.actor - kMaxCallers]].replicas();
   const std::size_t index = replicas.epoch.value - 1;
   if (index < configuration_->steps.size()) {
     const auto& options = configuration_->steps[index];
@@ -103,8 +104,8 @@
   return argument;
 }
 
-std::optional<ReplicaSet> World::following(const ReplicaSet& replicas,
-                                           std::uint32_t argument) const {
+std::optional<ReplicaSet> World::nextReplicaSet(const ReplicaSet& replicas,
+                                                std::uint32_t argument) const {
   const std::size_t index = replicas.epoch.value - 1;
   if (index >= configuration_->steps.size()) return std::nullopt;
   const auto& options = configuration_->steps[index];
--- a/src/model/world_symmetry.cpp
+++ b/src/model/world_symmetry.cpp
@@ -18,19 +18,19 @@
 }
 }  // namespace
 
-void World::markNamed() {
-  isNamed_.assign(configuration_->machines, false);
+void World::markDistinguished() {
+  isDistinguished_.assign(configuration_->machines, false);
   for (std::size_t i = configuration_->members; i < configuration_->machines; ++i)
-    isNamed_[i] = true;
+    isDistinguished_[i] = true;
   for (const auto& options : configuration_->steps) {
-    for (const MembershipStep& step : options) isNamed_[step.machine] = true;
+    for (const MembershipStep& step : options) isDistinguished_[step.machine] = true;
   }
-  if (configuration_->defect == Defect::MinorityRead) isNamed_[0] = true;
+  if (configuration_->defect == Defect::MinorityRead) isDistinguished_[0] = true;
 }
 
 // One whose disk was emptied is no member any more.
-bool World::isAlike(const State& state, std::size_t machine) const {
-  return !isNamed_[machine] &&
+bool World::isInterchangeable(const State& state, std::size_t machine) const {
+  return !isDistinguished_[machine] &&
          machines_[state.machines[machine]].replica().store() == StoreId{machine + 1};
 }
 
@@ -40,15 +40,16 @@
   const auto found = known->find(id);
   if (found != known->end()) return found->second;
   Parts parts;
-  parts.shared = textOf(daemon.sharedBytes());
-  for (const StoreId& store : stores_) parts.heard.push_back(textOf(daemon.bytesHeardFrom(store)));
+  parts.shared = internText(daemon.sharedBytes());
+  for (const StoreId& store : stores_)
+    parts.heard.push_back(internText(daemon.bytesHeardFrom(store)));
   return (*known)[id] = std::move(parts);
 }
 
-PartId World::contentOf(PartId machine) {
+PartId World::contentOfMachine(PartId machine) {
   const auto found = machineContents_.find(machine);
   if (found != machineContents_.end()) return found->second;
-  return machineContents_[machine] = textOf(machines_[machine].bytesButStore());
+  return machineContents_[machine] = internText(machines_[machine].stateBytesWithoutStore());
 }
 
 PartId World::contentOfRequest(PartId request) {
@@ -57,13 +58,13 @@
   Request nameless = requests_[request];
   if (auto* prepare = std::get_if<Prepare>(&nameless.body)) prepare->store = {};
   if (auto* accept = std::get_if<Accept>(&nameless.body)) accept->store = {};
-  return requestContents_[request] = textOf(nameless.stateBytes());
+  return requestContents_[request] = internText(nameless.stateBytes());
 }
 
 // All that the state says of one machine, but for the ids of its stores.
-std::string World::bytesAbout(const State& state, std::size_t machine) {
+std::string World::bytesOfMachine(const State& state, std::size_t machine) {
   std::string bytes;
-  append(&bytes, contentOf(state.machines[machine]));
+  append(&bytes, contentOfMachine(state.machines[machine]));
   for (std::size_t store = 2 * machine; store < 2 * machine + 2; ++store) {
     for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
       const PartId id = state.callers[i];
@@ -98,18 +99,18 @@
     shared.reconfigurers[i] = partsOf(id, reconfigurers_[id], &reconfigurerParts_).shared;
   }
   std::string bytes = shared.bytes();
-  std::vector<std::string> alike;
+  std::vector<std::string> interchangeable;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
-    if (isAlike(state, i)) {
-      alike.push_back(bytesAbout(state, i));
+    if (isInterchangeable(state, i)) {
+      interchangeable.push_back(bytesOfMachine(state, i));
       continue;
     }
     const auto store = static_cast<PartId>(machines_[state.machines[i]].replica().store().value);
     append(&bytes, store);
-    bytes += bytesAbout(state, i);
+    bytes += bytesOfMachine(state, i);
   }
-  std::sort(alike.begin(), alike.end());
-  for (const std::string& row : alike) bytes += row;
+  std::sort(interchangeable.begin(), interchangeable.end());
+  for (const std::string& row : interchangeable) bytes += row;
   return bytes;
 }
 
--- a/src/model/world_words.cpp
+++ b/src/model/world_words.cpp
@@ -11,9 +11,9 @@
          std::to_string(ballot.proposer.value) + ")";
 }
 
-std::string daemonName(std::uint8_t who) {
-  if (who < kMaxCallers) return "caller " + std::to_string(who + 1);
-  return "mover " + std::to_string(who - kMaxCallers + 1);
+std::string daemonName(std::uint8_t actor) {
+  if (actor < kMaxCallers) return "caller " + std::to_string(actor + 1);
+  return "mover " + std::to_string(actor - kMaxCallers + 1);
 }
 
 std::string machineName(std::size_t index) { return "replica " + std::to_string(index + 1); }
@@ -56,11 +56,12 @@
   const History& was = histories_[before.history];
   const History& is = histories_[after.history];
   std::string text;
-  if (is.acked() != was.acked())
-    text += "; acknowledged now: " + changeNames(is.acked(), configuration_->changes);
+  if (is.acknowledged() != was.acknowledged())
+    text += "; acknowledged now: " + changeNames(is.acknowledged(), configuration_->changes);
   if (is.refused() != was.refused())
     text += "; refused now: " + changeNames(is.refused(), configuration_->changes);
-  if (is.sets() != was.sets()) text += "; known as chosen now: " + setName(is.sets().back());
+  if (is.replicaSets() != was.replicaSets())
+    text += "; known as chosen now: " + setName(is.replicaSets().back());
   std::vector<PartId> sent;
   std::set_difference(after.requests.begin(), after.requests.end(), before.requests.begin(),
                       before.requests.end(), std::back_inserter(sent));
@@ -74,40 +75,40 @@
     case Event::Kind::Deliver:
       text = "delivered: " + describeRequest(event.request);
       break;
-    case Event::Kind::DeliverUnheard:
+    case Event::Kind::DeliverAnswerLost:
       text = "delivered, its answer lost: " + describeRequest(event.request);
       break;
     case Event::Kind::Duplicate:
       text = "delivered, and a duplicate stays under way: " + describeRequest(event.request);
       break;
     case Event::Kind::Start: {
-      const auto change = callers_[before.callers[event.who]].nextChange();
-      text = daemonName(event.who) + " is sent order " + configuration_->changes[*change].name;
+      const auto change = callers_[before.callers[event.actor]].nextChange();
+      text = daemonName(event.actor) + " is sent order " + configuration_->changes[*change].name;
       break;
     }
-    case Event::Kind::Phase:
-      text = daemonName(event.who) + ": the round's time passes";
+    case Event::Kind::PhaseTimeout:
+      text = daemonName(event.actor) + ": the round's time passes";
       break;
-    case Event::Kind::Deadline:
-      text = daemonName(event.who) + ": the operation's time passes";
+    case Event::Kind::OperationTimeout:
+      text = daemonName(event.actor) + ": the operation's time passes";
       break;
-    case Event::Kind::DaemonDies:
-      text = daemonName(event.who) + " ends, another daemon takes its place";
+    case Event::Kind::DaemonCrash:
+      text = daemonName(event.actor) + " ends, another daemon takes its place";
       break;
     case Event::Kind::ReconfigurerSteps:
-      text = daemonName(event.who) + " takes the replica set's next step";
+      text = daemonName(event.actor) + " takes the replica set's next step";
       break;
     case Event::Kind::Restart:
-      text = machineName(event.who) + " restarts on its disk";
+      text = machineName(event.actor) + " restarts on its disk";
       break;
     case Event::Kind::Empty:
-      text = machineName(event.who) + " comes back with an empty disk";
+      text = machineName(event.actor) + " comes back with an empty disk";
       break;
     case Event::Kind::ReplicaLearns:
-      text = machineName(event.who) + " hears of the newest set";
+      text = machineName(event.actor) + " hears of the newest set";
       break;
     case Event::Kind::DaemonLearns:
-      text = daemonName(event.who) + " hears of the newest set";
+      text = daemonName(event.actor) + " hears of the newest set";
       break;
   }
   return text + describeChanges(before, after);
--- a/tests/model_tests.cpp
+++ b/tests/model_tests.cpp
@@ -163,9 +163,9 @@
 }
 
 TEST_CASE("model: which majorities meet") {
-  CHECK(majoritiesMeet(setOf(1, {1, 2, 3}), setOf(2, {1, 2, 3, 4})));
-  CHECK(majoritiesMeet(setOf(1, {1, 2, 3, 4}), setOf(2, {1, 2, 3})));
-  CHECK_FALSE(majoritiesMeet(setOf(1, {1, 2, 3}), setOf(2, {2, 3, 4})));
-  CHECK_FALSE(majoritiesMeet(setOf(1, {1, 2, 3}), setOf(3, {1, 2, 3, 4, 5})));
-  CHECK_FALSE(majoritiesMeet(setOf(1, {1}), setOf(2, {2})));
+  CHECK(majoritiesIntersect(setOf(1, {1, 2, 3}), setOf(2, {1, 2, 3, 4})));
+  CHECK(majoritiesIntersect(setOf(1, {1, 2, 3, 4}), setOf(2, {1, 2, 3})));
+  CHECK_FALSE(majoritiesIntersect(setOf(1, {1, 2, 3}), setOf(2, {2, 3, 4})));
+  CHECK_FALSE(majoritiesIntersect(setOf(1, {1, 2, 3}), setOf(3, {1, 2, 3, 4, 5})));
+  CHECK_FALSE(majoritiesIntersect(setOf(1, {1}), setOf(2, {2})));
 }
