--- a/src/model/machine.cpp
+++ b/src/model/machine.cpp
@@ -15,7 +15,7 @@
   for (const DiskWrite& write : writes) disk_[write.key] = write.bytes;
 }
 
-std::optional<ReplicaAnswer> Machine::take(const Message& request) {
+std::optional<ReplicaAnswer> Machine::handle(const Message& request) {
   ReplicaEffects effects;
   if (const auto* prepare = std::get_if<Prepare>(&request)) {
     effects = replica_.onPrepare(*prepare);
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -16,7 +16,7 @@
   const RegisterReplica& replica() const { return replica_; }
   // Takes a request and syncs what it writes. The answer has left with that: a crash before it is a
   // request that was lost, one after it an answer that was lost.
-  std::optional<ReplicaAnswer> take(const Message& request);
+  std::optional<ReplicaAnswer> handle(const Message& request);
   void adopt(const ReplicaSet& replicas);
   // The process ends and starts again on its disk. False where the product can't read the rows.
   bool restart();
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -73,7 +73,7 @@
   while (!sends.empty()) {
     Sends next;
     for (const auto& [member, message] : sends) {
-      const auto answer = (*machines)[member.store.value - 1].take(message);
+      const auto answer = (*machines)[member.store.value - 1].handle(message);
       for (auto& send : founder.answer(*answer, &done)) next.push_back(std::move(send));
     }
     sends = std::move(next);
@@ -120,9 +120,9 @@
   const Message& body = requests_[event.request].body;
   const auto machine = machineOf(state, requests_[event.request].store);
   if (!machine) return false;
-  const Taken& taken = take(state.machines[*machine], event.request);
-  const bool isHeard = taken.answer && isAwaited(state, body);
-  state.machines[*machine] = taken.machine;
+  const ReplicaStep& replicaStep = handle(state.machines[*machine], event.request);
+  const bool isHeard = replicaStep.answer && isAwaited(state, body);
+  state.machines[*machine] = replicaStep.machine;
   if (event.kind == Event::Kind::Duplicate) {
     --state.budgets.duplicates;
   } else {
@@ -136,7 +136,7 @@
   Event heard = event;
   heard.kind = Event::Kind::Deliver;
   heard.actor = daemonOf(state, proposerIdOf(operationOf(body))).first;
-  applyDaemon(heard, *taken.answer, next);
+  applyDaemon(heard, *replicaStep.answer, next);
   return true;
 }
 
@@ -223,19 +223,19 @@
   if (std::holds_alternative<Prepare>(requests_[request].body)) return true;
   const PartId now = state.machines[*machine];
   const PartId later = restarted(now);
-  return take(now, request).machine == now && take(later, request).machine == later;
+  return handle(now, request).machine == now && handle(later, request).machine == later;
 }
 
-const World::Taken& World::take(PartId machine, PartId request) {
+const World::ReplicaStep& World::handle(PartId machine, PartId request) {
   const std::uint64_t key = (std::uint64_t{machine} << 32) | request;
   const auto found = replicaSteps_.find(key);
   if (found != replicaSteps_.end()) return found->second;
   Machine changed = machines_[machine];
-  const auto answer = changed.take(requests_[request].body);
-  Taken taken;
-  taken.machine = machines_.idOf(std::move(changed));
-  if (answer) taken.answer = answers_.idOf({*answer});
-  return replicaSteps_[key] = taken;
+  const auto answer = changed.handle(requests_[request].body);
+  ReplicaStep replicaStep;
+  replicaStep.machine = machines_.idOf(std::move(changed));
+  if (answer) replicaStep.answer = answers_.idOf({*answer});
+  return replicaSteps_[key] = replicaStep;
 }
 
 PartId World::restarted(PartId machine) {
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -68,7 +68,7 @@
     PartId shared = 0;
     std::vector<PartId> heard;  // in the order of stores_
   };
-  struct Taken {
+  struct ReplicaStep {
     PartId machine = 0;
     std::optional<PartId> answer;
   };
@@ -110,7 +110,7 @@
   std::optional<ReplicaSet> nextReplicaSet(const ReplicaSet& replicas,
                                            std::uint32_t argument) const;
 
-  const Taken& take(PartId machine, PartId request);
+  const ReplicaStep& handle(PartId machine, PartId request);
   PartId restarted(PartId machine);
   void pruneRequests(State* state);
   bool isRedundant(const State& state, PartId request);
@@ -149,7 +149,7 @@
   std::vector<bool> isDistinguished_;  // by machine: a step or planted error means it and no other
   std::unordered_map<PartId, Parts> callerParts_, reconfigurerParts_;
   std::unordered_map<PartId, PartId> machineContents_, requestContents_;
-  std::unordered_map<std::uint64_t, Taken> replicaSteps_;  // by machine and request
+  std::unordered_map<std::uint64_t, ReplicaStep> replicaSteps_;  // by machine and request
   std::unordered_map<PartId, PartId> restarted_;
   std::map<StepKey, DaemonStep> daemonSteps_;
   std::unordered_map<std::string, std::string> violations_;  // by machines and history
