--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -35,14 +35,14 @@
   isChangeDeadlinePassed_ = false;
   const bool asNew = configuration_->defect == Defect::ResendAsNew;
   update_.emplace(updateOf(configuration_->changes[change()], asNew), kBodyLimit, kNever);
-  pump(acknowledged, effects);
+  advance(acknowledged, effects);
 }
 
-void Caller::pump(ChangeSet acknowledged, StepEffects* effects) {
+void Caller::advance(ChangeSet acknowledged, StepEffects* effects) {
   const Instant now = isChangeDeadlinePassed_ ? kNever - kTimeLeftAfterDeadline : proposer_.clock();
   const auto asked = update_->next(now);
   if (!asked) {
-    report(update_->done()->result, effects);
+    recordAnswer(update_->done()->result, effects);
     update_.reset();
     return;
   }
@@ -55,7 +55,7 @@
   effects->sends = std::move(sends);
 }
 
-void Caller::report(UpdateResult result, StepEffects* effects) {
+void Caller::recordAnswer(UpdateResult result, StepEffects* effects) {
   Observation ended;
   ended.kind = Observation::Kind::ChangeAnswered;
   ended.change = change();
@@ -70,8 +70,8 @@
   effects->observations.push_back(dead);
 }
 
-void Caller::take(const std::vector<ChangeDone>& done, ChangeSet acknowledged,
-                  StepEffects* effects) {
+void Caller::onCompleted(const std::vector<ChangeDone>& done, ChangeSet acknowledged,
+                         StepEffects* effects) {
   for (const ChangeDone& ended : done) {
     freshness_.adopt(ended.replicas);
     Observation observation;
@@ -88,7 +88,7 @@
       effects->observations.push_back(observation);
     }
     update_->onAnswer(ended);
-    pump(acknowledged, effects);
+    advance(acknowledged, effects);
   }
 }
 
@@ -96,23 +96,23 @@
   std::vector<ChangeDone> done;
   effects->sends = proposer_.answer(answer, &done);
   freshness_.adopt(answer.replicas);
-  take(done, acknowledged, effects);
+  onCompleted(done, acknowledged, effects);
 }
 
 void Caller::expirePhase(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposer_.expirePhase(freshness_.replicas(), &done);
-  take(done, acknowledged, effects);
+  onCompleted(done, acknowledged, effects);
 }
 
 void Caller::expireDeadline(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeDone> done;
   proposer_.expireDeadline(freshness_.replicas(), &done);
   isChangeDeadlinePassed_ = true;
-  take(done, acknowledged, effects);
+  onCompleted(done, acknowledged, effects);
 }
 
-void Caller::die() {
+void Caller::crash() {
   ++incarnation_;
   proposer_ = TimedProposer(ProposerId{proposerId()});
   update_.reset();
--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -24,7 +24,7 @@
   void expirePhase(ChangeSet acknowledged, StepEffects* effects);
   void expireDeadline(ChangeSet acknowledged, StepEffects* effects);
   // The daemon ends: the call gets no answer, and a new daemon sends the next one.
-  void die();
+  void crash();
   void learn(const ReplicaSet& replicas) { freshness_.adopt(replicas); }
   const ReplicaSet& replicas() const { return freshness_.replicas(); }
   const TimedProposer* proposer(std::uint64_t id) const;
@@ -34,9 +34,10 @@
   std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
 
  private:
-  void take(const std::vector<ChangeDone>& done, ChangeSet acknowledged, StepEffects* effects);
-  void pump(ChangeSet acknowledged, StepEffects* effects);
-  void report(UpdateResult result, StepEffects* effects);
+  void onCompleted(const std::vector<ChangeDone>& done, ChangeSet acknowledged,
+                   StepEffects* effects);
+  void advance(ChangeSet acknowledged, StepEffects* effects);
+  void recordAnswer(UpdateResult result, StepEffects* effects);
   std::string ownBytes() const;
   std::uint64_t proposerId() const;
   std::size_t change() const { return configuration_->calls[index_][nextCall_ - 1]; }
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -43,8 +43,8 @@
   for (const ChangeAsked& ask : asks) begin(ask, effects);
 }
 
-void Reconfigurer::take(std::size_t proposer, const std::vector<ChangeDone>& done,
-                        StepEffects* effects) {
+void Reconfigurer::onCompleted(std::size_t proposer, const std::vector<ChangeDone>& done,
+                               StepEffects* effects) {
   for (const ChangeDone& ended : done) {
     freshness_.adopt(ended.replicas);
     const bool isChosen = ended.result == ChangeResult::Chosen;
@@ -66,23 +66,23 @@
     std::vector<ChangeDone> done;
     effects->sends = proposers_[i].answer(answer, &done);
     freshness_.adopt(answer.replicas);
-    take(i, done, effects);
+    onCompleted(i, done, effects);
   }
 }
 
 void Reconfigurer::expirePhase(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
   effects->sends = proposers_[proposer].expirePhase(freshness_.replicas(), &done);
-  take(proposer, done, effects);
+  onCompleted(proposer, done, effects);
 }
 
 void Reconfigurer::expireDeadline(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeDone> done;
   proposers_[proposer].expireDeadline(freshness_.replicas(), &done);
-  take(proposer, done, effects);
+  onCompleted(proposer, done, effects);
 }
 
-void Reconfigurer::die() {
+void Reconfigurer::crash() {
   ++incarnation_;
   for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = makeProposer(i);
   sweep_ = EpochSweep();
--- a/src/model/mover.h
+++ b/src/model/mover.h
@@ -26,7 +26,7 @@
   void answer(const ReplicaAnswer& answer, StepEffects* effects);
   void expirePhase(std::size_t proposer, StepEffects* effects);
   void expireDeadline(std::size_t proposer, StepEffects* effects);
-  void die();
+  void crash();
   void learn(const ReplicaSet& replicas) { freshness_.adopt(replicas); }
   const ReplicaSet& replicas() const { return freshness_.replicas(); }
   const TimedProposer* proposer(std::uint64_t id) const;
@@ -38,7 +38,7 @@
  private:
   std::string ownBytes() const;
   void begin(const ChangeAsked& ask, StepEffects* effects);
-  void take(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects);
+  void onCompleted(std::size_t proposer, const std::vector<ChangeDone>& done, StepEffects* effects);
   std::uint64_t proposerId(std::size_t proposer) const;
   TimedProposer makeProposer(std::size_t proposer) const;
 
--- a/src/model/world_steps.cpp
+++ b/src/model/world_steps.cpp
@@ -49,7 +49,7 @@
     case Event::Kind::OperationTimeout:
       return caller->expireDeadline(acknowledged, effects);
     case Event::Kind::DaemonCrash:
-      return caller->die();
+      return caller->crash();
     case Event::Kind::DaemonLearns:
       return caller->learn(history.replicaSets().back());
     default:
@@ -74,7 +74,7 @@
     case Event::Kind::OperationTimeout:
       return reconfigurer->expireDeadline(event.choice, effects);
     case Event::Kind::DaemonCrash:
-      return reconfigurer->die();
+      return reconfigurer->crash();
     case Event::Kind::DaemonLearns:
       return reconfigurer->learn(history.replicaSets().back());
     default:
