--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -16,7 +16,7 @@
 
 TimedProposer::TimedProposer(ProposerId id) : proposer_(id, kSeed), id_(id) {}
 
-void TimedProposer::note(const Sends& sends) {
+void TimedProposer::trackRound(const Sends& sends) {
   if (sends.empty()) return;
   const Message& message = sends.front().second;
   if (const auto* prepare = std::get_if<Prepare>(&message)) {
@@ -29,7 +29,7 @@
   }
 }
 
-void TimedProposer::end(const std::vector<ChangeDone>& done) {
+void TimedProposer::trackCompletion(const std::vector<ChangeDone>& done) {
   if (!done.empty()) isBusy_ = false;
 }
 
@@ -39,14 +39,14 @@
   change.due = kNever;
   isBusy_ = true;
   Sends sends = proposer_.begin(change, replicas, clock_);
-  note(sends);
+  trackRound(sends);
   return sends;
 }
 
 Sends TimedProposer::answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done) {
   Sends sends = proposer_.onAnswer(answer, clock_, done);
-  note(sends);
-  end(*done);
+  trackRound(sends);
+  trackCompletion(*done);
   return sends;
 }
 
@@ -57,14 +57,14 @@
     clock_ += kClockAdvance;
     sends = proposer_.onTick(replicas, clock_, done);
   }
-  note(sends);
-  end(*done);
+  trackRound(sends);
+  trackCompletion(*done);
   return sends;
 }
 
 void TimedProposer::expireDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done) {
   proposer_.onTick(replicas, kNever, done);
-  end(*done);
+  trackCompletion(*done);
 }
 
 // The clock is left out: the operation's times were set by the same clock, and all that is ever
--- a/src/model/timed_proposer.h
+++ b/src/model/timed_proposer.h
@@ -42,8 +42,8 @@
 
  private:
   std::string ownBytes() const;
-  void note(const Sends& sends);
-  void end(const std::vector<ChangeDone>& done);
+  void trackRound(const Sends& sends);
+  void trackCompletion(const std::vector<ChangeDone>& done);
 
   Proposer proposer_;
   ProposerId id_;
