--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -121,26 +121,26 @@
   }
 }
 
-std::vector<std::string> Operators::broken(const std::string& standing) const {
-  std::vector<std::string> broken;
+std::vector<std::string> Operators::violations(const std::string& standing) const {
+  std::vector<std::string> violations;
   std::map<std::uint64_t, std::size_t> confirmedOn;
   for (std::size_t i = 0; i < orders_.size(); ++i) {
     const Order& order = orders_[i];
     const std::string name = "order " + std::to_string(i);
-    if (order.confirmed && order.refused) broken.push_back(name + " was confirmed and refused");
+    if (order.confirmed && order.refused) violations.push_back(name + " was confirmed and refused");
     if (!order.confirmed) continue;
     if (!confirmedOn.try_emplace(order.change.basis, i).second)
-      broken.push_back(name + " was confirmed on the basis of another one that was");
+      violations.push_back(name + " was confirmed on the basis of another one that was");
   }
   const SimulatedBody body = decodeSimulatedBody(standing);
-  if (body.number < newest_) broken.push_back("what stands is older than what was confirmed");
+  if (body.number < newest_) violations.push_back("what stands is older than what was confirmed");
   for (const TakenChange& taken : body.taken) {
     for (const Order& order : orders_) {
       if (order.change.digest == taken.digest && order.refused)
-        broken.push_back("number " + std::to_string(taken.number) + " was refused and stands");
+        violations.push_back("number " + std::to_string(taken.number) + " was refused and stands");
     }
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace quayrill::sim
--- a/src/sim/operators.h
+++ b/src/sim/operators.h
@@ -51,7 +51,7 @@
   void injectForgetting(bool plant) { forgetting_ = plant; }
   // Breaches of what is promised: at most one order on one basis is confirmed, none is both
   // confirmed and refused, and the body that stands was made by confirmed orders or unclear ones.
-  std::vector<std::string> broken(const std::string& standing) const;
+  std::vector<std::string> violations(const std::string& standing) const;
 
  private:
   struct Call {
--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -76,7 +76,7 @@
                      std::uint64_t count, bool plant) {
   using Millis = std::chrono::duration<double, std::milli>;
   quayrill::sim::NamedScenarioResult total;
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   for (auto seed = first; seed < first + count; ++seed) {
     const quayrill::sim::NamedScenarioResult result = scenario.run(seed, plant);
     total.confirmed += result.confirmed;
@@ -86,8 +86,8 @@
     total.faultsInjected += result.faultsInjected;
     total.slowestCatchUp = std::max(total.slowestCatchUp, result.slowestCatchUp);
     total.slowestRejoin = std::max(total.slowestRejoin, result.slowestRejoin);
-    broken += result.broken.empty() ? 0 : 1;
-    for (const std::string& what : result.broken)
+    violations += result.violations.empty() ? 0 : 1;
+    for (const std::string& what : result.violations)
       std::cout << "seed " << seed << ": " << what << "\n";
   }
   std::cout << scenario.name << ": seeds " << count << " troubles " << total.faultsInjected
@@ -95,8 +95,8 @@
             << " unclear " << total.unclear << " resent " << total.resends
             << "; slowest to catch up ms " << Millis(total.slowestCatchUp).count()
             << ", to vote again ms " << Millis(total.slowestRejoin).count() << "; seeds broken "
-            << broken << "\n";
-  return broken;
+            << violations << "\n";
+  return violations;
 }
 }  // namespace
 
@@ -110,7 +110,7 @@
   settings.injectReusedStore = plant == "reused";
   settings.injectFastClocks = plant == "clocks";
   settings.injectStaleConfirm = plant == "stale";
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   RunCounters total;
   try {
     settings.diskMachines = static_cast<std::size_t>(std::stoul(flags["--disks"].asString()));
@@ -151,7 +151,7 @@
             << std::chrono::duration_cast<std::chrono::milliseconds>(result.convergedAfter).count()
             << " ms\n";
       if (result.violations.empty() && result.converged) continue;
-      ++broken;
+      ++violations;
       std::cout << "seed " << seed << ": " << result.violations.size() << " broken"
                 << (result.converged ? "" : ", not converged") << "\n";
       for (std::size_t i = 0; i < std::min<std::size_t>(3, result.violations.size()); ++i)
@@ -166,6 +166,6 @@
   }
   std::cout << "changes chosen " << total.chosen << " conflict " << total.conflicts << " not tried "
             << total.notTried << " unknown " << total.unknown << "; holds seen "
-            << total.leaseObservations << "; seeds broken " << broken << "\n";
-  return broken == 0 ? 0 : 1;
+            << total.leaseObservations << "; seeds broken " << violations << "\n";
+  return violations == 0 ? 0 : 1;
 }
--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -11,7 +11,7 @@
 namespace quayrill::sim {
 
 struct NamedScenarioResult {
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   std::size_t confirmed = 0, refused = 0, unclear = 0;  // orders, by their last clear answer
   std::size_t resends = 0;
   std::size_t faultsInjected = 0;  // troubles that were brought about
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -69,7 +69,7 @@
 }
 
 // A settled read through any machine.
-std::string standing(World& world, std::vector<std::string>* broken) {
+std::string standing(World& world, std::vector<std::string>* violations) {
   for (int tries = 0; tries < 20; ++tries) {
     const std::uint64_t id = world.read(static_cast<std::size_t>(tries) % world.size());
     world.run(3500ms);
@@ -77,15 +77,17 @@
     const auto& done = world.operationById(id).done;
     if (done && done->result == ChangeResult::Chosen) return done->value.body;
   }
-  broken->push_back("the register did not answer after all was healed");
+  violations->push_back("the register did not answer after all was healed");
   return {};
 }
 
 void finish(World& world, const Operators& operators, NamedScenarioResult* result) {
-  const std::string body = standing(world, &result->broken);
-  for (std::string& what : operators.broken(body)) result->broken.push_back(std::move(what));
+  const std::string body = standing(world, &result->violations);
+  for (std::string& what : operators.violations(body))
+    result->violations.push_back(std::move(what));
   world.checkHistory();
-  for (const Violation& violation : world.violations()) result->broken.push_back(violation.what);
+  for (const Violation& violation : world.violations())
+    result->violations.push_back(violation.what);
   note(operators, result);
 }
 }  // namespace
@@ -95,7 +97,7 @@
   WorldSettings settings = smallCore(seed);
   settings.injectStaleConfirm = plant;
   World world(settings);
-  if (!runUntilFounded(world, kFoundingLimit)) result.broken.push_back("not founded");
+  if (!runUntilFounded(world, kFoundingLimit)) result.violations.push_back("not founded");
   Operators operators(world);
   Served served;
   for (const Cut kind : {Cut::BothWays, Cut::Inward, Cut::Outward, Cut::FromReplicas}) {
@@ -116,7 +118,7 @@
         served.note(world.elapsed(), operators.newestConfirmed());
         if (!world.isConfirmed(machine, kServedWithin)) continue;
         if (numberAt(world, machine) < served.newestBefore(world.elapsed() - kServedWithin))
-          result.broken.push_back("the machine cut off serves a configuration past the bound");
+          result.violations.push_back("the machine cut off serves a configuration past the bound");
       }
     }
     operators.run(8s);
@@ -124,8 +126,8 @@
       const Order& asked = operators.order(order);
       // What it was asked just as it was cut off may have been settled.
       if (order == there.front()) continue;
-      if (asked.confirmed) result.broken.push_back("a machine cut off confirmed an order");
-      if (asked.refused) result.broken.push_back("a machine cut off refused an order for good");
+      if (asked.confirmed) result.violations.push_back("a machine cut off confirmed an order");
+      if (asked.refused) result.violations.push_back("a machine cut off refused an order for good");
     }
     world.healAll();
     const Span healed = world.elapsed();
@@ -141,11 +143,11 @@
       operators.send(order, elsewhere, false);
       ++result.resends;
       operators.run(4s);
-      if (!operators.order(order).heard) result.broken.push_back("an order stayed unclear");
+      if (!operators.order(order).heard) result.violations.push_back("an order stayed unclear");
     }
   }
   if (result.slowestCatchUp > kCatchUpLimit)
-    result.broken.push_back("a machine that was cut off caught up too late");
+    result.violations.push_back("a machine that was cut off caught up too late");
   finish(world, operators, &result);
   return result;
 }
@@ -156,7 +158,7 @@
   settings.messageLossRate = 0.05;
   settings.messageDuplicationRate = 0.05;
   World world(settings);
-  if (!runUntilFounded(world, kFoundingLimit)) result.broken.push_back("not founded");
+  if (!runUntilFounded(world, kFoundingLimit)) result.violations.push_back("not founded");
   Operators operators(world);
   const auto isLost = [&] {
     return std::uniform_real_distribution<>(0, 1)(world.random()) < kAnswersLost;
--- a/src/sim/scenarios_replicas.cpp
+++ b/src/sim/scenarios_replicas.cpp
@@ -74,14 +74,14 @@
   settings.edgeMachines = 2;
   settings.injectReusedStore = plant;
   World world(settings);
-  if (!runUntilFounded(world, 60s)) result.broken.push_back("not founded");
+  if (!runUntilFounded(world, 60s)) result.violations.push_back("not founded");
   Operators operators(world);
   operators.setPadding(kBodyBytes);
   std::size_t machine = 0;
   for (std::size_t change = 0; change < kChanges; ++change) {
     const bool isTrouble = change % kChangesBetween == kChangesBetween - 1;
     if (!isTrouble) {
-      if (!makeChange(world, &operators, &result)) result.broken.push_back("a change failed");
+      if (!makeChange(world, &operators, &result)) result.violations.push_back("a change failed");
       continue;
     }
     const auto kinds = static_cast<std::size_t>(Trouble::Count);
@@ -90,7 +90,7 @@
     begin(world, machine, trouble);
     const Span until = world.elapsed() + kTroubleSpan;
     while (world.elapsed() < until) {
-      if (!makeChange(world, &operators, &result)) result.broken.push_back("a change failed");
+      if (!makeChange(world, &operators, &result)) result.violations.push_back("a change failed");
     }
     const Span ended = world.elapsed();
     world.healAll();
@@ -105,8 +105,8 @@
       if (voting == Span{} && votes(world, machine)) voting = past;
     }
     if (caughtUp == Span{} || voting == Span{})
-      result.broken.push_back("a replica never came back after trouble " +
-                              std::to_string(static_cast<int>(trouble)));
+      result.violations.push_back("a replica never came back after trouble " +
+                                  std::to_string(static_cast<int>(trouble)));
     result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
     result.slowestRejoin = std::max(result.slowestRejoin, voting);
   }
@@ -115,9 +115,9 @@
   world.run(4s);
   const auto& done = world.operationById(id).done;
   const std::string body = done && done->result == ChangeResult::Chosen ? done->value.body : "";
-  for (std::string& what : operators.broken(body)) result.broken.push_back(std::move(what));
+  for (std::string& what : operators.violations(body)) result.violations.push_back(std::move(what));
   world.checkHistory();
-  for (const Violation& violation : world.violations()) result.broken.push_back(violation.what);
+  for (const Violation& violation : world.violations()) result.violations.push_back(violation.what);
   for (const Order& order : operators.orders()) result.confirmed += order.confirmed;
   return result;
 }
--- a/tests/scenario_tests.cpp
+++ b/tests/scenario_tests.cpp
@@ -14,13 +14,13 @@
     const NamedScenarioResult result = run(seed, false);
     CHECK(result.faultsInjected > 0);
     CHECK(result.confirmed > 0);
-    for (const std::string& what : result.broken) FAIL_CHECK(what);
+    for (const std::string& what : result.violations) FAIL_CHECK(what);
   }
 }
 // Some seed finds the planted error.
 bool isFound(NamedScenarioResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    if (!run(seed, true).broken.empty()) return true;
+    if (!run(seed, true).violations.empty()) return true;
   }
   return false;
 }
