--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -58,10 +58,10 @@
 }
 
 void note(const Operators& operators, NamedScenarioResult* result) {
-  for (const Order& order : operators.orders()) {
-    if (order.confirmed)
+  for (const Submission& submission : operators.submissions()) {
+    if (submission.confirmed)
       ++result->confirmed;
-    else if (order.refused)
+    else if (submission.refused)
       ++result->refused;
     else
       ++result->unclear;
@@ -108,9 +108,9 @@
     std::vector<std::size_t> there;  // orders that were sent to the machine cut off
     for (Span past{}; past < kCutSpan; past += 500ms) {
       const std::uint64_t basis = operators.newestConfirmed();
-      operators.send(operators.make(basis, basis + 1 + world.random()() % 3), elsewhere, false);
+      operators.send(operators.create(basis, basis + 1 + world.random()() % 3), elsewhere, false);
       if (past % 2s == Span{}) {
-        there.push_back(operators.make(basis, basis + 1 + world.random()() % 3));
+        there.push_back(operators.create(basis, basis + 1 + world.random()() % 3));
         operators.send(there.back(), machine, false);
       }
       for (int step = 0; step < 10; ++step) {
@@ -122,10 +122,10 @@
       }
     }
     operators.run(8s);
-    for (const std::size_t order : there) {
-      const Order& asked = operators.order(order);
+    for (const std::size_t submission : there) {
+      const Submission& asked = operators.submission(submission);
       // What it was asked just as it was cut off may have been settled.
-      if (order == there.front()) continue;
+      if (submission == there.front()) continue;
       if (asked.confirmed) result.violations.push_back("a machine cut off confirmed an order");
       if (asked.refused) result.violations.push_back("a machine cut off refused an order for good");
     }
@@ -138,12 +138,13 @@
     while (!isCaughtUp() && world.elapsed() - healed < 60s) world.run(50ms);
     result.slowestCatchUp = std::max(result.slowestCatchUp, world.elapsed() - healed);
     // What had no clear answer there is sent again elsewhere and gets one.
-    for (const std::size_t order : there) {
-      if (operators.order(order).heard) continue;
-      operators.send(order, elsewhere, false);
+    for (const std::size_t submission : there) {
+      if (operators.submission(submission).isAnswered) continue;
+      operators.send(submission, elsewhere, false);
       ++result.resends;
       operators.run(4s);
-      if (!operators.order(order).heard) result.violations.push_back("an order stayed unclear");
+      if (!operators.submission(submission).isAnswered)
+        result.violations.push_back("an order stayed unclear");
     }
   }
   if (result.slowestCatchUp > kCatchUpLimit)
@@ -169,13 +170,13 @@
   for (int round = 0; round < 40; ++round) {
     const std::uint64_t basis = operators.newestConfirmed();
     const std::uint64_t number = basis + 1 + world.random()() % 3;
-    const std::size_t pair[] = {operators.make(basis, number), operators.make(basis, number)};
+    const std::size_t pair[] = {operators.create(basis, number), operators.create(basis, number)};
     for (int tries = 0; tries < 6; ++tries) {
-      for (const std::size_t order : pair) {
-        all.push_back(order);
-        if (operators.order(order).heard) continue;
-        operators.send(order, anyMachine(), isLost());
-        if (world.random()() % 4 == 0) operators.send(order, anyMachine(), isLost());
+      for (const std::size_t submission : pair) {
+        all.push_back(submission);
+        if (operators.submission(submission).isAnswered) continue;
+        operators.send(submission, anyMachine(), isLost());
+        if (world.random()() % 4 == 0) operators.send(submission, anyMachine(), isLost());
         result.resends += tries > 0;
       }
       operators.run(std::chrono::milliseconds(5 * (1 + world.random()() % 200)));
@@ -187,9 +188,9 @@
   }
   operators.run(10s);
   world.healAll();
-  for (std::size_t order = 0; order < operators.orders().size(); ++order) {
-    operators.send(order, anyMachine(), false);
-    if (order % 8 == 7) operators.run(4s);
+  for (std::size_t submission = 0; submission < operators.submissions().size(); ++submission) {
+    operators.send(submission, anyMachine(), false);
+    if (submission % 8 == 7) operators.run(4s);
     ++result.resends;
   }
   operators.run(8s);
--- a/src/sim/scenarios_replicas.cpp
+++ b/src/sim/scenarios_replicas.cpp
@@ -51,16 +51,17 @@
 // Makes one change on top of the newest, through any machine that is up, until it is confirmed.
 bool makeChange(World& world, Operators* operators, NamedScenarioResult* result) {
   const std::uint64_t basis = operators->newestConfirmed();
-  const std::size_t order = operators->make(basis, basis + 1);
+  const std::size_t submission = operators->create(basis, basis + 1);
   for (int tries = 0; tries < 60; ++tries) {
     const std::size_t machine = world.random()() % world.size();
-    operators->send(order, machine, false);
+    operators->send(submission, machine, false);
     result->resends += tries > 0;
-    for (int step = 0; step < 100 && !operators->order(order).heard; ++step) {
+    for (int step = 0; step < 100 && !operators->submission(submission).isAnswered; ++step) {
       operators->run(10ms);
       if (operators->isIdle()) break;
     }
-    if (operators->order(order).heard) return operators->order(order).confirmed;
+    if (operators->submission(submission).isAnswered)
+      return operators->submission(submission).confirmed;
   }
   return false;
 }
@@ -118,7 +119,8 @@
   for (std::string& what : operators.violations(body)) result.violations.push_back(std::move(what));
   world.checkHistory();
   for (const Violation& violation : world.violations()) result.violations.push_back(violation.what);
-  for (const Order& order : operators.orders()) result.confirmed += order.confirmed;
+  for (const Submission& submission : operators.submissions())
+    result.confirmed += submission.confirmed;
   return result;
 }
 
