--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -20,11 +20,11 @@
     Machine machine;
     machine.address =
         Address{"127.0." + std::to_string(i / 200) + "." + std::to_string(1 + i % 200) + ":7000"};
-    machine.isReserve = i >= atFirst;
-    machine.hasDisk = i < settings.diskMachines || machine.isReserve;
+    machine.isHeldInReserve = i >= atFirst;
+    machine.hasDisk = i < settings.diskMachines || machine.isHeldInReserve;
     machine.clockOffset = std::chrono::seconds(random_() % 100000);
     if (settings.injectFastClocks && i % 2 == 1) machine.clockRate = 6;
-    byAddress_[machine.address] = i;
+    machineByAddress_[machine.address] = i;
     machines_.push_back(std::move(machine));
   }
   for (Machine& machine : machines_) {
@@ -37,13 +37,13 @@
 void World::recordViolation(const std::string& what) { violations_.push_back({what, elapsed()}); }
 
 void World::schedule(Event event) {
-  event.order = ++order_;
+  event.sequence = ++lastSequence_;
   events_.push(std::move(event));
 }
 
 void World::start(std::size_t index) {
   Machine& machine = machines_[index];
-  if (machine.core || machine.isReserve) return;
+  if (machine.core || machine.isHeldInReserve) return;
   ++machine.incarnation;
   machine.highestConfiguration = 0;
   AgentSettings settings{
@@ -98,9 +98,9 @@
   crash(index, true);
   wipeDisk(index);
   Machine& machine = machines_[index];
-  byAddress_.erase(machine.address);
+  machineByAddress_.erase(machine.address);
   machine.address = Address{"127.1.0." + std::to_string(index + 1) + ":7000"};
-  byAddress_[machine.address] = index;
+  machineByAddress_[machine.address] = index;
   for (std::size_t s = 0; s < machine.seeds.size(); ++s) machine.seeds[s] = machines_[s].address;
   start(index);
 }
@@ -113,7 +113,7 @@
 
 void World::join(std::size_t index) {
   Machine& machine = machines_[index];
-  machine.isReserve = false;
+  machine.isHeldInReserve = false;
   machine.seeds.clear();
   for (const Machine& other : machines_) {
     if (other.core && other.hasDisk && machine.seeds.size() < 3)
@@ -128,9 +128,9 @@
 
 void World::setLinkBlocked(std::size_t from, std::size_t to, bool setPartitioned) {
   if (setPartitioned)
-    cuts_.insert({from, to});
+    blockedLinks_.insert({from, to});
   else
-    cuts_.erase({from, to});
+    blockedLinks_.erase({from, to});
 }
 
 void World::setPartitioned(const std::set<std::size_t>& side, bool setPartitioned) {
@@ -142,7 +142,7 @@
 }
 
 void World::healAll() {
-  cuts_.clear();
+  blockedLinks_.clear();
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     machines_[i].frozenUntil = now_;
     machines_[i].diskDelay = Span{};
@@ -152,18 +152,18 @@
 }
 
 std::size_t World::indexOf(const Address& address) const {
-  const auto row = byAddress_.find(address);
-  return row == byAddress_.end() ? machines_.size() : row->second;
+  const auto row = machineByAddress_.find(address);
+  return row == machineByAddress_.end() ? machines_.size() : row->second;
 }
 
-void World::transmit(std::size_t from, const Envelope& envelope) {
+void World::sendMessage(std::size_t from, const Envelope& envelope) {
   const std::size_t to = indexOf(envelope.to);
   ++counters_.messages;
   const std::string bytes = encodeEnvelope(envelope);
   counters_.bytes += bytes.size();
   counters_.bytesByKind[messageName(envelope.body)] += bytes.size();
   machines_[from].bytesSent += bytes.size();
-  if (to >= machines_.size() || cuts_.contains({from, to})) return;
+  if (to >= machines_.size() || blockedLinks_.contains({from, to})) return;
   const auto chance = [&](double rate) {
     return std::uniform_real_distribution<>(0, 1)(random_) < rate;
   };
@@ -181,11 +181,11 @@
 
 void World::apply(std::size_t index, AgentEffects effects) {
   Machine& machine = machines_[index];
-  for (const Envelope& envelope : effects.sends) transmit(index, envelope);
+  for (const Envelope& envelope : effects.sends) sendMessage(index, envelope);
   for (ReplicaWork& work : effects.replicaWork) {
     for (const DiskWrite& write : work.writes) machine.unsynced.push_back(write);
     if (settings_.injectUnsyncedDisk && work.answer) {
-      transmit(index, *work.answer);
+      sendMessage(index, *work.answer);
       work.answer.reset();
     }
     machine.diskQueue.push_back(std::move(work));
@@ -255,7 +255,7 @@
       if (kept) machine.synced[write.key] = write.bytes;
       if (!machine.unsynced.empty()) machine.unsynced.erase(machine.unsynced.begin());
     }
-    if (work.answer && machine.core->isWritable()) transmit(index, *work.answer);
+    if (work.answer && machine.core->isWritable()) sendMessage(index, *work.answer);
   }
   startSync(index);
 }
@@ -279,31 +279,31 @@
 }
 
 std::uint64_t World::change(std::size_t index, std::uint64_t expectedVersion, std::string body) {
-  return ask(index, {{}, kConfigurationKey, false, expectedVersion, std::move(body), {}, {}});
+  return submit(index, {{}, kConfigurationKey, false, expectedVersion, std::move(body), {}, {}});
 }
 
 std::uint64_t World::read(std::size_t index) {
-  return ask(index, {{}, kConfigurationKey, true, 0, {}, {}, {}});
+  return submit(index, {{}, kConfigurationKey, true, 0, {}, {}, {}});
 }
 
 AgentCore::Recovered World::recover(std::size_t index, const std::string& given,
                                     std::uint64_t givenVersion) {
   AgentEffects effects;
   auto made =
-      machines_[index].core->recover(given, givenVersion, local(machines_[index]), &effects);
+      machines_[index].core->recover(given, givenVersion, localTime(machines_[index]), &effects);
   apply(index, std::move(effects));
   return made;
 }
 
-std::uint64_t World::ask(std::size_t index, ChangeAsked change) {
+std::uint64_t World::submit(std::size_t index, ChangeAsked change) {
   Machine& machine = machines_[index];
   if (!machine.core || now_ < machine.frozenUntil) return 0;
   change.writeId = WriteId{random_() | 1};
-  change.due = local(machine) + 3s;
+  change.due = localTime(machine) + 3s;
   operations_.push_back({operations_.size() + 1, index, change, now_, {}, {}});
   const std::uint64_t id = operations_.size();
   AgentEffects effects;
-  const OperationId operation = machine.core->askChange(change, local(machine), &effects);
+  const OperationId operation = machine.core->askChange(change, localTime(machine), &effects);
   pending_[{index, operation}] = id;
   apply(index, std::move(effects));
   return id;
@@ -314,7 +314,7 @@
   if (!machine.core || (event.incarnation != 0 && event.incarnation != machine.incarnation)) return;
   if (event.kind != Kind::DiskDone && now_ < machine.frozenUntil) {
     Event later = event;
-    later.at = machine.frozenUntil + Span(event.order % 1000);
+    later.at = machine.frozenUntil + Span(event.sequence % 1000);
     schedule(std::move(later));
     return;
   }
@@ -325,10 +325,10 @@
   AgentEffects effects;
   switch (event.kind) {
     case Kind::Tick: {
-      machine.core->onTick(local(machine), &effects);
-      for (const std::string& role : roles_) {
-        if (machine.core->isMine(role, local(machine)))
-          machine.core->pursueLease(RegisterKey{"hold/" + role}, local(machine), &effects);
+      machine.core->onTick(localTime(machine), &effects);
+      for (const std::string& role : leaderRoles_) {
+        if (machine.core->isMine(role, localTime(machine)))
+          machine.core->pursueLease(RegisterKey{"hold/" + role}, localTime(machine), &effects);
       }
       schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.incarnation, {}, {}});
       break;
@@ -337,7 +337,7 @@
       ++machine.messagesReceived;
       const auto envelope = decodeEnvelope(event.bytes);
       if (!envelope.ok()) return recordViolation("a message did not decode");
-      machine.core->onMessage(*envelope, local(machine), &effects);
+      machine.core->onMessage(*envelope, localTime(machine), &effects);
       break;
     }
     case Kind::DiskDone: {
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -96,7 +96,7 @@
     settings_.injectUnsyncedDisk = unsynced;
     settings_.injectReusedStore = reused;
   }
-  void addLeaderRole(const std::string& role) { roles_.insert(role); }
+  void addLeaderRole(const std::string& role) { leaderRoles_.insert(role); }
 
   bool hasDisk(std::size_t machine) const { return machines_[machine].hasDisk; }
   bool isUp(std::size_t machine) const { return machines_[machine].core != nullptr; }
@@ -108,7 +108,7 @@
   }
   const RecordedOperation& operationById(std::uint64_t id) const { return operations_.at(id - 1); }
   const std::vector<RecordedOperation>& history() const { return operations_; }
-  Instant localNow(std::size_t machine) const { return local(machines_[machine]); }
+  Instant localNow(std::size_t machine) const { return localTime(machines_[machine]); }
   std::mt19937_64& random() { return random_; }
   const std::vector<Violation>& violations() const { return violations_; }
   void checkHistory();  // linearizability of the configuration register over all that was asked
@@ -131,7 +131,7 @@
     Address address;
     std::vector<Address> seeds;
     bool hasDisk = false;
-    bool isReserve = false;  // not started before it joins
+    bool isHeldInReserve = false;  // not started before it joins
     std::unique_ptr<AgentCore> core;
     std::map<std::string, std::string> synced;
     std::vector<DiskWrite> unsynced;  // lost at a power loss
@@ -150,7 +150,7 @@
   enum class Kind { Tick, Arrive, DiskDone };
   struct Event {
     Instant at;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     Kind kind{};
     std::size_t machine = 0;
     std::uint64_t incarnation = 0;
@@ -158,18 +158,18 @@
     std::shared_ptr<std::vector<ReplicaWork>> batch;
     std::uint64_t diskGeneration = 0;
     bool operator>(const Event& other) const {
-      return std::tie(at, order) > std::tie(other.at, other.order);
+      return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
-  Instant local(const Machine& machine) const {
+  Instant localTime(const Machine& machine) const {
     return Instant(now_.time_since_epoch() * machine.clockRate) + machine.clockOffset;
   }
   void schedule(Event event);
   void apply(std::size_t machine, AgentEffects effects);
-  std::uint64_t ask(std::size_t machine, ChangeAsked change);
+  std::uint64_t submit(std::size_t machine, ChangeAsked change);
   void startSync(std::size_t machine);
   void finishSync(std::size_t machine, const std::vector<ReplicaWork>& batch);
-  void transmit(std::size_t from, const Envelope& envelope);
+  void sendMessage(std::size_t from, const Envelope& envelope);
   void handle(const Event& event);
   void checkMachine(std::size_t machine);
   void checkLeases();
@@ -179,14 +179,14 @@
   WorldSettings settings_;
   std::mt19937_64 random_;
   Instant now_{};
-  std::uint64_t order_ = 0;
+  std::uint64_t lastSequence_ = 0;
   std::vector<Machine> machines_;
-  std::map<Address, std::size_t> byAddress_;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
+  std::map<Address, std::size_t> machineByAddress_;
+  std::set<std::pair<std::size_t, std::size_t>> blockedLinks_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<RecordedOperation> operations_;
   std::map<std::pair<std::size_t, OperationId>, std::uint64_t> pending_;
-  std::set<std::string> roles_;
+  std::set<std::string> leaderRoles_;
   std::map<std::string, std::pair<std::uint64_t, std::size_t>> highestFence_;
   std::map<std::uint64_t, WriteId> writeByVersion_;              // one write per version, for ever
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged_;  // (when, version), rising
--- a/src/sim/world_checks.cpp
+++ b/src/sim/world_checks.cpp
@@ -39,13 +39,14 @@
 }
 
 void World::checkLeases() {
-  for (const std::string& role : roles_) {
+  for (const std::string& role : leaderRoles_) {
     std::size_t holders = 0;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       Machine& machine = machines_[i];
       if (!machine.core) continue;
       // A frozen machine's hold is judged by its own clock: it could act the moment it wakes.
-      const auto fence = machine.core->held(RegisterKey{"hold/" + role}, Span{}, local(machine));
+      const auto fence =
+          machine.core->held(RegisterKey{"hold/" + role}, Span{}, localTime(machine));
       if (!fence) continue;
       ++holders;
       ++counters_.leaseObservations;
--- a/src/sim/world_state.cpp
+++ b/src/sim/world_state.cpp
@@ -12,7 +12,7 @@
   for (const Machine& machine : machines_) {
     if (!machine.core) continue;
     const auto confirmed = machine.core->freshness().confirmedAt();
-    if (!confirmed || local(machine) - *confirmed > 1s) return false;
+    if (!confirmed || localTime(machine) - *confirmed > 1s) return false;
     const std::uint64_t held = machine.core->freshness().configuration().value.version;
     if (version && *version != held) return false;
     version = held;
@@ -24,12 +24,12 @@
   const Machine& asked = machines_[machine];
   if (!asked.core) return false;
   const auto confirmed = asked.core->freshness().confirmedAt();
-  return confirmed && local(asked) - *confirmed <= lately;
+  return confirmed && localTime(asked) - *confirmed <= lately;
 }
 
 std::size_t World::liveMachinesSeenBy(std::size_t machine) const {
   const Machine& asked = machines_[machine];
-  return asked.core ? asked.core->live(local(asked)).size() : 0;
+  return asked.core ? asked.core->live(localTime(asked)).size() : 0;
 }
 
 bool World::isInForce(std::uint64_t version) const {
@@ -43,7 +43,7 @@
       std::count_if(machines_.begin(), machines_.end(),
                     [](const Machine& machine) { return machine.core != nullptr; }));
   return std::all_of(machines_.begin(), machines_.end(), [&](const Machine& machine) {
-    return !machine.core || machine.core->live(local(machine)).size() >= up;
+    return !machine.core || machine.core->live(localTime(machine)).size() >= up;
   });
 }
 
