--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -9,18 +9,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kTick = 50ms;
+constexpr Span kTickInterval = 50ms;
 }  // namespace
 
 World::World(const WorldSettings& settings)
     : settings_(settings), random_(settings.seed), now_(Instant(1s)) {
-  const std::size_t atFirst = settings.diskMachines + settings.edgeMachines;
-  const std::size_t count = atFirst + settings.reserveMachines;
+  const std::size_t initialMachines = settings.diskMachines + settings.edgeMachines;
+  const std::size_t count = initialMachines + settings.reserveMachines;
   for (std::size_t i = 0; i < count; ++i) {
     Machine machine;
     machine.address =
         Address{"127.0." + std::to_string(i / 200) + "." + std::to_string(1 + i % 200) + ":7000"};
-    machine.isHeldInReserve = i >= atFirst;
+    machine.isHeldInReserve = i >= initialMachines;
     machine.hasDisk = i < settings.diskMachines || machine.isHeldInReserve;
     machine.clockOffset = std::chrono::seconds(random_() % 100000);
     if (settings.injectFastClocks && i % 2 == 1) machine.clockRate = 6;
@@ -28,8 +28,8 @@
     machines_.push_back(std::move(machine));
   }
   for (Machine& machine : machines_) {
-    for (std::size_t s = 0; s < std::min<std::size_t>(3, settings.diskMachines); ++s)
-      machine.seeds.push_back(machines_[s].address);
+    for (std::size_t seed = 0; seed < std::min<std::size_t>(3, settings.diskMachines); ++seed)
+      machine.seeds.push_back(machines_[seed].address);
   }
   for (std::size_t i = 0; i < count; ++i) start(i);
 }
@@ -67,15 +67,21 @@
   AgentEffects effects;
   effects.replicaWork = machine.core->start();
   apply(index, std::move(effects));
-  schedule(
-      {now_ + Span(random_() % kTick.count()), 0, Kind::Tick, index, machine.incarnation, {}, {}});
+  schedule({now_ + Span(random_() % kTickInterval.count()),
+            0,
+            Kind::Tick,
+            index,
+            machine.incarnation,
+            {},
+            {}});
 }
 
 void World::crash(std::size_t index, bool powerLoss) {
   Machine& machine = machines_[index];
   if (!machine.core) return;
   machine.core.reset();
-  // A kill leaves what the system was given; a power loss takes all that was not synced.
+  // When only the process ends, the operating system still writes the unsynced data; a power loss
+  // discards it.
   if (!powerLoss) {
     for (const DiskWrite& write : machine.unsynced) machine.synced[write.key] = write.bytes;
   }
@@ -88,10 +94,10 @@
 void World::wipeDisk(std::size_t index) {
   const auto store = machines_[index].synced.find("store");
   const auto format = machines_[index].synced.find("format");
-  std::map<std::string, std::string> kept;
+  std::map<std::string, std::string> remaining;
   if (settings_.injectReusedStore && store != machines_[index].synced.end())
-    kept = {*store, *format};
-  machines_[index].synced = kept;
+    remaining = {*store, *format};
+  machines_[index].synced = remaining;
 }
 
 void World::replace(std::size_t index) {
@@ -101,7 +107,8 @@
   machineByAddress_.erase(machine.address);
   machine.address = Address{"127.1.0." + std::to_string(index + 1) + ":7000"};
   machineByAddress_[machine.address] = index;
-  for (std::size_t s = 0; s < machine.seeds.size(); ++s) machine.seeds[s] = machines_[s].address;
+  for (std::size_t seed = 0; seed < machine.seeds.size(); ++seed)
+    machine.seeds[seed] = machines_[seed].address;
   start(index);
 }
 
@@ -126,17 +133,17 @@
   machines_[index].frozenUntil = std::max(machines_[index].frozenUntil, now_ + span);
 }
 
-void World::setLinkBlocked(std::size_t from, std::size_t to, bool setPartitioned) {
-  if (setPartitioned)
+void World::setLinkBlocked(std::size_t from, std::size_t to, bool blocked) {
+  if (blocked)
     blockedLinks_.insert({from, to});
   else
     blockedLinks_.erase({from, to});
 }
 
-void World::setPartitioned(const std::set<std::size_t>& side, bool setPartitioned) {
-  for (std::size_t a = 0; a < machines_.size(); ++a) {
-    for (std::size_t b = 0; b < machines_.size(); ++b) {
-      if (side.contains(a) != side.contains(b)) setLinkBlocked(a, b, setPartitioned);
+void World::setPartitioned(const std::set<std::size_t>& side, bool partitioned) {
+  for (std::size_t from = 0; from < machines_.size(); ++from) {
+    for (std::size_t to = 0; to < machines_.size(); ++to) {
+      if (side.contains(from) != side.contains(to)) setLinkBlocked(from, to, partitioned);
     }
   }
 }
@@ -164,17 +171,17 @@
   counters_.bytesByKind[messageName(envelope.body)] += bytes.size();
   machines_[from].bytesSent += bytes.size();
   if (to >= machines_.size() || blockedLinks_.contains({from, to})) return;
-  const auto chance = [&](double rate) {
-    return std::uniform_real_distribution<>(0, 1)(random_) < rate;
+  const auto happens = [&](double probability) {
+    return std::uniform_real_distribution<>(0, 1)(random_) < probability;
   };
-  if (from != to && chance(settings_.messageLossRate)) return;
-  const int replicas = chance(settings_.messageDuplicationRate) ? 2 : 1;
-  for (int i = 0; i < replicas; ++i) {
+  if (from != to && happens(settings_.messageLossRate)) return;
+  const int deliveries = happens(settings_.messageDuplicationRate) ? 2 : 1;
+  for (int i = 0; i < deliveries; ++i) {
     Span delay =
         settings_.minMessageDelay +
         Span(random_() % static_cast<std::uint64_t>(
                              (settings_.maxMessageDelay - settings_.minMessageDelay).count()));
-    if (chance(0.01)) delay *= 40;  // late and out of order
+    if (happens(0.01)) delay *= 40;  // delivered late and out of order
     schedule({now_ + delay, 0, Kind::Arrive, to, 0, bytes, {}});
   }
 }
@@ -194,9 +201,9 @@
   for (const ChangeDone& done : effects.done) {
     const auto row = pending_.find({index, done.operation});
     if (row == pending_.end()) continue;
-    RecordedOperation& asked = operations_[row->second - 1];
-    asked.done = done;
-    asked.completedAt = now_;
+    RecordedOperation& operation = operations_[row->second - 1];
+    operation.done = done;
+    operation.completedAt = now_;
     pending_.erase(row);
     switch (done.result) {
       case ChangeResult::Chosen:
@@ -213,8 +220,8 @@
         break;
     }
     if (done.result == ChangeResult::Chosen && done.value.version > 0) {
-      const std::uint64_t last = acknowledged_.empty() ? 0 : acknowledged_.back().second;
-      if (done.value.version > last) acknowledged_.emplace_back(now_, done.value.version);
+      const std::uint64_t newest = acknowledged_.empty() ? 0 : acknowledged_.back().second;
+      if (done.value.version > newest) acknowledged_.emplace_back(now_, done.value.version);
     }
   }
 }
@@ -223,12 +230,12 @@
   Machine& machine = machines_[index];
   if (machine.diskBusy || machine.diskQueue.empty() || !machine.core) return;
   machine.diskBusy = true;
-  const bool writes = std::any_of(machine.diskQueue.begin(), machine.diskQueue.end(),
-                                  [](const ReplicaWork& work) { return !work.writes.empty(); });
-  Span cost = writes ? Span(std::chrono::microseconds(100 + random_() % 900)) : Span{};
-  if (writes) cost += machine.diskDelay;
-  if (settings_.injectUnsyncedDisk) cost *= 400;
-  schedule({now_ + cost,
+  const bool hasWrites = std::any_of(machine.diskQueue.begin(), machine.diskQueue.end(),
+                                     [](const ReplicaWork& work) { return !work.writes.empty(); });
+  Span duration = hasWrites ? Span(std::chrono::microseconds(100 + random_() % 900)) : Span{};
+  if (hasWrites) duration += machine.diskDelay;
+  if (settings_.injectUnsyncedDisk) duration *= 400;
+  schedule({now_ + duration,
             0,
             Kind::DiskDone,
             index,
@@ -242,17 +249,18 @@
 void World::finishSync(std::size_t index, const std::vector<ReplicaWork>& batch) {
   Machine& machine = machines_[index];
   machine.diskBusy = false;
-  // The batch that fails may be on the disk all the same, whole; nobody is told of it, and nothing
-  // is written after it.
+  // A failed batch may nevertheless be on the disk as a whole; it is never acknowledged, and
+  // nothing is written after it.
   const bool fails = machine.diskFails &&
                      std::any_of(batch.begin(), batch.end(),
                                  [](const ReplicaWork& work) { return !work.writes.empty(); });
-  const bool kept = fails ? machine.core->isWritable() && random_() % 2 == 0 : !machine.diskFails;
+  const bool isPersisted =
+      fails ? machine.core->isWritable() && random_() % 2 == 0 : !machine.diskFails;
   if (fails) machine.core->onDiskError();
   for (const ReplicaWork& work : batch) {
     machine.core->onReplicaWorkDone();
     for (const DiskWrite& write : work.writes) {
-      if (kept) machine.synced[write.key] = write.bytes;
+      if (isPersisted) machine.synced[write.key] = write.bytes;
       if (!machine.unsynced.empty()) machine.unsynced.erase(machine.unsynced.begin());
     }
     if (work.answer && machine.core->isWritable()) sendMessage(index, *work.answer);
@@ -266,7 +274,7 @@
   machine.diskFails = false;
   machine.diskDelay = Span{};
   if (!machine.core || machine.core->isWritable()) return;
-  // What was handed to the disk before it was read anew has failed, answers and all.
+  // Work that was queued before the disk is read again fails, and its answers are never sent.
   for (std::size_t i = 0; i < machine.diskQueue.size(); ++i) machine.core->onReplicaWorkDone();
   machine.diskQueue.clear();
   machine.unsynced.clear();
@@ -289,10 +297,10 @@
 AgentCore::Recovered World::recover(std::size_t index, const std::string& given,
                                     std::uint64_t givenVersion) {
   AgentEffects effects;
-  auto made =
+  auto recovered =
       machines_[index].core->recover(given, givenVersion, localTime(machines_[index]), &effects);
   apply(index, std::move(effects));
-  return made;
+  return recovered;
 }
 
 std::uint64_t World::submit(std::size_t index, ChangeAsked change) {
@@ -313,9 +321,9 @@
   Machine& machine = machines_[event.machine];
   if (!machine.core || (event.incarnation != 0 && event.incarnation != machine.incarnation)) return;
   if (event.kind != Kind::DiskDone && now_ < machine.frozenUntil) {
-    Event later = event;
-    later.at = machine.frozenUntil + Span(event.sequence % 1000);
-    schedule(std::move(later));
+    Event postponed = event;
+    postponed.at = machine.frozenUntil + Span(event.sequence % 1000);
+    schedule(std::move(postponed));
     return;
   }
   traceHash_ =
@@ -330,7 +338,7 @@
         if (machine.core->isMine(role, localTime(machine)))
           machine.core->pursueLease(RegisterKey{"hold/" + role}, localTime(machine), &effects);
       }
-      schedule({now_ + kTick, 0, Kind::Tick, event.machine, machine.incarnation, {}, {}});
+      schedule({now_ + kTickInterval, 0, Kind::Tick, event.machine, machine.incarnation, {}, {}});
       break;
     }
     case Kind::Arrive: {
@@ -355,15 +363,15 @@
 
 void World::run(Span span) {
   const Instant until = now_ + span;
-  Instant nextCheck = now_;
+  Instant nextLeaseCheck = now_;
   while (!events_.empty() && events_.top().at <= until) {
     const Event event = events_.top();
     events_.pop();
     now_ = std::max(now_, event.at);
     handle(event);
-    if (now_ >= nextCheck) {
+    if (now_ >= nextLeaseCheck) {
       checkLeases();
-      nextCheck = now_ + 5ms;
+      nextLeaseCheck = now_ + 5ms;
     }
   }
   now_ = until;
--- a/src/sim/world_checks.cpp
+++ b/src/sim/world_checks.cpp
@@ -1,5 +1,5 @@
-// The checkers of the simulated world. They judge by what was acknowledged and what is in force,
-// never by what a daemon believes of itself.
+// The invariant checkers of the simulated world. They compare what daemons act on with the
+// operations that were acknowledged, and trust no daemon's view of its own state.
 #include <algorithm>
 
 #include "sim/world.h"
@@ -14,7 +14,7 @@
   const Freshness& freshness = machine.core->freshness();
   const RegisterValue& configuration = freshness.configuration().value;
   if (configuration.version > 0) {
-    const auto [row, fresh] =
+    const auto [row, isNew] =
         writeByVersion_.try_emplace(configuration.version, configuration.writeId);
     if (row->second != configuration.writeId)
       recordViolation("two configurations in force under one version");
@@ -22,12 +22,12 @@
   if (configuration.version < machine.highestConfiguration)
     recordViolation("a configuration in force slipped back");
   machine.highestConfiguration = std::max(machine.highestConfiguration, configuration.version);
-  const auto confirmed = freshness.confirmedAt();
-  if (!confirmed && !settings_.injectStaleConfirm) return;
+  const auto confirmedLocal = freshness.confirmedAt();
+  if (!confirmedLocal && !settings_.injectStaleConfirm) return;
   const Instant confirmedAt =
       settings_.injectStaleConfirm
           ? now_
-          : Instant((*confirmed - machine.clockOffset).time_since_epoch() / machine.clockRate);
+          : Instant((*confirmedLocal - machine.clockOffset).time_since_epoch() / machine.clockRate);
   for (auto change = acknowledged_.rbegin(); change != acknowledged_.rend(); ++change) {
     if (change->first >= confirmedAt) continue;
     if (configuration.version < change->second)
@@ -44,7 +44,8 @@
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       Machine& machine = machines_[i];
       if (!machine.core) continue;
-      // A frozen machine's hold is judged by its own clock: it could act the moment it wakes.
+      // The lease of a frozen machine is checked by its own clock: the daemon could act on it as
+      // soon as it resumes.
       const auto fence =
           machine.core->held(RegisterKey{"hold/" + role}, Span{}, localTime(machine));
       if (!fence) continue;
@@ -60,50 +61,53 @@
   }
 }
 
-// The register is a chain of versions, each written once. Against that chain: an acknowledged
-// change must be the writer of its version, a turned-away one must write none, and nothing that
-// began after an acknowledgement may end with an older version.
+// The register's history is a chain of versions, each written by one write. An acknowledged change
+// must have written its version, a rejected change must not have written any, and an operation that
+// started after another was acknowledged must not return an older version.
 void World::checkHistory() {
   std::map<std::uint64_t, WriteId> chain = writeByVersion_;
-  for (const RecordedOperation& asked : operations_) {
-    if (!asked.done || asked.done->result != ChangeResult::Chosen) continue;
-    const RegisterValue& value = asked.done->value;
+  for (const RecordedOperation& operation : operations_) {
+    if (!operation.done || operation.done->result != ChangeResult::Chosen) continue;
+    const RegisterValue& value = operation.done->value;
     if (value.version == 0) continue;
-    const auto [row, fresh] = chain.try_emplace(value.version, value.writeId);
+    const auto [row, isNew] = chain.try_emplace(value.version, value.writeId);
     if (row->second != value.writeId)
       recordViolation("two changes were acknowledged as one version");
     for (std::size_t i = 0; i < value.priorWrites.size(); ++i) {
       if (value.priorWrites[i].value == 0 || value.version < i + 2) break;
-      const auto [older, unseen] = chain.try_emplace(value.version - i - 1, value.priorWrites[i]);
+      const auto [older, isNewOlder] =
+          chain.try_emplace(value.version - i - 1, value.priorWrites[i]);
       if (older->second != value.priorWrites[i])
         recordViolation("a version's history was rewritten");
     }
   }
   std::set<std::uint64_t> written;
   for (const auto& [version, write] : chain) written.insert(write.value);
-  std::vector<std::pair<Instant, std::uint64_t>> floors;
-  for (const RecordedOperation& asked : operations_) {
-    if (!asked.done) continue;
-    const bool took = written.contains(asked.change.writeId.value);
-    const auto result = asked.done->result;
-    if (!asked.change.isRead) {
-      if (result == ChangeResult::Chosen && !took)
+  // (completion time, highest version acknowledged by then)
+  std::vector<std::pair<Instant, std::uint64_t>> minimumVersions;
+  for (const RecordedOperation& operation : operations_) {
+    if (!operation.done) continue;
+    const bool tookEffect = written.contains(operation.change.writeId.value);
+    const auto result = operation.done->result;
+    if (!operation.change.isRead) {
+      if (result == ChangeResult::Chosen && !tookEffect)
         recordViolation("an acknowledged change wrote no version");
-      if ((result == ChangeResult::Conflict || result == ChangeResult::NotTried) && took)
+      if ((result == ChangeResult::Conflict || result == ChangeResult::NotTried) && tookEffect)
         recordViolation("a turned-away change took effect");
     }
     if (result == ChangeResult::Chosen)
-      floors.emplace_back(*asked.completedAt, asked.done->value.version);
+      minimumVersions.emplace_back(*operation.completedAt, operation.done->value.version);
   }
-  std::sort(floors.begin(), floors.end());
+  std::sort(minimumVersions.begin(), minimumVersions.end());
   std::uint64_t highest = 0;
-  for (auto& [at, version] : floors) version = highest = std::max(highest, version);
-  for (const RecordedOperation& asked : operations_) {
-    if (!asked.done || asked.done->result != ChangeResult::Chosen) continue;
-    const auto after = std::lower_bound(floors.begin(), floors.end(),
-                                        std::make_pair(asked.startedAt, std::uint64_t{0}));
-    if (after == floors.begin()) continue;
-    if (asked.done->value.version < std::prev(after)->second)
+  for (auto& [completedAt, version] : minimumVersions)
+    version = highest = std::max(highest, version);
+  for (const RecordedOperation& operation : operations_) {
+    if (!operation.done || operation.done->result != ChangeResult::Chosen) continue;
+    const auto after = std::lower_bound(minimumVersions.begin(), minimumVersions.end(),
+                                        std::make_pair(operation.startedAt, std::uint64_t{0}));
+    if (after == minimumVersions.begin()) continue;
+    if (operation.done->value.version < std::prev(after)->second)
       recordViolation("a result is older than what was acknowledged before it was asked");
   }
 }
--- a/src/sim/world_state.cpp
+++ b/src/sim/world_state.cpp
@@ -1,4 +1,4 @@
-// What a test asks of the simulated world: who agrees, who knows whom.
+// Queries on the state of the simulated fleet: convergence, confirmation and membership.
 #include <algorithm>
 
 #include "sim/world.h"
@@ -11,25 +11,25 @@
   std::optional<std::uint64_t> version;
   for (const Machine& machine : machines_) {
     if (!machine.core) continue;
-    const auto confirmed = machine.core->freshness().confirmedAt();
-    if (!confirmed || localTime(machine) - *confirmed > 1s) return false;
-    const std::uint64_t held = machine.core->freshness().configuration().value.version;
-    if (version && *version != held) return false;
-    version = held;
+    const auto confirmedAt = machine.core->freshness().confirmedAt();
+    if (!confirmedAt || localTime(machine) - *confirmedAt > 1s) return false;
+    const std::uint64_t localVersion = machine.core->freshness().configuration().value.version;
+    if (version && *version != localVersion) return false;
+    version = localVersion;
   }
   return version.has_value();
 }
 
-bool World::isConfirmed(std::size_t machine, Span lately) const {
-  const Machine& asked = machines_[machine];
-  if (!asked.core) return false;
-  const auto confirmed = asked.core->freshness().confirmedAt();
-  return confirmed && localTime(asked) - *confirmed <= lately;
+bool World::isConfirmed(std::size_t machine, Span maxAge) const {
+  const Machine& queried = machines_[machine];
+  if (!queried.core) return false;
+  const auto confirmedAt = queried.core->freshness().confirmedAt();
+  return confirmedAt && localTime(queried) - *confirmedAt <= maxAge;
 }
 
 std::size_t World::liveMachinesSeenBy(std::size_t machine) const {
-  const Machine& asked = machines_[machine];
-  return asked.core ? asked.core->live(localTime(asked)).size() : 0;
+  const Machine& queried = machines_[machine];
+  return queried.core ? queried.core->live(localTime(queried)).size() : 0;
 }
 
 bool World::isInForce(std::uint64_t version) const {
@@ -39,11 +39,11 @@
 }
 
 bool World::isMembershipComplete() const {
-  const auto up = static_cast<std::size_t>(
+  const auto running = static_cast<std::size_t>(
       std::count_if(machines_.begin(), machines_.end(),
                     [](const Machine& machine) { return machine.core != nullptr; }));
   return std::all_of(machines_.begin(), machines_.end(), [&](const Machine& machine) {
-    return !machine.core || machine.core->live(localTime(machine)).size() >= up;
+    return !machine.core || machine.core->live(localTime(machine)).size() >= running;
   });
 }
 
