--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 constexpr Span kStep = 25ms;
-constexpr Span kSuccessorAfter = 1s;
-constexpr Span kCutFor = 5500ms;
-constexpr Span kLeaveAfterJoin = 2s;  // of a planned replacement
-constexpr Span kServesAtLeast = 3s;   // after it was told to end, as the daemon does
-constexpr Span kServesAtMost = 6s;
+constexpr Span kSuccessorDelay = 1s;
+constexpr Span kIsolationSpan = 5500ms;
+constexpr Span kLeaveAfterJoin = 2s;  // in a planned replacement
+// How long a leaving daemon continues to serve, as in production.
+constexpr Span kMinLeavingSpan = 3s;
+constexpr Span kMaxLeavingSpan = 6s;
 
-WorldSettings worldOf(const LossesSettings& settings) {
+WorldSettings worldSettingsOf(const LossesSettings& settings) {
   WorldSettings world;
   world.seed = settings.seed;
   world.bootstrap = true;
@@ -29,57 +30,63 @@
   return world;
 }
 
+// One run: injects the losses, follows each through its stages and measures the repair.
 class LossRun {
  public:
   explicit LossRun(const LossesSettings& settings)
-      : settings_(settings), world_(worldOf(settings)), nextReserve_(settings.diskMachines + 4) {}
+      : settings_(settings),
+        world_(worldSettingsOf(settings)),
+        nextReserve_(settings.diskMachines + 4) {}
 
   LossesResult run() {
     result_.founded = runUntilFounded(world_, 20s);
     if (!result_.founded) return result_;
-    lastAckAt_ = world_.elapsed();
+    lastAcknowledgedAt_ = world_.elapsed();
     advance(2s);
     for (std::size_t i = 0; i < settings_.losses; ++i) {
-      while (underWay() >= settings_.tolerate) step();
+      while (openLosses() >= settings_.tolerate) step();
       begin();
     }
-    while (underWay() > 0) step();
+    while (openLosses() > 0) step();
     advance(10s);
     finish();
     return result_;
   }
 
  private:
-  // One machine's way through its loss; the later steps are due at the instants named.
+  // The progress of one loss. All times are simulated time (World::elapsed).
   struct Loss {
     LossKind kind{};
     std::size_t machine = 0;
     Span beganAt{};
+    // When the stages that are still to come take place.
     std::optional<Span> startAt, joinAt, leaveAt, healAt;
-    std::optional<Span> leftAt;  // told to end then, and still serving
-    std::optional<Span> endsAt;  // it counts no longer
+    std::optional<Span> leavingSince;  // when the planned end was announced
+    std::optional<Span> closesAt;      // from then on it does not count towards `tolerate`
     std::size_t successor = 0;
-    StoreId leaver;  // the store that was told to end
+    StoreId leavingStore;
     bool repaired = false;
-    std::size_t row = 0;
+    std::size_t outcomeIndex = 0;  // index in LossesResult::outcomes
     std::uint64_t epochBefore = 0;
   };
 
-  std::size_t edge() { return settings_.diskMachines + world_.random()() % 4; }
+  std::size_t randomEdge() { return settings_.diskMachines + world_.random()() % 4; }
   const ReplicaSet& replicas() {
     return world_.core(settings_.diskMachines).freshness().replicas();
   }
-  Span within(int fromMs, int toMs) {
+  Span randomSpan(int fromMs, int toMs) {
     return std::chrono::milliseconds(
         fromMs + static_cast<int>(world_.random()() % static_cast<unsigned>(toMs - fromMs)));
   }
-  bool isHurt(std::size_t machine) const {
+  bool hasOpenLoss(std::size_t machine) const {
     return std::any_of(losses_.begin(), losses_.end(),
                        [&](const Loss& loss) { return loss.machine == machine && isOpen(loss); });
   }
-  // A planned replacement counts from the moment the old machine is told to end.
-  bool isOpen(const Loss& loss) const { return !loss.endsAt || world_.elapsed() < *loss.endsAt; }
-  std::size_t underWay() const {
+  // Whether the loss counts towards `tolerate`.
+  bool isOpen(const Loss& loss) const {
+    return !loss.closesAt || world_.elapsed() < *loss.closesAt;
+  }
+  std::size_t openLosses() const {
     return static_cast<std::size_t>(std::count_if(losses_.begin(), losses_.end(),
                                                   [&](const Loss& loss) { return isOpen(loss); }));
   }
@@ -89,68 +96,70 @@
                        [&](const ReplicaMember& member) { return member.store == store; });
   }
 
-  // Mostly members; by one draw in four the one whose disk is oldest.
-  std::size_t victim() {
-    std::vector<std::size_t> able, members;
+  // The machine to lose next: of four draws one takes any machine, one the member of the replica
+  // set whose disk is oldest, and two a random member.
+  std::size_t chooseMachine() {
+    std::vector<std::size_t> candidates, members;
     for (std::size_t i = 0; i < world_.size(); ++i) {
-      if (!world_.hasDisk(i) || !world_.isUp(i) || isHurt(i)) continue;
-      const bool leaves = std::any_of(losses_.begin(), losses_.end(), [&](const Loss& loss) {
-        return loss.machine == i && loss.leftAt;
+      if (!world_.hasDisk(i) || !world_.isUp(i) || hasOpenLoss(i)) continue;
+      const bool isLeaving = std::any_of(losses_.begin(), losses_.end(), [&](const Loss& loss) {
+        return loss.machine == i && loss.leavingSince;
       });
-      if (leaves) continue;
-      able.push_back(i);
+      if (isLeaving) continue;
+      candidates.push_back(i);
       if (isMember(i)) members.push_back(i);
     }
     const auto draw = world_.random()() % 4;
-    if (members.empty() || draw == 0) return able[world_.random()() % able.size()];
-    if (draw == 1) return oldest(members);
+    if (members.empty() || draw == 0) return candidates[world_.random()() % candidates.size()];
+    if (draw == 1) return withOldestDisk(members);
     return members[world_.random()() % members.size()];
   }
-  std::size_t oldest(const std::vector<std::size_t>& machines) {
+  std::size_t withOldestDisk(const std::vector<std::size_t>& machines) {
     return *std::min_element(machines.begin(), machines.end(), [&](std::size_t a, std::size_t b) {
       return diskSince_[a] < diskSince_[b];
     });
   }
 
+  // Starts the next loss.
   void begin() {
     Loss loss;
     const std::size_t kinds = std::size(kAllLossKinds);
     loss.kind = settings_.kinds.empty()
                     ? kAllLossKinds[world_.random()() % kinds]
                     : settings_.kinds[world_.random()() % settings_.kinds.size()];
-    loss.machine = victim();
+    loss.machine = chooseMachine();
     loss.beganAt = world_.elapsed();
-    loss.row = result_.seen.size();
+    loss.outcomeIndex = result_.outcomes.size();
     loss.epochBefore = replicas().epoch.value;
-    result_.seen.push_back({loss.kind, {}, {}, 0});
-    const std::size_t m = loss.machine;
+    result_.outcomes.push_back({loss.kind, {}, {}, 0});
+    const std::size_t machine = loss.machine;
     const Span now = world_.elapsed();
     switch (loss.kind) {
       case LossKind::Killed:
-        world_.crash(m, true);
-        loss.joinAt = now + kSuccessorAfter;
+        world_.crash(machine, true);
+        loss.joinAt = now + kSuccessorDelay;
         break;
       case LossKind::Wiped:
-        world_.crash(m, true);
-        world_.wipeDisk(m);
-        diskSince_[m] = now;
-        loss.startAt = now + within(200, 2000);
+        world_.crash(machine, true);
+        world_.wipeDisk(machine);
+        diskSince_[machine] = now;
+        loss.startAt = now + randomSpan(200, 2000);
         break;
       case LossKind::PowerOff:
-        world_.crash(m, true);
-        loss.startAt = now + within(3000, 4200);
+        world_.crash(machine, true);
+        loss.startAt = now + randomSpan(3000, 4200);
         break;
       case LossKind::Restarted:
-        world_.crash(m, false);
-        loss.startAt = now + within(500, 1000);
+        world_.crash(machine, false);
+        loss.startAt = now + randomSpan(500, 1000);
         break;
       case LossKind::CutOff:
-        cutOff(m);
-        loss.healAt = now + kCutFor;
+        isolate(machine);
+        loss.healAt = now + kIsolationSpan;
         break;
       case LossKind::Frozen: {
-        const Span span = within(3000, 6000);
-        world_.freeze(m, span);
+        const Span span = randomSpan(3000, 6000);
+        world_.freeze(machine, span);
         loss.healAt = now + span;
         break;
       }
@@ -162,93 +171,100 @@
     losses_.push_back(loss);
   }
 
-  void cutOff(std::size_t machine) {
-    const auto way = world_.random()() % 3;
+  // Isolates the machine in both directions, inbound only or outbound only.
+  void isolate(std::size_t machine) {
+    const auto direction = world_.random()() % 3;
     for (std::size_t other = 0; other < world_.size(); ++other) {
       if (other == machine) continue;
-      if (way != 1) world_.setLinkBlocked(machine, other, true);
-      if (way != 2) world_.setLinkBlocked(other, machine, true);
+      if (direction != 1) world_.setLinkBlocked(machine, other, true);
+      if (direction != 2) world_.setLinkBlocked(other, machine, true);
     }
   }
 
+  // Carries out the stages of a loss whose time has come.
   void follow(Loss& loss) {
     const Span now = world_.elapsed();
-    const auto due = [&](std::optional<Span>& at) {
+    const auto isDue = [&](std::optional<Span>& at) {
       if (!at || now < *at) return false;
       at.reset();
       return true;
     };
-    if (due(loss.startAt)) {
+    if (isDue(loss.startAt)) {
       world_.start(loss.machine);
-      loss.endsAt = now + settings_.catchUpSpan;
+      loss.closesAt = now + settings_.catchUpSpan;
     }
-    if (due(loss.healAt)) {
+    if (isDue(loss.healAt)) {
       if (loss.kind == LossKind::CutOff) world_.setPartitioned({loss.machine}, false);
-      loss.endsAt = now + settings_.catchUpSpan;
+      loss.closesAt = now + settings_.catchUpSpan;
     }
-    if (due(loss.joinAt)) {
+    if (isDue(loss.joinAt)) {
       loss.successor = nextReserve_++;
       world_.join(loss.successor);
       diskSince_[loss.successor] = now;
-      loss.endsAt = now + settings_.catchUpSpan;
+      loss.closesAt = now + settings_.catchUpSpan;
     }
-    if (due(loss.leaveAt)) {
-      loss.leaver = world_.core(loss.machine).store();
+    if (isDue(loss.leaveAt)) {
+      loss.leavingStore = world_.core(loss.machine).store();
       world_.leave(loss.machine);
-      loss.leftAt = now;
+      loss.leavingSince = now;
     }
-    if (loss.leftAt && world_.isUp(loss.machine)) endWhenHandedOver(loss, now - *loss.leftAt);
+    if (loss.leavingSince && world_.isUp(loss.machine))
+      endWhenHandedOver(loss, now - *loss.leavingSince);
   }
 
-  void endWhenHandedOver(const Loss& loss, Span served) {
-    const bool needed = world_.core(loss.machine).isHandingOver(world_.localNow(loss.machine));
-    if (served >= kServesAtMost || (served >= kServesAtLeast && !needed))
+  void endWhenHandedOver(const Loss& loss, Span leavingFor) {
+    const bool isHandingOver =
+        world_.core(loss.machine).isHandingOver(world_.localNow(loss.machine));
+    if (leavingFor >= kMaxLeavingSpan || (leavingFor >= kMinLeavingSpan && !isHandingOver))
       world_.crash(loss.machine, false);
   }
 
-  bool isWhole(const ReplicaSet& set) const {
+  bool isComplete(const ReplicaSet& set) const {
     return set.settled && set.members.size() >= world_.replicasWanted();
   }
-  // The next loss may strike as soon as the vote has passed on, and is judged by itself.
+  // Repair of a planned replacement: a complete set exists without the old machine. Members that
+  // another loss makes unreachable do not matter here; that loss is measured by itself.
   bool isHandedOver(const Loss& loss) {
     const ReplicaSet& set = replicas();
-    return isWhole(set) &&
-           std::none_of(set.members.begin(), set.members.end(),
-                        [&](const ReplicaMember& member) { return member.store == loss.leaver; });
+    return isComplete(set) &&
+           std::none_of(set.members.begin(), set.members.end(), [&](const ReplicaMember& member) {
+             return member.store == loss.leavingStore;
+           });
   }
+  // Repair of any other loss: the set is complete and all its members are reachable.
   bool isRepaired() {
     const ReplicaSet& set = replicas();
-    if (!isWhole(set)) return false;
+    if (!isComplete(set)) return false;
     return std::all_of(set.members.begin(), set.members.end(), [&](const ReplicaMember& member) {
       for (std::size_t i = 0; i < world_.size(); ++i) {
-        if (world_.isUp(i) && world_.core(i).store() == member.store) return !isAway(i);
+        if (world_.isUp(i) && world_.core(i).store() == member.store) return !isUnavailable(i);
       }
       return false;
     });
   }
-  // Cut off or frozen now, or told to end.
-  bool isAway(std::size_t machine) const {
+  // Isolated, frozen, or about to leave.
+  bool isUnavailable(std::size_t machine) const {
     return std::any_of(losses_.begin(), losses_.end(), [&](const Loss& loss) {
-      const bool away = loss.healAt || loss.leftAt || loss.leaveAt;
-      return loss.machine == machine && away;
+      const bool unavailable = loss.healAt || loss.leavingSince || loss.leaveAt;
+      return loss.machine == machine && unavailable;
     });
   }
 
   void step() {
-    askChange();
+    submitChange();
     world_.run(kStep);
     for (Loss& loss : losses_) follow(loss);
     const bool repaired = isRepaired();
     for (Loss& loss : losses_) {
-      LossOutcome& seen = result_.seen[loss.row];
-      if (isOpen(loss)) seen.epochs = replicas().epoch.value - loss.epochBefore;
-      if (loss.endsAt)
-        seen.nextLossAllowedAfter = *loss.endsAt - loss.leftAt.value_or(loss.beganAt);
-      const bool isDone = loss.leftAt ? isHandedOver(loss) : repaired;
+      LossOutcome& outcome = result_.outcomes[loss.outcomeIndex];
+      if (isOpen(loss)) outcome.epochs = replicas().epoch.value - loss.epochBefore;
+      if (loss.closesAt)
+        outcome.nextLossAllowedAfter = *loss.closesAt - loss.leavingSince.value_or(loss.beganAt);
+      const bool isDone = loss.leavingSince ? isHandedOver(loss) : repaired;
       if (!isDone || loss.repaired || loss.leaveAt) continue;
       loss.repaired = true;
       if (isOpen(loss) || loss.kind == LossKind::Replaced)
-        seen.repairedAfter = world_.elapsed() - loss.leftAt.value_or(loss.beganAt);
+        outcome.repairedAfter = world_.elapsed() - loss.leavingSince.value_or(loss.beganAt);
     }
   }
   void advance(Span span) {
@@ -256,28 +272,29 @@
     while (world_.elapsed() < until) step();
   }
 
-  // One operator who asks an edge for the next change as soon as the last one was answered.
-  void askChange() {
-    if (asked_ != 0 && !world_.operationById(asked_).done) return;
-    if (asked_ != 0 && world_.operationById(asked_).done->result == ChangeResult::Chosen) {
-      const Span at = world_.operationById(asked_).completedAt->time_since_epoch();
-      result_.longestGap = std::max(result_.longestGap, at - lastAckAt_);
-      lastAckAt_ = at;
+  // One operator, who sends the next change to an edge machine as soon as the last one completed.
+  void submitChange() {
+    if (pendingOperation_ != 0 && !world_.operationById(pendingOperation_).done) return;
+    if (pendingOperation_ != 0 &&
+        world_.operationById(pendingOperation_).done->result == ChangeResult::Chosen) {
+      const Span at = world_.operationById(pendingOperation_).completedAt->time_since_epoch();
+      result_.longestGap = std::max(result_.longestGap, at - lastAcknowledgedAt_);
+      lastAcknowledgedAt_ = at;
       ++result_.acknowledged;
-      newest_ = world_.operationById(asked_).done->value.version;
+      newestVersion_ = world_.operationById(pendingOperation_).done->value.version;
     }
-    const std::size_t machine = edge();
+    const std::size_t machine = randomEdge();
     const auto known = world_.core(machine).freshness().configuration().value.version;
-    asked_ = world_.change(machine, std::max(known, newest_), "body");
+    pendingOperation_ = world_.change(machine, std::max(known, newestVersion_), "body");
   }
 
   void finish() {
-    result_.longestGap = std::max(result_.longestGap, world_.elapsed() - lastAckAt_);
+    result_.longestGap = std::max(result_.longestGap, world_.elapsed() - lastAcknowledgedAt_);
     const std::uint64_t read = world_.read(settings_.diskMachines);
     world_.run(4s);
     const auto& done = world_.operationById(read).done;
     result_.majorityAtEnd = done && done->result == ChangeResult::Chosen;
-    result_.newestChangeKept = result_.majorityAtEnd && done->value.version >= newest_;
+    result_.newestChangeKept = result_.majorityAtEnd && done->value.version >= newestVersion_;
     world_.checkHistory();
     result_.violations = world_.violations();
   }
@@ -286,10 +303,10 @@
   World world_;
   LossesResult result_;
   std::vector<Loss> losses_;
-  std::map<std::size_t, Span> diskSince_;  // of disks emptied or new since the founding
+  std::map<std::size_t, Span> diskSince_;  // by machine, of disks wiped or added since the founding
   std::size_t nextReserve_;
-  std::uint64_t asked_ = 0, newest_ = 0;
-  Span lastAckAt_{};
+  std::uint64_t pendingOperation_ = 0, newestVersion_ = 0;
+  Span lastAcknowledgedAt_{};
 };
 }  // namespace
 
--- a/tests/losses_tests.cpp
+++ b/tests/losses_tests.cpp
@@ -39,16 +39,17 @@
     CHECK(Seconds(result.longestGap).count() < Seconds(longestGap).count());
     gap = std::max(gap, result.longestGap);
     for (const auto& violation : result.violations) FAIL_CHECK(violation.what);
-    for (const LossOutcome& seen : result.seen) {
-      Sum& sum = sums[seen.kind];
+    for (const LossOutcome& outcome : result.outcomes) {
+      Sum& sum = sums[outcome.kind];
       ++sum.losses;
-      sum.epochs += seen.epochs;
-      if (!seen.repairedAfter) {
+      sum.epochs += outcome.epochs;
+      if (!outcome.repairedAfter) {
         ++sum.unrepaired;
         continue;
       }
-      sum.slowest = std::max(sum.slowest, *seen.repairedAfter);
-      sum.leastMargin = std::min(sum.leastMargin, seen.nextLossAllowedAfter - *seen.repairedAfter);
+      sum.slowest = std::max(sum.slowest, *outcome.repairedAfter);
+      sum.leastMargin =
+          std::min(sum.leastMargin, outcome.nextLossAllowedAfter - *outcome.repairedAfter);
     }
   }
   if (!std::getenv("QUAYRILL_SEEDS")) return sums;
