--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kUpdateTimeout = 3500ms;  // as the daemons give an order
+constexpr Span kUpdateTimeout = 3500ms;  // the same as in the daemons
 constexpr Span kStep = 5ms;
 
 bool isAcknowledged(UpdateResult result) {
@@ -31,35 +31,35 @@
 
 SimulatedBody decodeSimulatedBody(const std::string& text) {
   SimulatedBody body;
-  std::istringstream read(text.substr(0, text.find('\n')));
+  std::istringstream input(text.substr(0, text.find('\n')));
   std::size_t count = 0;
-  read >> body.number >> body.forgotten >> count;
+  input >> body.number >> body.forgotten >> count;
   for (std::size_t i = 0; i < count; ++i) {
     TakenChange change;
-    read >> change.number >> change.digest;
+    input >> change.number >> change.digest;
     body.taken.push_back(std::move(change));
   }
   return body;
 }
 
-Update updateFor(const SentChange& submission, std::size_t padding, bool forgetsTaken) {
-  return [submission, padding,
-          forgetsTaken](const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    SimulatedBody body = decodeSimulatedBody(standing);
+Update updateFor(const SentChange& change, std::size_t padding, bool forgetsTaken) {
+  return [change, padding, forgetsTaken](
+             const std::string& presentBody) -> absl::StatusOr<std::optional<std::string>> {
+    SimulatedBody body = decodeSimulatedBody(presentBody);
     if (forgetsTaken) body.taken.clear();
-    switch (standingOf(submission, body.taken, body.forgotten, body.number)) {
+    switch (standingOf(change, body.taken, body.forgotten, body.number)) {
       case ChangeStanding::Taken:
         return std::nullopt;
       case ChangeStanding::Stale:
-        return absl::FailedPreconditionError("another version stands");
+        return absl::FailedPreconditionError("the register holds another version");
       case ChangeStanding::Forgotten:
-        return absl::UnknownError("it may have been taken long ago");
+        return absl::UnknownError("the change may have been taken before its record was dropped");
       case ChangeStanding::New:
         break;
     }
     body.forgotten =
-        std::max(body.forgotten, addTaken(&body.taken, {submission.number, submission.digest}));
-    body.number = submission.number;
+        std::max(body.forgotten, addTaken(&body.taken, {change.number, change.digest}));
+    body.number = change.number;
     body.padding = padding;
     return encodeSimulatedBody(body);
   };
@@ -83,16 +83,16 @@
 
 void Operators::advance(Call& call) {
   if (call.pending) {
-    const auto& done = world_.operationById(*call.pending).done;
-    if (!done) return;
+    const auto& result = world_.operationById(*call.pending).done;
+    if (!result) return;
     call.pending.reset();
-    call.updateOperation.onAnswer(*done);
+    call.updateOperation.onAnswer(*result);
   }
-  const auto asked = call.updateOperation.next(world_.localNow(call.machine));
-  if (!asked) return recordAnswer(call);
-  const std::uint64_t id = asked->isRead
-                               ? world_.read(call.machine)
-                               : world_.change(call.machine, asked->expectedVersion, asked->body);
+  const auto request = call.updateOperation.next(world_.localNow(call.machine));
+  if (!request) return recordAnswer(call);
+  const std::uint64_t id =
+      request->isRead ? world_.read(call.machine)
+                      : world_.change(call.machine, request->expectedVersion, request->body);
   if (id != 0) call.pending = id;
 }
 
@@ -111,34 +111,34 @@
 bool Operators::isIdle() const { return calls_.empty(); }
 
 void Operators::run(Span span) {
-  for (Span past{}; past < span; past += kStep) {
+  for (Span elapsed{}; elapsed < span; elapsed += kStep) {
     for (const auto& call : calls_) {
-      // What was asked of a daemon that ended is never answered.
+      // A call to a daemon that is down is never answered.
       if (world_.isUp(call->machine)) advance(*call);
     }
     std::erase_if(calls_, [&](const auto& call) {
-      const bool isOver =
+      const bool isOverdue =
           world_.isUp(call->machine) &&
           world_.localNow(call->machine) > call->updateOperation.due() + kUpdateTimeout;
-      return call->updateOperation.done() || isOver || !world_.isUp(call->machine);
+      return call->updateOperation.done() || isOverdue || !world_.isUp(call->machine);
     });
     world_.run(kStep);
   }
 }
 
-std::vector<std::string> Operators::violations(const std::string& standing) const {
+std::vector<std::string> Operators::violations(const std::string& presentBody) const {
   std::vector<std::string> violations;
-  std::map<std::uint64_t, std::size_t> confirmedOn;
+  std::map<std::uint64_t, std::size_t> confirmedByBasis;
   for (std::size_t i = 0; i < submissions_.size(); ++i) {
     const Submission& submission = submissions_[i];
     const std::string name = "order " + std::to_string(i);
     if (submission.confirmed && submission.refused)
       violations.push_back(name + " was confirmed and refused");
     if (!submission.confirmed) continue;
-    if (!confirmedOn.try_emplace(submission.change.basis, i).second)
+    if (!confirmedByBasis.try_emplace(submission.change.basis, i).second)
       violations.push_back(name + " was confirmed on the basis of another one that was");
   }
-  const SimulatedBody body = decodeSimulatedBody(standing);
+  const SimulatedBody body = decodeSimulatedBody(presentBody);
   if (body.number < newestConfirmed_)
     violations.push_back("what stands is older than what was confirmed");
   for (const TakenChange& taken : body.taken) {
