--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -21,8 +21,8 @@
 
 struct NamedScenario {
   std::string_view name;
-  std::string_view what;
-  NamedScenarioResult (*run)(std::uint64_t seed, bool plant);
+  std::string_view description;
+  NamedScenarioResult (*run)(std::uint64_t seed, bool injectDefect);
 };
 const std::vector<NamedScenario>& namedScenarios();
 
@@ -30,12 +30,12 @@
 
 // A control machine is cut off for 20 s while changes go on elsewhere and an operator asks it.
 // Planted: it vouches for its configuration without asking.
-NamedScenarioResult runCutOff(std::uint64_t seed, bool plant);
+NamedScenarioResult runCutOff(std::uint64_t seed, bool injectDefect);
 // Two operators pick one number each time, 7 of 10 answers are lost, and all is sent again.
 // Planted: a resend is judged as a new order.
-NamedScenarioResult runRacingOperators(std::uint64_t seed, bool plant);
+NamedScenarioResult runRacingOperators(std::uint64_t seed, bool injectDefect);
 // 600 changes while replicas restart, lose power, are emptied, slow, stalled and failing.
 // Planted: an emptied disk comes back under its old identity.
-NamedScenarioResult runManyChanges(std::uint64_t seed, bool plant);
+NamedScenarioResult runManyChanges(std::uint64_t seed, bool injectDefect);
 
 }  // namespace quayrill::sim
