--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -83,19 +83,19 @@
     total.refused += result.refused;
     total.unclear += result.unclear;
     total.resends += result.resends;
-    total.faultsInjected += result.faultsInjected;
+    total.injectedFaults += result.injectedFaults;
     total.slowestCatchUp = std::max(total.slowestCatchUp, result.slowestCatchUp);
-    total.slowestRejoin = std::max(total.slowestRejoin, result.slowestRejoin);
+    total.slowestVotingRestore = std::max(total.slowestVotingRestore, result.slowestVotingRestore);
     violations += result.violations.empty() ? 0 : 1;
     for (const std::string& what : result.violations)
       std::cout << "seed " << seed << ": " << what << "\n";
   }
-  std::cout << scenario.name << ": seeds " << count << " troubles " << total.faultsInjected
+  std::cout << scenario.name << ": seeds " << count << " troubles " << total.injectedFaults
             << "; orders confirmed " << total.confirmed << " refused " << total.refused
             << " unclear " << total.unclear << " resent " << total.resends
             << "; slowest to catch up ms " << Millis(total.slowestCatchUp).count()
-            << ", to vote again ms " << Millis(total.slowestRejoin).count() << "; seeds broken "
-            << violations << "\n";
+            << ", to vote again ms " << Millis(total.slowestVotingRestore).count()
+            << "; seeds broken " << violations << "\n";
   return violations;
 }
 }  // namespace
--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -14,9 +14,9 @@
   std::vector<std::string> violations;
   std::size_t confirmed = 0, refused = 0, unclear = 0;  // orders, by their last clear answer
   std::size_t resends = 0;
-  std::size_t faultsInjected = 0;  // troubles that were brought about
+  std::size_t injectedFaults = 0;  // troubles that were brought about
   Span slowestCatchUp{};           // from the end of a trouble until the newest is confirmed there
-  Span slowestRejoin{};            // until its replica is a writable member of a settled set
+  Span slowestVotingRestore{};     // until its replica is a writable member of a settled set
 };
 
 struct NamedScenario {
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -103,7 +103,7 @@
   for (const Cut kind : {Cut::BothWays, Cut::Inward, Cut::Outward, Cut::FromReplicas}) {
     const std::size_t machine = world.random()() % world.diskMachines();
     const std::size_t elsewhere = (machine + 2) % world.diskMachines();
-    ++result.faultsInjected;
+    ++result.injectedFaults;
     cutOff(world, machine, kind);
     std::vector<std::size_t> there;  // orders that were sent to the machine cut off
     for (Span past{}; past < kCutSpan; past += 500ms) {
@@ -184,7 +184,7 @@
     // An order of long ago comes again.
     operators.send(all[world.random()() % all.size()], anyMachine(), isLost());
     ++result.resends;
-    ++result.faultsInjected;
+    ++result.injectedFaults;
   }
   operators.run(10s);
   world.healAll();
--- a/src/sim/scenarios_replicas.cpp
+++ b/src/sim/scenarios_replicas.cpp
@@ -86,7 +86,7 @@
       continue;
     }
     const auto kinds = static_cast<std::size_t>(Trouble::Count);
-    const auto trouble = static_cast<Trouble>(result.faultsInjected++ % kinds);
+    const auto trouble = static_cast<Trouble>(result.injectedFaults++ % kinds);
     machine = (machine + 1) % world.diskMachines();
     begin(world, machine, trouble);
     const Span until = world.elapsed() + kTroubleSpan;
@@ -109,7 +109,7 @@
       result.violations.push_back("a replica never came back after trouble " +
                                   std::to_string(static_cast<int>(trouble)));
     result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
-    result.slowestRejoin = std::max(result.slowestRejoin, voting);
+    result.slowestVotingRestore = std::max(result.slowestVotingRestore, voting);
   }
   world.run(4s);
   const std::uint64_t id = world.read(0);
--- a/tests/scenario_tests.cpp
+++ b/tests/scenario_tests.cpp
@@ -12,7 +12,7 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     INFO("seed " << seed);
     const NamedScenarioResult result = run(seed, false);
-    CHECK(result.faultsInjected > 0);
+    CHECK(result.injectedFaults > 0);
     CHECK(result.confirmed > 0);
     for (const std::string& what : result.violations) FAIL_CHECK(what);
   }
