--- a/src/sim/scenarios.h
+++ b/src/sim/scenarios.h
@@ -1,6 +1,6 @@
 #pragma once
-// Named scenarios: each brings about one kind of trouble on the control side, by seed, and checks
-// what was promised about it.
+// Named scenarios. Each injects one kind of control-plane fault, varied by a seed, and checks the
+// guarantees that must hold under it.
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -10,15 +10,21 @@
 
 namespace quayrill::sim {
 
+// The outcome of one scenario under one seed.
 struct NamedScenarioResult {
   std::vector<std::string> violations;
-  std::size_t confirmed = 0, refused = 0, unclear = 0;  // orders, by their last clear answer
+  // Submitted changes by outcome; unclear: neither confirmed nor refused for good.
+  std::size_t confirmed = 0, refused = 0, unclear = 0;
   std::size_t resends = 0;
-  std::size_t injectedFaults = 0;  // troubles that were brought about
-  Span slowestCatchUp{};           // from the end of a trouble until the newest is confirmed there
-  Span slowestVotingRestore{};     // until its replica is a writable member of a settled set
+  std::size_t injectedFaults = 0;
+  // The longest time from the end of a fault until the affected machine has confirmed the newest
+  // configuration, and until its replica is a writable member of a settled set.
+  Span slowestCatchUp{};
+  Span slowestVotingRestore{};
 };
 
+// A scenario that quayrill-sim can run by name. With `injectDefect`, it runs with a known defect
+// that its checks must detect.
 struct NamedScenario {
   std::string_view name;
   std::string_view description;
@@ -26,16 +32,14 @@
 };
 const std::vector<NamedScenario>& namedScenarios();
 
-// `plant` brings in a error that the scenario must find.
-
-// A control machine is cut off for 20 s while changes go on elsewhere and an operator asks it.
-// Planted: it vouches for its configuration without asking.
+// A machine with a disk is isolated for 20 s while changes continue elsewhere and an operator
+// submits changes to it. Defect: it confirms its configuration without asking any replica.
 NamedScenarioResult runCutOff(std::uint64_t seed, bool injectDefect);
-// Two operators pick one number each time, 7 of 10 answers are lost, and all is sent again.
-// Planted: a resend is judged as a new order.
+// Two operators submit changes under the same number, 7 of 10 answers are lost, and every change is
+// sent again. Defect: a resent change is treated as a new one.
 NamedScenarioResult runRacingOperators(std::uint64_t seed, bool injectDefect);
-// 600 changes while replicas restart, lose power, are emptied, slow, stalled and failing.
-// Planted: an emptied disk comes back under its old identity.
+// 600 changes while replicas restart, lose power, have their disks wiped, or have slow, stalled or
+// failing disks. Defect: a wiped disk keeps its old store id.
 NamedScenarioResult runManyChanges(std::uint64_t seed, bool injectDefect);
 
 }  // namespace quayrill::sim
--- a/src/sim/scenarios_operators.cpp
+++ b/src/sim/scenarios_operators.cpp
@@ -1,4 +1,4 @@
-// Scenarios about orders: a control machine that is cut off, and operators that race.
+// Scenarios about the operators' changes: an isolated machine, and competing operators.
 #include <algorithm>
 
 #include "sim/operators.h"
@@ -11,12 +11,12 @@
 
 namespace {
 constexpr Span kFoundingLimit = 60s;
-constexpr Span kCutSpan = 20s;
-constexpr Span kServedWithin = 2s;  // a proxy's limit on an unconfirmed configuration
+constexpr Span kIsolationSpan = 20s;
+constexpr Span kConfirmationMaxAge = 2s;  // a proxy serves by no older confirmation
 constexpr Span kCatchUpLimit = 5s;
-constexpr double kAnswersLost = 0.7;
+constexpr double kAnswerLossRate = 0.7;
 
-WorldSettings smallCore(std::uint64_t seed) {
+WorldSettings smallFleet(std::uint64_t seed) {
   WorldSettings settings;
   settings.seed = seed;
   settings.diskMachines = 4;
@@ -26,38 +26,40 @@
   return settings;
 }
 
-enum class Cut { BothWays, Inward, Outward, FromReplicas };
+// Which messages of the isolated machine are blocked.
+enum class Isolation { BothDirections, Inbound, Outbound, FromReplicas };
 
-void cutOff(World& world, std::size_t machine, Cut kind) {
+void isolate(World& world, std::size_t machine, Isolation kind) {
   for (std::size_t other = 0; other < world.size(); ++other) {
     if (other == machine) continue;
-    if (kind == Cut::FromReplicas && other >= world.diskMachines()) continue;
-    if (kind != Cut::Outward) world.setLinkBlocked(other, machine, true);
-    if (kind != Cut::Inward) world.setLinkBlocked(machine, other, true);
+    if (kind == Isolation::FromReplicas && other >= world.diskMachines()) continue;
+    if (kind != Isolation::Outbound) world.setLinkBlocked(other, machine, true);
+    if (kind != Isolation::Inbound) world.setLinkBlocked(machine, other, true);
   }
 }
 
-// Versions of the register as they were acknowledged, to judge what a machine serves.
-struct Served {
-  std::vector<std::pair<Span, std::uint64_t>> acknowledged;
-  void note(Span at, std::uint64_t number) {
+// When each configuration number was acknowledged: the bound for what a machine may still serve.
+struct AcknowledgedNumbers {
+  std::vector<std::pair<Span, std::uint64_t>> acknowledged;  // (time, number), both rising
+  void add(Span at, std::uint64_t number) {
     if (acknowledged.empty() || number > acknowledged.back().second)
       acknowledged.emplace_back(at, number);
   }
   std::uint64_t newestBefore(Span at) const {
     std::uint64_t newest = 0;
-    for (const auto& [when, number] : acknowledged) {
-      if (when < at) newest = number;
+    for (const auto& [acknowledgedAt, number] : acknowledged) {
+      if (acknowledgedAt < at) newest = number;
     }
     return newest;
   }
 };
 
+// The number of the configuration that the machine has.
 std::uint64_t numberAt(World& world, std::size_t machine) {
   return decodeSimulatedBody(world.core(machine).freshness().configuration().value.body).number;
 }
 
-void note(const Operators& operators, NamedScenarioResult* result) {
+void countOutcomes(const Operators& operators, NamedScenarioResult* result) {
   for (const Submission& submission : operators.submissions()) {
     if (submission.confirmed)
       ++result->confirmed;
@@ -68,10 +70,10 @@
   }
 }
 
-// A settled read through any machine.
-std::string standing(World& world, std::vector<std::string>* violations) {
-  for (int tries = 0; tries < 20; ++tries) {
-    const std::uint64_t id = world.read(static_cast<std::size_t>(tries) % world.size());
+// The register's present body, read through any machine.
+std::string readPresentBody(World& world, std::vector<std::string>* violations) {
+  for (int attempt = 0; attempt < 20; ++attempt) {
+    const std::uint64_t id = world.read(static_cast<std::size_t>(attempt) % world.size());
     world.run(3500ms);
     if (id == 0) continue;
     const auto& done = world.operationById(id).done;
@@ -82,63 +84,66 @@
 }
 
 void finish(World& world, const Operators& operators, NamedScenarioResult* result) {
-  const std::string body = standing(world, &result->violations);
+  const std::string body = readPresentBody(world, &result->violations);
   for (std::string& what : operators.violations(body))
     result->violations.push_back(std::move(what));
   world.checkHistory();
   for (const Violation& violation : world.violations())
     result->violations.push_back(violation.what);
-  note(operators, result);
+  countOutcomes(operators, result);
 }
 }  // namespace
 
-NamedScenarioResult runCutOff(std::uint64_t seed, bool plant) {
+NamedScenarioResult runCutOff(std::uint64_t seed, bool injectDefect) {
   NamedScenarioResult result;
-  WorldSettings settings = smallCore(seed);
-  settings.injectStaleConfirm = plant;
+  WorldSettings settings = smallFleet(seed);
+  settings.injectStaleConfirm = injectDefect;
   World world(settings);
   if (!runUntilFounded(world, kFoundingLimit)) result.violations.push_back("not founded");
   Operators operators(world);
-  Served served;
-  for (const Cut kind : {Cut::BothWays, Cut::Inward, Cut::Outward, Cut::FromReplicas}) {
+  AcknowledgedNumbers acknowledgedNumbers;
+  for (const Isolation kind : {Isolation::BothDirections, Isolation::Inbound, Isolation::Outbound,
+                               Isolation::FromReplicas}) {
     const std::size_t machine = world.random()() % world.diskMachines();
     const std::size_t elsewhere = (machine + 2) % world.diskMachines();
     ++result.injectedFaults;
-    cutOff(world, machine, kind);
-    std::vector<std::size_t> there;  // orders that were sent to the machine cut off
-    for (Span past{}; past < kCutSpan; past += 500ms) {
+    isolate(world, machine, kind);
+    std::vector<std::size_t> sentToIsolated;
+    for (Span isolatedFor{}; isolatedFor < kIsolationSpan; isolatedFor += 500ms) {
       const std::uint64_t basis = operators.newestConfirmed();
       operators.send(operators.create(basis, basis + 1 + world.random()() % 3), elsewhere, false);
-      if (past % 2s == Span{}) {
-        there.push_back(operators.create(basis, basis + 1 + world.random()() % 3));
-        operators.send(there.back(), machine, false);
+      if (isolatedFor % 2s == Span{}) {
+        sentToIsolated.push_back(operators.create(basis, basis + 1 + world.random()() % 3));
+        operators.send(sentToIsolated.back(), machine, false);
       }
       for (int step = 0; step < 10; ++step) {
         operators.run(50ms);
-        served.note(world.elapsed(), operators.newestConfirmed());
-        if (!world.isConfirmed(machine, kServedWithin)) continue;
-        if (numberAt(world, machine) < served.newestBefore(world.elapsed() - kServedWithin))
+        acknowledgedNumbers.add(world.elapsed(), operators.newestConfirmed());
+        if (!world.isConfirmed(machine, kConfirmationMaxAge)) continue;
+        if (numberAt(world, machine) <
+            acknowledgedNumbers.newestBefore(world.elapsed() - kConfirmationMaxAge))
           result.violations.push_back("the machine cut off serves a configuration past the bound");
       }
     }
     operators.run(8s);
-    for (const std::size_t submission : there) {
-      const Submission& asked = operators.submission(submission);
-      // What it was asked just as it was cut off may have been settled.
-      if (submission == there.front()) continue;
-      if (asked.confirmed) result.violations.push_back("a machine cut off confirmed an order");
-      if (asked.refused) result.violations.push_back("a machine cut off refused an order for good");
+    for (const std::size_t submission : sentToIsolated) {
+      const Submission& submitted = operators.submission(submission);
+      // The first change was sent as the isolation began and may have completed.
+      if (submission == sentToIsolated.front()) continue;
+      if (submitted.confirmed) result.violations.push_back("a machine cut off confirmed an order");
+      if (submitted.refused)
+        result.violations.push_back("a machine cut off refused an order for good");
     }
     world.healAll();
-    const Span healed = world.elapsed();
+    const Span healedAt = world.elapsed();
     const auto isCaughtUp = [&] {
       return world.isConfirmed(machine, 500ms) &&
              numberAt(world, machine) >= operators.newestConfirmed();
     };
-    while (!isCaughtUp() && world.elapsed() - healed < 60s) world.run(50ms);
-    result.slowestCatchUp = std::max(result.slowestCatchUp, world.elapsed() - healed);
-    // What had no clear answer there is sent again elsewhere and gets one.
-    for (const std::size_t submission : there) {
+    while (!isCaughtUp() && world.elapsed() - healedAt < 60s) world.run(50ms);
+    result.slowestCatchUp = std::max(result.slowestCatchUp, world.elapsed() - healedAt);
+    // A change without a definite answer is sent again to another machine and must get one.
+    for (const std::size_t submission : sentToIsolated) {
       if (operators.submission(submission).isAnswered) continue;
       operators.send(submission, elsewhere, false);
       ++result.resends;
@@ -153,43 +158,43 @@
   return result;
 }
 
-NamedScenarioResult runRacingOperators(std::uint64_t seed, bool plant) {
+NamedScenarioResult runRacingOperators(std::uint64_t seed, bool injectDefect) {
   NamedScenarioResult result;
-  WorldSettings settings = smallCore(seed);
+  WorldSettings settings = smallFleet(seed);
   settings.messageLossRate = 0.05;
   settings.messageDuplicationRate = 0.05;
   World world(settings);
   if (!runUntilFounded(world, kFoundingLimit)) result.violations.push_back("not founded");
   Operators operators(world);
-  const auto isLost = [&] {
-    return std::uniform_real_distribution<>(0, 1)(world.random()) < kAnswersLost;
+  const auto isAnswerLost = [&] {
+    return std::uniform_real_distribution<>(0, 1)(world.random()) < kAnswerLossRate;
   };
-  const auto anyMachine = [&] { return world.random()() % world.size(); };
-  operators.injectForgetting(plant);
-  std::vector<std::size_t> all;
+  const auto randomMachine = [&] { return world.random()() % world.size(); };
+  operators.injectForgetting(injectDefect);
+  std::vector<std::size_t> sent;
   for (int round = 0; round < 40; ++round) {
     const std::uint64_t basis = operators.newestConfirmed();
     const std::uint64_t number = basis + 1 + world.random()() % 3;
     const std::size_t pair[] = {operators.create(basis, number), operators.create(basis, number)};
-    for (int tries = 0; tries < 6; ++tries) {
+    for (int attempt = 0; attempt < 6; ++attempt) {
       for (const std::size_t submission : pair) {
-        all.push_back(submission);
+        sent.push_back(submission);
         if (operators.submission(submission).isAnswered) continue;
-        operators.send(submission, anyMachine(), isLost());
-        if (world.random()() % 4 == 0) operators.send(submission, anyMachine(), isLost());
-        result.resends += tries > 0;
+        operators.send(submission, randomMachine(), isAnswerLost());
+        if (world.random()() % 4 == 0) operators.send(submission, randomMachine(), isAnswerLost());
+        result.resends += attempt > 0;
       }
       operators.run(std::chrono::milliseconds(5 * (1 + world.random()() % 200)));
     }
-    // An order of long ago comes again.
-    operators.send(all[world.random()() % all.size()], anyMachine(), isLost());
+    // Any earlier change is sent again.
+    operators.send(sent[world.random()() % sent.size()], randomMachine(), isAnswerLost());
     ++result.resends;
     ++result.injectedFaults;
   }
   operators.run(10s);
   world.healAll();
   for (std::size_t submission = 0; submission < operators.submissions().size(); ++submission) {
-    operators.send(submission, anyMachine(), false);
+    operators.send(submission, randomMachine(), false);
     if (submission % 8 == 7) operators.run(4s);
     ++result.resends;
   }
--- a/src/sim/scenarios_replicas.cpp
+++ b/src/sim/scenarios_replicas.cpp
@@ -1,4 +1,5 @@
-// Scenarios about copies: hundreds of changes while each of them restarts and its disk fails.
+// The scenario about register replicas: hundreds of changes while replicas restart and their disks
+// fail. Also the table of all named scenarios.
 #include <algorithm>
 
 #include "sim/operators.h"
@@ -11,35 +12,36 @@
 
 namespace {
 constexpr std::size_t kChanges = 600;
-constexpr std::size_t kChangesBetween = 30;  // from one trouble to the next
+constexpr std::size_t kChangesPerFault = 30;
 constexpr std::size_t kBodyBytes = 16 << 10;
-constexpr Span kTroubleSpan = 6s;
-constexpr Span kBackLimit = 30s;
+constexpr Span kFaultSpan = 6s;
+constexpr Span kRecoveryLimit = 30s;
 
-enum class Trouble { Kill, PowerLoss, Emptied, Slow, Stalled, Failing, Count };
+// What happens to a machine and its disk.
+enum class ReplicaFault { Kill, PowerLoss, DiskWiped, DiskSlow, DiskStalled, DiskFailing, Count };
 
-void begin(World& world, std::size_t machine, Trouble trouble) {
-  switch (trouble) {
-    case Trouble::Kill:
+void inject(World& world, std::size_t machine, ReplicaFault fault) {
+  switch (fault) {
+    case ReplicaFault::Kill:
       return world.crash(machine, false);
-    case Trouble::PowerLoss:
+    case ReplicaFault::PowerLoss:
       return world.crash(machine, true);
-    case Trouble::Emptied:
+    case ReplicaFault::DiskWiped:
       world.crash(machine, true);
       return world.wipeDisk(machine);
-    case Trouble::Slow:
+    case ReplicaFault::DiskSlow:
       return world.setDiskDelay(machine, 400ms);
-    case Trouble::Stalled:
-      return world.setDiskDelay(machine, kTroubleSpan);
-    case Trouble::Failing:
+    case ReplicaFault::DiskStalled:
+      return world.setDiskDelay(machine, kFaultSpan);
+    case ReplicaFault::DiskFailing:
       return world.setDiskFailing(machine, true);
-    case Trouble::Count:
+    case ReplicaFault::Count:
       return;
   }
 }
 
-// The replica of the machine votes: it may write, and a settled set names its store.
-bool votes(World& world, std::size_t machine) {
+// True if the machine's replica votes: it is writable, and its store is in a settled replica set.
+bool isVotingMember(World& world, std::size_t machine) {
   if (!world.isUp(machine) || !world.core(machine).isWritable()) return false;
   const ReplicaSet& replicas = world.core(machine).freshness().replicas();
   const StoreId store = world.core(machine).store();
@@ -48,14 +50,15 @@
                      [&](const ReplicaMember& member) { return member.store == store; });
 }
 
-// Makes one change on top of the newest, through any machine that is up, until it is confirmed.
-bool makeChange(World& world, Operators* operators, NamedScenarioResult* result) {
+// Submits one change on top of the newest, through random machines, until it gets a definite
+// answer. Returns whether it was confirmed.
+bool submitChange(World& world, Operators* operators, NamedScenarioResult* result) {
   const std::uint64_t basis = operators->newestConfirmed();
   const std::size_t submission = operators->create(basis, basis + 1);
-  for (int tries = 0; tries < 60; ++tries) {
+  for (int attempt = 0; attempt < 60; ++attempt) {
     const std::size_t machine = world.random()() % world.size();
     operators->send(submission, machine, false);
-    result->resends += tries > 0;
+    result->resends += attempt > 0;
     for (int step = 0; step < 100 && !operators->submission(submission).isAnswered; ++step) {
       operators->run(10ms);
       if (operators->isIdle()) break;
@@ -67,49 +70,51 @@
 }
 }  // namespace
 
-NamedScenarioResult runManyChanges(std::uint64_t seed, bool plant) {
+NamedScenarioResult runManyChanges(std::uint64_t seed, bool injectDefect) {
   NamedScenarioResult result;
   WorldSettings settings;
   settings.seed = seed;
   settings.diskMachines = 3;
   settings.edgeMachines = 2;
-  settings.injectReusedStore = plant;
+  settings.injectReusedStore = injectDefect;
   World world(settings);
   if (!runUntilFounded(world, 60s)) result.violations.push_back("not founded");
   Operators operators(world);
   operators.setPadding(kBodyBytes);
   std::size_t machine = 0;
   for (std::size_t change = 0; change < kChanges; ++change) {
-    const bool isTrouble = change % kChangesBetween == kChangesBetween - 1;
-    if (!isTrouble) {
-      if (!makeChange(world, &operators, &result)) result.violations.push_back("a change failed");
+    const bool startsFault = change % kChangesPerFault == kChangesPerFault - 1;
+    if (!startsFault) {
+      if (!submitChange(world, &operators, &result)) result.violations.push_back("a change failed");
       continue;
     }
-    const auto kinds = static_cast<std::size_t>(Trouble::Count);
-    const auto trouble = static_cast<Trouble>(result.injectedFaults++ % kinds);
+    const auto kinds = static_cast<std::size_t>(ReplicaFault::Count);
+    const auto fault = static_cast<ReplicaFault>(result.injectedFaults++ % kinds);
     machine = (machine + 1) % world.diskMachines();
-    begin(world, machine, trouble);
-    const Span until = world.elapsed() + kTroubleSpan;
+    inject(world, machine, fault);
+    const Span until = world.elapsed() + kFaultSpan;
     while (world.elapsed() < until) {
-      if (!makeChange(world, &operators, &result)) result.violations.push_back("a change failed");
+      if (!submitChange(world, &operators, &result)) result.violations.push_back("a change failed");
     }
-    const Span ended = world.elapsed();
+    const Span healedAt = world.elapsed();
     world.healAll();
-    Span caughtUp{}, voting{};
-    while (world.elapsed() - ended < kBackLimit && (caughtUp == Span{} || voting == Span{})) {
+    Span caughtUpAfter{}, votingAfter{};
+    while (world.elapsed() - healedAt < kRecoveryLimit &&
+           (caughtUpAfter == Span{} || votingAfter == Span{})) {
       world.run(20ms);
-      const Span past = world.elapsed() - ended;
+      const Span sinceHeal = world.elapsed() - healedAt;
       const std::uint64_t number =
           decodeSimulatedBody(world.core(machine).freshness().configuration().value.body).number;
       const bool isNewest = number >= operators.newestConfirmed();
-      if (caughtUp == Span{} && isNewest && world.isConfirmed(machine, 500ms)) caughtUp = past;
-      if (voting == Span{} && votes(world, machine)) voting = past;
+      if (caughtUpAfter == Span{} && isNewest && world.isConfirmed(machine, 500ms))
+        caughtUpAfter = sinceHeal;
+      if (votingAfter == Span{} && isVotingMember(world, machine)) votingAfter = sinceHeal;
     }
-    if (caughtUp == Span{} || voting == Span{})
+    if (caughtUpAfter == Span{} || votingAfter == Span{})
       result.violations.push_back("a replica never came back after trouble " +
-                                  std::to_string(static_cast<int>(trouble)));
-    result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
-    result.slowestVotingRestore = std::max(result.slowestVotingRestore, voting);
+                                  std::to_string(static_cast<int>(fault)));
+    result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUpAfter);
+    result.slowestVotingRestore = std::max(result.slowestVotingRestore, votingAfter);
   }
   world.run(4s);
   const std::uint64_t id = world.read(0);
