--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -145,11 +145,12 @@
       total.unknown += result.counters.unknown;
       total.leaseObservations += result.counters.leaseObservations;
       if (count == 1)
-        std::cout
-            << "seed " << seed << " trace " << std::hex << result.traceHash << std::dec
-            << " messages " << result.counters.messages << " converged after "
-            << std::chrono::duration_cast<std::chrono::milliseconds>(result.convergedAfter).count()
-            << " ms\n";
+        std::cout << "seed " << seed << " trace " << std::hex << result.traceHash << std::dec
+                  << " messages " << result.counters.messages << " converged after "
+                  << std::chrono::duration_cast<std::chrono::milliseconds>(
+                         result.reconvergedAfterHeal)
+                         .count()
+                  << " ms\n";
       if (result.violations.empty() && result.converged) continue;
       ++violations;
       std::cout << "seed " << seed << ": " << result.violations.size() << " broken"
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -110,7 +110,7 @@
     world.run(250ms);
     result.converged = world.isConverged();
   }
-  result.convergedAfter = world.elapsed() - healedAt;
+  result.reconvergedAfterHeal = world.elapsed() - healedAt;
   world.read(0);
   world.run(4s);
   world.checkHistory();
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -8,7 +8,7 @@
   std::uint64_t traceHash = 0;
   RunCounters counters;
   bool converged = false;
-  Span convergedAfter{};  // from the last heal
+  Span reconvergedAfterHeal{};  // from the last heal
 };
 
 // Founds a fleet, then lets operators race while faults of every kind come and go by seed, heals
