--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -24,7 +24,8 @@
 // Zones 0 to (zones + 1) / 2 - 1 are the first region, which has the majority of the replicas.
 struct RegionPartition {
   Span minorityClosedAfter{};  // the smaller side confirms no configuration any more
-  std::size_t chosenByMajority = 0, chosenByMinority = 0, asked = 0;  // asked: on each side
+  std::size_t chosenByMajority = 0, chosenByMinority = 0,
+              changesPerSide = 0;  // asked: on each side
   bool minorityStayedClosed = true;
   Span reconvergedAfter{};  // all know all and confirm the newest configuration, from the heal on
 };
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -103,15 +103,15 @@
            world.operationById(id).done->result == ChangeResult::Chosen;
   };
   while (world.elapsed() < until) {
-    ++regionPartition.asked;
+    ++regionPartition.changesPerSide;
     const auto versionAt = [&](std::size_t i) {
       return world.core(i).freshness().configuration().value.version;
     };
     const std::size_t inLarger = *larger.rbegin(), inSmaller = smaller.back();
-    const auto asked = world.change(inLarger, versionAt(inLarger), "larger");
+    const auto changesPerSide = world.change(inLarger, versionAt(inLarger), "larger");
     const auto askedToo = world.change(inSmaller, versionAt(inSmaller), "smaller");
     world.run(std::min<Span>(45s, until - world.elapsed() + 5s));
-    regionPartition.chosenByMajority += countChosen(asked);
+    regionPartition.chosenByMajority += countChosen(changesPerSide);
     regionPartition.chosenByMinority += countChosen(askedToo);
     regionPartition.minorityStayedClosed =
         regionPartition.minorityStayedClosed && !smallerConfirms();
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -384,7 +384,7 @@
   REQUIRE(result.founded);
   CHECK(result.regionPartition.minorityClosedAfter < 3s);
   CHECK(result.regionPartition.minorityStayedClosed);
-  CHECK(result.regionPartition.chosenByMajority == result.regionPartition.asked);
+  CHECK(result.regionPartition.chosenByMajority == result.regionPartition.changesPerSide);
   CHECK(result.regionPartition.chosenByMinority == 0);
   CHECK(result.regionPartition.reconvergedAfter < 20s);
   CHECK(result.zoneLossDetectedAfter < 20s);
