--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -17,9 +17,9 @@
 
 struct SteadySettings {
   Span span = std::chrono::seconds(60);
-  std::size_t bodyBytes = 6;  // of the configuration that the changes bring
-  std::size_t roles = 0;      // with a lease of its own each, as servers have
-  Span part{};                // two regions lose each other for so long; 0: they don't
+  std::size_t bodyBytes = 6;    // of the configuration that the changes bring
+  std::size_t leaderRoles = 0;  // with a lease of its own each, as servers have
+  Span partitionSpan{};         // two regions lose each other for so long; 0: they don't
 };
 // Zones 0 to (zones + 1) / 2 - 1 are the first region, which has the majority of the replicas.
 struct RegionPartition {
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -127,9 +127,9 @@
   World world(settings);
   SteadyResult result;
   result.founded = runUntilFounded(world, 120s);
-  for (std::size_t i = 0; i < steady.roles; ++i)
+  for (std::size_t i = 0; i < steady.leaderRoles; ++i)
     world.addLeaderRole("orders/10.0.0.1:" + std::to_string(10000 + i));
-  if (steady.roles > 0) world.run(10s);
+  if (steady.leaderRoles > 0) world.run(10s);
   measureTraffic(world, steady.span, &result);
   measureChanges(world, steady.bodyBytes, &result);
 
@@ -153,8 +153,9 @@
   world.run(20s);
   world.healAll();
   result.zoneRejoinedAfter = runUntil(world, 600s, agreed);
-  result.hasRegions = steady.part > Span{};
-  if (result.hasRegions) result.regionPartition = partRegions(world, steady.part, settings.zones);
+  result.hasRegions = steady.partitionSpan > Span{};
+  if (result.hasRegions)
+    result.regionPartition = partRegions(world, steady.partitionSpan, settings.zones);
   world.read(0);
   world.run(4s);
   world.checkHistory();
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -379,7 +379,7 @@
   settings.zones = 5;
   SteadySettings steady;
   steady.span = 1s;
-  steady.part = 60s;
+  steady.partitionSpan = 60s;
   const SteadyResult result = runSteady(settings, steady);
   REQUIRE(result.founded);
   CHECK(result.regionPartition.minorityClosedAfter < 3s);
