--- a/src/sim/quayrill_sim.cpp
+++ b/src/sim/quayrill_sim.cpp
@@ -1,4 +1,5 @@
-// quayrill-sim: the deterministic simulator. A failing seed replays exactly.
+// quayrill-sim: runs the deterministic simulator from the command line. A failing seed can be
+// replayed exactly.
 #include <docopt/docopt.h>
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 namespace {
 constexpr char kUsage[] =
-    R"(quayrill-sim: runs the control logic on fake clocks, networks and disks.
+    R"(quayrill-sim: runs the control logic on simulated clocks, networks and disks.
 
 Usage:
   quayrill-sim [--seed=N] [--seeds=COUNT] [--seconds=S] [--disks=N] [--edges=N] [--plant=DEFECT]
@@ -20,25 +21,25 @@
 
 Options:
   --seed=N        First seed [default: 1].
-  --seeds=COUNT   How many seeds, one after another [default: 1].
+  --seeds=COUNT   Number of consecutive seeds to run [default: 1].
   --seconds=S     Simulated seconds of faults for each seed [default: 60].
   --disks=N       Machines with a disk [default: 4].
-  --edges=N       Machines without one [default: 9].
-  --steady        No faults: the cost of the control plane at this size.
-  --zones=N       Machines go to so many zones in turn [default: 4].
-  --body=BYTES    Size of the configuration that each change brings [default: 6].
-  --duties=N      So many duties, each with a hold [default: 0].
-  --part=S        At the end two regions lose each other for so many seconds [default: 0].
-  --scenario=NAME  One kind of trouble: cut-off, racing-operators or many-changes.
-  --plant=DEFECT  Plant a defect that a checker must find: unsynced, reused, clocks or stale.
+  --edges=N       Machines without a disk [default: 9].
+  --steady        Measure the cost of the control plane at this size, without random faults.
+  --zones=N       Zones, to which machines are assigned round-robin [default: 4].
+  --body=BYTES    Size of the configuration that each change writes [default: 6].
+  --duties=N      Leader roles, each with its own lease [default: 0].
+  --part=S        Partition two regions at the end for this many seconds [default: 0].
+  --scenario=NAME  One kind of fault: cut-off, racing-operators or many-changes.
+  --plant=DEFECT  Inject a defect that a checker must find: unsynced, reused, clocks or stale.
   -h --help       Show this text.
   --version       Show the version.
 
-Exit codes: 0 no broken invariant, 1 some were broken (the seed is named), 2 bad usage.
+Exit codes: 0 no invariant was violated, 1 some were (the seeds are named), 2 invalid usage.
 )";
 
-void report(const quayrill::sim::WorldSettings& settings,
-            const quayrill::sim::SteadyResult& steady) {
+void printSteadyReport(const quayrill::sim::WorldSettings& settings,
+                       const quayrill::sim::SteadyResult& steady) {
   using Millis = std::chrono::duration<double, std::milli>;
   std::cout << "machines " << settings.diskMachines + settings.edgeMachines << " founded "
             << steady.founded << " messages/machine/s " << steady.messagesPerMachineSecond
@@ -63,7 +64,7 @@
   std::cout << "regions parted: the smaller side closed after ms "
             << Millis(regionPartition.minorityClosedAfter).count()
             << (regionPartition.minorityStayedClosed ? "" : " NOT") << " until the heal; of "
-            << regionPartition.asked << " changes asked on each side, chosen "
+            << regionPartition.changesPerSide << " changes asked on each side, chosen "
             << regionPartition.chosenByMajority << " on the larger, "
             << regionPartition.chosenByMinority << " on the smaller; all agreed after ms "
             << Millis(regionPartition.reconvergedAfter).count() << "\n";
@@ -71,14 +72,15 @@
 }  // namespace
 
 namespace {
-// The number of seeds with something broken; each of them is named.
+// Runs a scenario with `count` seeds and prints the violations of each. Returns the number of seeds
+// with violations.
 std::size_t runNamed(const quayrill::sim::NamedScenario& scenario, std::uint64_t first,
-                     std::uint64_t count, bool plant) {
+                     std::uint64_t count, bool injectDefect) {
   using Millis = std::chrono::duration<double, std::milli>;
   quayrill::sim::NamedScenarioResult total;
-  std::size_t violations = 0;
+  std::size_t failedSeeds = 0;
   for (auto seed = first; seed < first + count; ++seed) {
-    const quayrill::sim::NamedScenarioResult result = scenario.run(seed, plant);
+    const quayrill::sim::NamedScenarioResult result = scenario.run(seed, injectDefect);
     total.confirmed += result.confirmed;
     total.refused += result.refused;
     total.unclear += result.unclear;
@@ -86,7 +88,7 @@
     total.injectedFaults += result.injectedFaults;
     total.slowestCatchUp = std::max(total.slowestCatchUp, result.slowestCatchUp);
     total.slowestVotingRestore = std::max(total.slowestVotingRestore, result.slowestVotingRestore);
-    violations += result.violations.empty() ? 0 : 1;
+    failedSeeds += result.violations.empty() ? 0 : 1;
     for (const std::string& what : result.violations)
       std::cout << "seed " << seed << ": " << what << "\n";
   }
@@ -95,8 +97,8 @@
             << " unclear " << total.unclear << " resent " << total.resends
             << "; slowest to catch up ms " << Millis(total.slowestCatchUp).count()
             << ", to vote again ms " << Millis(total.slowestVotingRestore).count()
-            << "; seeds broken " << violations << "\n";
-  return violations;
+            << "; seeds broken " << failedSeeds << "\n";
+  return failedSeeds;
 }
 }  // namespace
 
@@ -105,12 +107,12 @@
   auto flags =
       docopt::docopt(kUsage, {argv + 1, argv + argc}, true, "quayrill-sim " QUAYRILL_VERSION);
   WorldSettings settings;
-  const std::string plant = flags["--plant"] ? flags["--plant"].asString() : "";
-  settings.injectUnsyncedDisk = plant == "unsynced";
-  settings.injectReusedStore = plant == "reused";
-  settings.injectFastClocks = plant == "clocks";
-  settings.injectStaleConfirm = plant == "stale";
-  std::size_t violations = 0;
+  const std::string defect = flags["--plant"] ? flags["--plant"].asString() : "";
+  settings.injectUnsyncedDisk = defect == "unsynced";
+  settings.injectReusedStore = defect == "reused";
+  settings.injectFastClocks = defect == "clocks";
+  settings.injectStaleConfirm = defect == "stale";
+  std::size_t failedSeeds = 0;
   RunCounters total;
   try {
     settings.diskMachines = static_cast<std::size_t>(std::stoul(flags["--disks"].asString()));
@@ -121,19 +123,19 @@
     if (flags["--scenario"]) {
       for (const NamedScenario& scenario : namedScenarios()) {
         if (scenario.name == flags["--scenario"].asString())
-          return runNamed(scenario, first, count, !plant.empty()) == 0 ? 0 : 1;
+          return runNamed(scenario, first, count, !defect.empty()) == 0 ? 0 : 1;
       }
-      throw std::invalid_argument("--scenario names none that is known");
+      throw std::invalid_argument("--scenario: no scenario of that name");
     }
     if (flags["--steady"].asBool()) {
       settings.seed = first;
       settings.zones = static_cast<std::size_t>(std::stoul(flags["--zones"].asString()));
       if (settings.zones == 0) throw std::invalid_argument("--zones is 0");
-      const SteadySettings asked{span, std::stoul(flags["--body"].asString()),
-                                 std::stoul(flags["--duties"].asString()),
-                                 std::chrono::seconds(std::stoul(flags["--part"].asString()))};
-      const SteadyResult steady = runSteady(settings, asked);
-      report(settings, steady);
+      const SteadySettings steadySettings{
+          span, std::stoul(flags["--body"].asString()), std::stoul(flags["--duties"].asString()),
+          std::chrono::seconds(std::stoul(flags["--part"].asString()))};
+      const SteadyResult steady = runSteady(settings, steadySettings);
+      printSteadyReport(settings, steady);
       return steady.founded && steady.violations.empty() ? 0 : 1;
     }
     for (auto seed = first; seed < first + count; ++seed) {
@@ -152,7 +154,7 @@
                          .count()
                   << " ms\n";
       if (result.violations.empty() && result.converged) continue;
-      ++violations;
+      ++failedSeeds;
       std::cout << "seed " << seed << ": " << result.violations.size() << " broken"
                 << (result.converged ? "" : ", not converged") << "\n";
       for (std::size_t i = 0; i < std::min<std::size_t>(3, result.violations.size()); ++i)
@@ -162,11 +164,12 @@
                   << " ms: " << result.violations[i].what << "\n";
     }
   } catch (const std::exception& error) {
-    std::cerr << "quayrill-sim: " << error.what() << ": give whole numbers\n";
+    std::cerr << "quayrill-sim: invalid option (" << error.what()
+              << "); numeric options need whole numbers\n";
     return 2;
   }
   std::cout << "changes chosen " << total.chosen << " conflict " << total.conflicts << " not tried "
             << total.notTried << " unknown " << total.unknown << "; holds seen "
-            << total.leaseObservations << "; seeds broken " << violations << "\n";
-  return violations == 0 ? 0 : 1;
+            << total.leaseObservations << "; seeds broken " << failedSeeds << "\n";
+  return failedSeeds == 0 ? 0 : 1;
 }
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -8,21 +8,23 @@
   const Span until = world.elapsed() + limit;
   while (world.elapsed() < until) {
     world.run(250ms);
-    bool full = true;
+    bool isComplete = true;
     for (std::size_t i = 0; i < world.size(); ++i) {
       if (!world.isUp(i)) continue;
       const ReplicaSet& replicas = world.core(i).freshness().replicas();
-      full = full && replicas.members.size() == world.replicasWanted() && replicas.settled;
+      isComplete =
+          isComplete && replicas.members.size() == world.replicasWanted() && replicas.settled;
     }
-    if (full && world.isConverged()) return true;
+    if (isComplete && world.isConverged()) return true;
   }
   return false;
 }
 
 namespace {
 
-// At most one disk is lost for good at a time, as the brief bounds it; kills and cuts are not.
-void oneFault(World& world, Span* wipeQuietUntil) {
+// Injects or ends one fault. At most one disk is wiped per minute, since the fleet need not survive
+// more permanent losses than that; crashes and partitions are not limited.
+void injectRandomFault(World& world, Span* nextWipeAllowedAt) {
   auto& random = world.random();
   const std::size_t machine = random() % world.size();
   const std::size_t diskMachine = random() % world.diskMachines();
@@ -34,8 +36,8 @@
       world.crash(diskMachine, true);
       break;
     case 2:
-      if (world.elapsed() < *wipeQuietUntil) break;
-      *wipeQuietUntil = world.elapsed() + 60s;
+      if (world.elapsed() < *nextWipeAllowedAt) break;
+      *nextWipeAllowedAt = world.elapsed() + 60s;
       world.crash(diskMachine, true);
       world.wipeDisk(diskMachine);
       world.start(diskMachine);
@@ -89,11 +91,11 @@
   ScenarioResult result;
   runUntilFounded(world, 60s);
   auto& random = world.random();
-  Span wipeQuietUntil{};
+  Span nextWipeAllowedAt{};
   const Span until = world.elapsed() + faultSpan;
   while (world.elapsed() < until) {
-    if (random() % 6 == 0) oneFault(world, &wipeQuietUntil);
-    for (int operators = 0; operators < 2; ++operators) {
+    if (random() % 6 == 0) injectRandomFault(world, &nextWipeAllowedAt);
+    for (int operatorIndex = 0; operatorIndex < 2; ++operatorIndex) {
       const std::size_t machine = random() % world.size();
       if (!world.isUp(machine)) continue;
       const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -1,55 +1,70 @@
 #pragma once
+// Complete simulated runs: random faults with competing operators, and measurements of a fleet
+// without random faults.
 #include "sim/world.h"
 
 namespace quayrill::sim {
 
+// The outcome of a run with random faults.
 struct ScenarioResult {
   std::vector<Violation> violations;
   std::uint64_t traceHash = 0;
   RunCounters counters;
   bool converged = false;
-  Span reconvergedAfterHeal{};  // from the last heal
+  Span reconvergedAfterHeal{};  // after all faults ended for good
 };
 
-// Founds a fleet, then lets operators race while faults of every kind come and go by seed, heals
-// all, and checks the whole history.
+// Founds a fleet, lets operators compete while faults of every kind start and end at random for
+// `faultSpan`, ends all faults, waits for convergence and checks the recorded history.
 ScenarioResult runScenario(WorldSettings settings, Span faultSpan);
 
+// Parameters of a measurement.
 struct SteadySettings {
   Span span = std::chrono::seconds(60);
-  std::size_t bodyBytes = 6;    // of the configuration that the changes bring
-  std::size_t leaderRoles = 0;  // with a lease of its own each, as servers have
-  Span partitionSpan{};         // two regions lose each other for so long; 0: they don't
+  std::size_t bodyBytes = 6;    // size of the configuration that each change writes
+  std::size_t leaderRoles = 0;  // each with a lease of its own, as for model servers
+  Span partitionSpan{};         // how long two regions are partitioned at the end; 0: not at all
 };
-// Zones 0 to (zones + 1) / 2 - 1 are the first region, which has the majority of the replicas.
+
+// Measurements of a partition between two regions. Zones 0 to (zones + 1) / 2 - 1 form the larger
+// region, which has the majority of the replicas.
 struct RegionPartition {
-  Span minorityClosedAfter{};  // the smaller side confirms no configuration any more
-  std::size_t chosenByMajority = 0, chosenByMinority = 0,
-              changesPerSide = 0;  // asked: on each side
+  // From the start until no machine of the smaller region has a recently confirmed configuration.
+  Span minorityClosedAfter{};
+  // Changes that took effect in the larger and in the smaller region, of those tried in each.
+  std::size_t chosenByMajority = 0, chosenByMinority = 0, changesPerSide = 0;
   bool minorityStayedClosed = true;
-  Span reconvergedAfter{};  // all know all and confirm the newest configuration, from the heal on
+  // From the heal until all machines confirm the newest configuration and list all others.
+  Span reconvergedAfter{};
 };
+
+// What the control plane costs at a given fleet size, and how fast it converges.
 struct SteadyResult {
   bool founded = false;
   double messagesPerMachineSecond = 0, bytesPerMachineSecond = 0;
-  double replicaMessagesPerSecond = 0;        // to the busiest copy
-  Span changePropagatedAfter{};               // slowest of several changes
-  Span reconvergedAfterPartition{};           // half of the machines cut off for 20 s, then healed
-  double replicaBytesPerSecond = 0;           // out of the busiest copy
-  double cpuSecondsPerMachineSecond = 0;      // of logic and wire format, in seconds
-  std::map<std::string, double> bytesByKind;  // by kind of message
-  double bytesPerChange = 0,
-         replicaBytesPerChange = 0;   // of one change: by all, by the busiest copy
-  Span zoneLossDetectedAfter{};       // a zone is cut off: all others list themselves alone
-  Span zoneRejoinedAfter{};           // healed: all list all
+  double replicaMessagesPerSecond = 0;  // received by the busiest replica
+  // From the acknowledgement until every machine has the change; the slowest of several changes.
+  Span changePropagatedAfter{};
+  // From the heal of a 20 s partition into two halves until convergence.
+  Span reconvergedAfterPartition{};
+  double replicaBytesPerSecond = 0;                      // sent by the busiest replica
+  double cpuSecondsPerMachineSecond = 0;                 // control logic and message encoding
+  std::map<std::string, double> bytesByKind;             // per machine and second, by message name
+  double bytesPerChange = 0, replicaBytesPerChange = 0;  // sent by all, and by machine 0
+  // From the isolation of a zone until all other machines list exactly each other, and from its
+  // heal until convergence.
+  Span zoneLossDetectedAfter{};
+  Span zoneRejoinedAfter{};
   std::vector<Violation> violations;  // of the whole run
-  bool hasRegions = false;
+  bool hasRegions = false;            // whether regionPartition was measured
   RegionPartition regionPartition{};
 };
-// No faults: what the control plane costs at this size.
+
+// Measures the control plane without random faults.
 SteadyResult runSteady(const WorldSettings& settings, const SteadySettings& steady);
 
-// Waits until the replica set has all disk machines and every daemon agrees.
+// Runs until the replica set is settled with all wanted replicas and all daemons agree; false if
+// that takes longer than `limit`.
 bool runUntilFounded(World& world, Span limit);
 
 }  // namespace quayrill::sim
--- a/src/sim/steady.cpp
+++ b/src/sim/steady.cpp
@@ -1,4 +1,4 @@
-// What the control plane costs at a size, and how long it takes to agree.
+// Measures the control plane's cost at a given fleet size, and how long it takes to converge.
 #include <ctime>
 
 #include "sim/scenario.h"
@@ -16,22 +16,23 @@
   return machines;
 }
 
-// From now until `done`, looked at every 10 ms; the limit where it stays false.
-template <class Done>
-Span runUntil(World& world, Span limit, Done done) {
-  const Span begun = world.elapsed();
-  while (world.elapsed() - begun < limit && !done()) world.run(10ms);
-  return world.elapsed() - begun;
+// Runs the world until `condition` holds, checked every 10 ms, or until `limit` has passed. Returns
+// the simulated time that it took.
+template <class Condition>
+Span runUntil(World& world, Span limit, Condition condition) {
+  const Span startedAt = world.elapsed();
+  while (world.elapsed() - startedAt < limit && !condition()) world.run(10ms);
+  return world.elapsed() - startedAt;
 }
 
 void measureTraffic(World& world, Span span, SteadyResult* result) {
   const RunCounters before = world.counters();
-  std::vector<std::uint64_t> sentBefore, arrivedBefore;
+  std::vector<std::uint64_t> bytesSentBefore, messagesReceivedBefore;
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
-    sentBefore.push_back(world.bytesSentBy(i));
-    arrivedBefore.push_back(world.messagesReceived(i));
+    bytesSentBefore.push_back(world.bytesSentBy(i));
+    messagesReceivedBefore.push_back(world.messagesReceived(i));
   }
-  const std::clock_t begun = std::clock();
+  const std::clock_t cpuBefore = std::clock();
   world.run(span);
   const double seconds = std::chrono::duration<double>(span).count();
   const double machineSeconds = seconds * static_cast<double>(world.size());
@@ -39,29 +40,30 @@
     return static_cast<double>(count) / machineSeconds;
   };
   result->cpuSecondsPerMachineSecond =
-      static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC / machineSeconds;
+      static_cast<double>(std::clock() - cpuBefore) / CLOCKS_PER_SEC / machineSeconds;
   result->messagesPerMachineSecond = perMachine(world.counters().messages - before.messages);
   result->bytesPerMachineSecond = perMachine(world.counters().bytes - before.bytes);
   for (const auto& [kind, bytes] : world.counters().bytesByKind) {
-    const auto old = before.bytesByKind.find(kind);
+    const auto earlier = before.bytesByKind.find(kind);
     result->bytesByKind[kind] =
-        perMachine(bytes - (old == before.bytesByKind.end() ? 0 : old->second));
+        perMachine(bytes - (earlier == before.bytesByKind.end() ? 0 : earlier->second));
   }
   for (std::size_t i = 0; i < world.diskMachines(); ++i) {
-    result->replicaMessagesPerSecond =
-        std::max(result->replicaMessagesPerSecond,
-                 static_cast<double>(world.messagesReceived(i) - arrivedBefore[i]) / seconds);
+    result->replicaMessagesPerSecond = std::max(
+        result->replicaMessagesPerSecond,
+        static_cast<double>(world.messagesReceived(i) - messagesReceivedBefore[i]) / seconds);
     result->replicaBytesPerSecond =
         std::max(result->replicaBytesPerSecond,
-                 static_cast<double>(world.bytesSentBy(i) - sentBefore[i]) / seconds);
+                 static_cast<double>(world.bytesSentBy(i) - bytesSentBefore[i]) / seconds);
   }
 }
 
-// The bytes are those above the steady traffic of the same time.
+// Measures how fast several changes propagate and how many bytes each costs beyond the steady
+// traffic measured before.
 void measureChanges(World& world, std::size_t bodyBytes, SteadyResult* result) {
   constexpr std::uint64_t kChanges = 5;
   const std::uint64_t bytesBefore = world.counters().bytes, replicaBefore = world.bytesSentBy(0);
-  const Span begun = world.elapsed();
+  const Span startedAt = world.elapsed();
   for (std::uint64_t version = 0; version < kChanges; ++version) {
     const std::uint64_t id = world.change(world.size() - 1 - version, version,
                                           std::string(bodyBytes, static_cast<char>('a' + version)));
@@ -72,7 +74,7 @@
         std::max(result->changePropagatedAfter, world.elapsed() - acknowledgedAt);
     world.run(1s);
   }
-  const double seconds = std::chrono::duration<double>(world.elapsed() - begun).count();
+  const double seconds = std::chrono::duration<double>(world.elapsed() - startedAt).count();
   result->bytesPerChange =
       (static_cast<double>(world.counters().bytes - bytesBefore) -
        result->bytesPerMachineSecond * seconds * static_cast<double>(world.size())) /
@@ -82,21 +84,21 @@
                                   kChanges;
 }
 
-RegionPartition partRegions(World& world, Span span, std::size_t zones) {
+RegionPartition measureRegionPartition(World& world, Span span, std::size_t zones) {
   RegionPartition regionPartition;
   std::set<std::size_t> firstZones;
   for (std::size_t zone = 0; zone < (zones + 1) / 2; ++zone) firstZones.insert(zone);
-  const auto larger = machinesOf(world, firstZones);
-  std::vector<std::size_t> smaller;
+  const auto majority = machinesOf(world, firstZones);
+  std::vector<std::size_t> minority;
   for (std::size_t i = 0; i < world.size(); ++i) {
-    if (!larger.contains(i)) smaller.push_back(i);
+    if (!majority.contains(i)) minority.push_back(i);
   }
-  const auto smallerConfirms = [&] {
-    return std::any_of(smaller.begin(), smaller.end(),
+  const auto minorityConfirms = [&] {
+    return std::any_of(minority.begin(), minority.end(),
                        [&](std::size_t i) { return world.isConfirmed(i, 2s); });
   };
-  world.setPartitioned(larger, true);
-  regionPartition.minorityClosedAfter = runUntil(world, 60s, [&] { return !smallerConfirms(); });
+  world.setPartitioned(majority, true);
+  regionPartition.minorityClosedAfter = runUntil(world, 60s, [&] { return !minorityConfirms(); });
   const Span until = world.elapsed() + span;
   const auto countChosen = [&](std::uint64_t id) -> std::size_t {
     return id != 0 && world.operationById(id).done &&
@@ -107,14 +109,15 @@
     const auto versionAt = [&](std::size_t i) {
       return world.core(i).freshness().configuration().value.version;
     };
-    const std::size_t inLarger = *larger.rbegin(), inSmaller = smaller.back();
-    const auto changesPerSide = world.change(inLarger, versionAt(inLarger), "larger");
-    const auto askedToo = world.change(inSmaller, versionAt(inSmaller), "smaller");
+    const std::size_t majorityMachine = *majority.rbegin(), minorityMachine = minority.back();
+    const auto majorityChange = world.change(majorityMachine, versionAt(majorityMachine), "larger");
+    const auto minorityChange =
+        world.change(minorityMachine, versionAt(minorityMachine), "smaller");
     world.run(std::min<Span>(45s, until - world.elapsed() + 5s));
-    regionPartition.chosenByMajority += countChosen(changesPerSide);
-    regionPartition.chosenByMinority += countChosen(askedToo);
+    regionPartition.chosenByMajority += countChosen(majorityChange);
+    regionPartition.chosenByMinority += countChosen(minorityChange);
     regionPartition.minorityStayedClosed =
-        regionPartition.minorityStayedClosed && !smallerConfirms();
+        regionPartition.minorityStayedClosed && !minorityConfirms();
   }
   world.healAll();
   regionPartition.reconvergedAfter =
@@ -138,8 +141,8 @@
   world.setPartitioned(side, true);
   world.run(20s);
   world.healAll();
-  const auto agreed = [&] { return world.isConverged() && world.isMembershipComplete(); };
-  result.reconvergedAfterPartition = runUntil(world, 600s, agreed);
+  const auto hasConverged = [&] { return world.isConverged() && world.isMembershipComplete(); };
+  result.reconvergedAfterPartition = runUntil(world, 600s, hasConverged);
 
   const auto zone = machinesOf(world, {settings.zones - 1});
   world.setPartitioned(zone, true);
@@ -152,10 +155,10 @@
   });
   world.run(20s);
   world.healAll();
-  result.zoneRejoinedAfter = runUntil(world, 600s, agreed);
+  result.zoneRejoinedAfter = runUntil(world, 600s, hasConverged);
   result.hasRegions = steady.partitionSpan > Span{};
   if (result.hasRegions)
-    result.regionPartition = partRegions(world, steady.partitionSpan, settings.zones);
+    result.regionPartition = measureRegionPartition(world, steady.partitionSpan, settings.zones);
   world.read(0);
   world.run(4s);
   world.checkHistory();
