--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 constexpr std::size_t kBodyLimit = 1 << 20;
-// Within the share of the product's Amending that is left for the settling read alone.
-constexpr Span kTimeLeftAfterDeadline = 100ms;
+// Within the time that UpdateOperation reserves for the settling read.
+constexpr Span kTimeLeftForSettling = 100ms;
 
 ReplicaSet onlyFirstMember(const ReplicaSet& replicas) {
-  ReplicaSet one = replicas;
-  one.members.resize(1);
-  return one;
+  ReplicaSet firstOnly = replicas;
+  firstOnly.members.resize(1);
+  return firstOnly;
 }
 }  // namespace
 
@@ -33,61 +33,63 @@
   ++nextCall_;
   proposedWrites_.clear();
   isChangeDeadlinePassed_ = false;
-  const bool asNew = configuration_->defect == Defect::ResendAsNew;
-  update_.emplace(updateOf(configuration_->changes[change()], asNew), kBodyLimit, kNever);
+  const bool treatsResendAsNew = configuration_->defect == Defect::ResendAsNew;
+  update_.emplace(updateOf(configuration_->changes[change()], treatsResendAsNew), kBodyLimit,
+                  kNever);
   advance(acknowledged, effects);
 }
 
 void Caller::advance(ChangeSet acknowledged, StepEffects* effects) {
-  const Instant now = isChangeDeadlinePassed_ ? kNever - kTimeLeftAfterDeadline : proposer_.clock();
-  const auto asked = update_->next(now);
-  if (!asked) {
+  const Instant now = isChangeDeadlinePassed_ ? kNever - kTimeLeftForSettling : proposer_.clock();
+  const auto request = update_->next(now);
+  if (!request) {
     recordAnswer(update_->done()->result, effects);
     update_.reset();
     return;
   }
-  isRead_ = asked->isRead;
+  isRead_ = request->isRead;
   acknowledgedBefore_ = acknowledged;
-  const bool minority = isRead_ && configuration_->defect == Defect::MinorityRead;
+  const bool readsMinority = isRead_ && configuration_->defect == Defect::MinorityRead;
   Sends sends = proposer_.begin(
-      *asked, minority ? onlyFirstMember(freshness_.replicas()) : freshness_.replicas());
+      *request, readsMinority ? onlyFirstMember(freshness_.replicas()) : freshness_.replicas());
   if (!isRead_) proposedWrites_.push_back(proposer_.writeId());
   effects->sends = std::move(sends);
 }
 
 void Caller::recordAnswer(UpdateResult result, StepEffects* effects) {
-  Observation ended;
-  ended.kind = Observation::Kind::ChangeAnswered;
-  ended.change = change();
-  ended.result = result;
-  effects->observations.push_back(ended);
-  const bool mayHold = result == UpdateResult::Taken || result == UpdateResult::AlreadyTaken ||
-                       result == UpdateResult::Unknown;
-  if (mayHold || proposedWrites_.empty()) return;
-  Observation dead;
-  dead.kind = Observation::Kind::WritesRejected;
-  dead.writes = proposedWrites_;
-  effects->observations.push_back(dead);
+  Observation answered;
+  answered.kind = Observation::Kind::ChangeAnswered;
+  answered.change = change();
+  answered.result = result;
+  effects->observations.push_back(answered);
+  const bool mayTakeEffect = result == UpdateResult::Taken ||
+                             result == UpdateResult::AlreadyTaken ||
+                             result == UpdateResult::Unknown;
+  if (mayTakeEffect || proposedWrites_.empty()) return;
+  Observation rejected;
+  rejected.kind = Observation::Kind::WritesRejected;
+  rejected.writes = proposedWrites_;
+  effects->observations.push_back(rejected);
 }
 
 void Caller::onCompleted(const std::vector<ChangeDone>& done, ChangeSet acknowledged,
                          StepEffects* effects) {
-  for (const ChangeDone& ended : done) {
-    freshness_.adopt(ended.replicas);
+  for (const ChangeDone& completed : done) {
+    freshness_.adopt(completed.replicas);
     Observation observation;
-    if (ended.result == ChangeResult::Chosen) {
-      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
-      observation.key = ended.key;
-      observation.value = ended.value;
+    if (completed.result == ChangeResult::Chosen) {
+      freshness_.learnChosen(completed.key, {completed.ballot, completed.value});
+      observation.key = completed.key;
+      observation.value = completed.value;
       observation.isRead = isRead_;
       observation.acknowledgedBefore = acknowledgedBefore_;
       effects->observations.push_back(observation);
-    } else if (!isRead_ && ended.result != ChangeResult::Unknown) {
+    } else if (!isRead_ && completed.result != ChangeResult::Unknown) {
       observation.kind = Observation::Kind::WritesRejected;
       observation.writes = {proposedWrites_.back()};
       effects->observations.push_back(observation);
     }
-    update_->onAnswer(ended);
+    update_->onAnswer(completed);
     advance(acknowledged, effects);
   }
 }
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -18,7 +18,8 @@
 }
 }  // namespace
 
-// Two majorities are apart where each can be made of its own members and of different common ones.
+// Two majorities can be disjoint if the common members suffice for what each set needs of them
+// beyond its own members.
 bool majoritiesIntersect(const ReplicaSet& one, const ReplicaSet& other) {
   std::size_t common = 0;
   for (const ReplicaMember& member : one.members) {
@@ -113,7 +114,8 @@
   if ((acknowledged_ & refused_) != 0)
     return "change '" + changes[observation.change].name +
            "' was acknowledged once and refused once";
-  // Each acknowledged change has the number after its basis: two of one basis share a number.
+  // An acknowledged change takes the number after its basis, so two with the same basis would have
+  // the same number.
   for (std::size_t i = 0; i < changes.size(); ++i) {
     const bool isCompeting =
         i != observation.change && changes[i].basis == changes[observation.change].basis;
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the outside was told on one schedule, and the invariants over it.
+// The externally visible history of one schedule, and the invariants over it.
 #include <map>
 #include <string>
 #include <vector>
@@ -8,18 +8,21 @@
 
 namespace quayrill::model {
 
+// Accumulates observations and checks that they are consistent with each other.
 class History {
  public:
+  // `founded` is the first replica set.
   explicit History(const ReplicaSet& founded) { replicaSets_.push_back(founded); }
 
-  // The broken invariant in words; "" where none is.
+  // Adds an observation. Returns a description of the invariant that it violates, or "".
   std::string observe(const Observation& observation, const std::vector<OperatorChange>& changes);
 
+  // The changes that operators were told to be taken, and to be refused for good.
   ChangeSet acknowledged() const { return acknowledged_; }
   ChangeSet refused() const { return refused_; }
-  // A write that was said never to take effect stands in this value or its history.
+  // True if a write that was reported to never take effect made this value or one before it.
   bool containsRejectedWrite(const RegisterValue& value) const;
-  // The chosen replica sets by epoch, each as it was seen last.
+  // The chosen replica sets by epoch, each in the latest state that was observed.
   const std::vector<ReplicaSet>& replicaSets() const { return replicaSets_; }
   std::string stateBytes() const;
 
@@ -36,7 +39,7 @@
   std::vector<ReplicaSet> replicaSets_;
 };
 
-// Whether every majority of one shares a member with every majority of the other.
+// True if every majority of one set shares a member with every majority of the other.
 bool majoritiesIntersect(const ReplicaSet& one, const ReplicaSet& other);
 
 }  // namespace quayrill::model
--- a/src/model/interned.h
+++ b/src/model/interned.h
@@ -1,6 +1,6 @@
 #pragma once
-// Parts of a model state, kept once each. Two parts are the same where their canonical bytes are
-// the same, compared whole and not by a hash, so a state is a row of small numbers.
+// Interning of the parts of model states: equal parts are stored once, so a state is a list of
+// small ids. Parts are compared by their complete canonical bytes, not by a hash.
 #include <cstdint>
 #include <deque>
 #include <string>
@@ -8,12 +8,13 @@
 
 namespace quayrill::model {
 
+// The distinct parts of one type. Part has `std::string stateBytes() const`.
 template <class Part>
 class Interned {
  public:
   using Id = std::uint32_t;
 
-  // Part has `std::string stateBytes() const`.
+  // The id of the part; stores it if it is new.
   Id idOf(Part part) {
     const auto [row, isNew] = ids_.try_emplace(part.stateBytes(), static_cast<Id>(parts_.size()));
     if (isNew) parts_.push_back(std::move(part));
@@ -24,7 +25,7 @@
 
  private:
   std::unordered_map<std::string, Id> ids_;
-  std::deque<Part> parts_;  // never moved: references stay good
+  std::deque<Part> parts_;  // a deque, so that references stay valid
 };
 
 }  // namespace quayrill::model
--- a/src/model/machine.cpp
+++ b/src/model/machine.cpp
@@ -3,7 +3,7 @@
 namespace quayrill::model {
 
 namespace {
-constexpr char kStoreKey[] = "store";  // of the product's disk format: the store's id alone
+constexpr char kStoreKey[] = "store";  // the row of the disk format that holds the store id alone
 }  // namespace
 
 Machine::Machine(StoreId store, bool dropsPromiseWrites)
@@ -33,34 +33,34 @@
 void Machine::adopt(const ReplicaSet& replicas) { sync(replica_.adopt(replicas)); }
 
 bool Machine::restart() {
-  RegisterReplica read(StoreId{});
-  if (!read.restore(disk_)) return false;
-  replica_ = std::move(read);
+  RegisterReplica restored(StoreId{});
+  if (!restored.restore(disk_)) return false;
+  replica_ = std::move(restored);
   return true;
 }
 
-void Machine::empty(StoreId newStore) {
+void Machine::restartEmpty(StoreId newStore) {
   replica_ = RegisterReplica(newStore);
   disk_.clear();
   sync(replica_.identityWrites());
 }
 
 ConfirmedKey Machine::accepted(const RegisterKey& key) const {
-  Confirm question;
-  question.store = replica_.store();
-  question.known = {{key, Ballot{}}};
-  question.wantsBodies = true;
-  const ReplicaEffects effects = replica_.onConfirm(question);
+  Confirm request;
+  request.store = replica_.store();
+  request.known = {{key, Ballot{}}};
+  request.wantsBodies = true;
+  const ReplicaEffects effects = replica_.onConfirm(request);
   if (!effects.answer) return {key, {}, {}};
   const auto& answer = std::get<ConfirmAnswer>(*effects.answer);
   return answer.keys.empty() ? ConfirmedKey{key, {}, {}} : answer.keys.front();
 }
 
 std::vector<RegisterKey> Machine::keys() const {
-  Confirm question;
-  question.store = replica_.store();
-  question.wantsKeys = true;
-  const ReplicaEffects effects = replica_.onConfirm(question);
+  Confirm request;
+  request.store = replica_.store();
+  request.wantsKeys = true;
+  const ReplicaEffects effects = replica_.onConfirm(request);
   if (!effects.answer) return {};
   return std::get<ConfirmAnswer>(*effects.answer).allKeys;
 }
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,5 +1,5 @@
 #pragma once
-// One machine of the model: the product's replica and the rows that its disk holds.
+// One machine of the model: a production register replica and the rows on its disk.
 #include <map>
 #include <optional>
 #include <string>
@@ -11,21 +11,24 @@
 
 class Machine {
  public:
+  // `dropsPromiseWrites` injects Defect::UnsyncedPromise.
   Machine(StoreId store, bool dropsPromiseWrites);
 
   const RegisterReplica& replica() const { return replica_; }
-  // Takes a request and syncs what it writes. The answer has left with that: a crash before it is a
-  // request that was lost, one after it an answer that was lost.
+  // Handles a request, syncs its writes and returns the answer, in one step. A crash in between
+  // needs no event of its own: before the sync it equals a lost request, after it a lost answer.
   std::optional<ReplicaAnswer> handle(const Message& request);
   void adopt(const ReplicaSet& replicas);
-  // The process ends and starts again on its disk. False where the product can't read the rows.
+  // Restarts the process on its disk. False if the replica can't read the rows.
   bool restart();
-  void empty(StoreId newStore);
-  // What it accepted under `key`, as it would tell a reader.
+  // Restarts the process on an empty disk with a new store id.
+  void restartEmpty(StoreId newStore);
+  // The value accepted under `key`, as the replica reports it to a reader.
   ConfirmedKey accepted(const RegisterKey& key) const;
+  // The keys under which the replica has a value.
   std::vector<RegisterKey> keys() const;
+  // The state as canonical bytes, with and without the store id.
   std::string stateBytes() const;
-  // The same without the store's id.
   std::string stateBytesWithoutStore() const;
 
  private:
--- a/src/model/observation.h
+++ b/src/model/observation.h
@@ -1,5 +1,5 @@
 #pragma once
-// What a step of a daemon lets the outside see: the material of the invariants.
+// The externally visible effects of a daemon's step, which the invariants are checked against.
 #include <vector>
 
 #include "configuration/update.h"
@@ -8,23 +8,27 @@
 
 namespace quayrill::model {
 
+// One externally visible fact.
 struct Observation {
   enum class Kind {
-    Chosen,          // a value was proved chosen
-    WritesRejected,  // these writes were said never to take effect
-    ChangeAnswered,  // the operator was answered
+    Chosen,          // a value is known to be chosen
+    WritesRejected,  // these writes were reported to never take effect
+    ChangeAnswered,  // an operator received the result of a change
   };
   Kind kind = Kind::Chosen;
+  // Chosen:
   RegisterKey key;
   RegisterValue value;
   bool isRead = false;
-  ChangeSet acknowledgedBefore = 0;  // what was acknowledged when the read began
+  ChangeSet acknowledgedBefore = 0;  // changes acknowledged before the read began
+  // WritesRejected:
   std::vector<WriteId> writes;
+  // ChangeAnswered:
   std::size_t change = 0;
   UpdateResult result{};
 };
 
-// What one step of a daemon sends and shows.
+// The messages and observations that one step of a daemon produces.
 struct StepEffects {
   Sends sends;
   std::vector<Observation> observations;
--- a/src/model/operator_changes.cpp
+++ b/src/model/operator_changes.cpp
@@ -6,7 +6,7 @@
 namespace quayrill::model {
 
 namespace {
-// The model's days are short: every change is remembered.
+// Schedules are short, so the record of a taken change is never dropped.
 constexpr std::uint64_t kNoneForgotten = 0;
 
 std::string digestOf(const OperatorChange& change) {
@@ -14,24 +14,24 @@
 }
 
 TakenChanges decodeBody(const std::string& body) {
-  std::istringstream in(body);
+  std::istringstream input(body);
   TakenChanges taken;
   TakenChange change;
-  while (in >> change.number >> change.digest) taken.push_back(change);
+  while (input >> change.number >> change.digest) taken.push_back(change);
   return taken;
 }
 
 std::string encodeBody(const TakenChanges& taken) {
-  std::ostringstream out;
-  for (const TakenChange& change : taken) out << change.number << ' ' << change.digest << ' ';
-  return out.str();
+  std::ostringstream output;
+  for (const TakenChange& change : taken) output << change.number << ' ' << change.digest << ' ';
+  return output.str();
 }
 }  // namespace
 
 Update updateOf(const OperatorChange& change, bool treatsResendAsNew) {
   return [change, treatsResendAsNew](
-             const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    TakenChanges taken = decodeBody(standing);
+             const std::string& presentBody) -> absl::StatusOr<std::optional<std::string>> {
+    TakenChanges taken = decodeBody(presentBody);
     const std::string digest = digestOf(change);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().number;
     const SentChange sent{change.basis + 1, change.basis, digest};
@@ -39,7 +39,7 @@
     if (!treatsResendAsNew && changeStanding == ChangeStanding::Taken)
       return std::optional<std::string>{};
     if (number != change.basis)
-      return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
+      return absl::FailedPreconditionError("number " + std::to_string(number) + " is current");
     addTaken(&taken, {number + 1, digest});
     return std::optional<std::string>{encodeBody(taken)};
   };
--- a/src/model/operator_changes.h
+++ b/src/model/operator_changes.h
@@ -1,6 +1,7 @@
 #pragma once
-// The operators' changes in the model: the smallest body that has the platform's rules. Each change
-// builds on a number and takes the next one; a change that was taken before holds.
+// The operators' configuration changes in the model. The register body is the smallest one that
+// follows the platform's rules: each change builds on a number and takes the next one, and a change
+// that was taken before is recognized when it is sent again.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -9,20 +10,21 @@
 
 namespace quayrill::model {
 
-// One change. Two calls with the same name and basis are the same change sent again.
+// One change. Sending the same name and basis twice is sending the same change again.
 struct OperatorChange {
   std::string name;
   std::uint64_t basis = 0;
 };
 
-// A set of orders by their index in the configuration, as bits.
+// A set of changes as bits, by their index in the configuration.
 using ChangeSet = std::uint32_t;
 inline ChangeSet bitOf(std::size_t change) { return ChangeSet{1} << change; }
 
-// `treatsResendAsNew` plants the error that a taken change is not known again.
+// The update that applies a change to the register body. `treatsResendAsNew` injects a defect: a
+// change that was taken before is not recognized.
 Update updateOf(const OperatorChange& change, bool treatsResendAsNew);
 
-// Those of `orders` that the body has taken.
+// Those of `changes` that the body has taken.
 ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes);
 
 }  // namespace quayrill::model
--- a/src/model/reconfigurer.cpp
+++ b/src/model/reconfigurer.cpp
@@ -21,11 +21,11 @@
   return TimedProposer(ProposerId{proposerId(proposer)});
 }
 
-void Reconfigurer::begin(const ChangeAsked& ask, StepEffects* effects) {
-  const std::size_t proposer = proposerFor(ask.key);
+void Reconfigurer::begin(const ChangeAsked& request, StepEffects* effects) {
+  const std::size_t proposer = proposerFor(request.key);
   if (proposers_[proposer].isBusy()) return;
-  isRead_[proposer] = ask.isRead;
-  for (auto& send : proposers_[proposer].begin(ask, freshness_.replicas()))
+  isRead_[proposer] = request.isRead;
+  for (auto& send : proposers_[proposer].begin(request, freshness_.replicas()))
     effects->sends.push_back(std::move(send));
 }
 
@@ -38,25 +38,26 @@
   ReplicaSet replicas = freshness_.replicas();
   if (configuration_->defect == Defect::UnsettledEpoch) replicas.settled = true;
   const Instant now = proposers_[0].clock();
-  const auto asks =
+  const auto requests =
       sweep_.next(replicas, freshness_.replicaSetVersion(), listed, nextReplicaSet, now);
-  for (const ChangeAsked& ask : asks) begin(ask, effects);
+  for (const ChangeAsked& request : requests) begin(request, effects);
 }
 
 void Reconfigurer::onCompleted(std::size_t proposer, const std::vector<ChangeDone>& done,
                                StepEffects* effects) {
-  for (const ChangeDone& ended : done) {
-    freshness_.adopt(ended.replicas);
-    const bool isChosen = ended.result == ChangeResult::Chosen;
+  for (const ChangeDone& completed : done) {
+    freshness_.adopt(completed.replicas);
+    const bool isChosen = completed.result == ChangeResult::Chosen;
     if (isChosen) {
-      freshness_.learnChosen(ended.key, {ended.ballot, ended.value});
+      freshness_.learnChosen(completed.key, {completed.ballot, completed.value});
       Observation observation;
-      observation.key = ended.key;
-      observation.value = ended.value;
+      observation.key = completed.key;
+      observation.value = completed.value;
       effects->observations.push_back(observation);
     }
-    if (isRead_[proposer] && !needsRead_) sweep_.onReadDone(ended);
-    if (ended.key == kReplicaSetKey) needsRead_ = !isChosen && (needsRead_ || !isRead_[proposer]);
+    if (isRead_[proposer] && !needsRead_) sweep_.onReadDone(completed);
+    if (completed.key == kReplicaSetKey)
+      needsRead_ = !isChosen && (needsRead_ || !isRead_[proposer]);
   }
 }
 
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -5,9 +5,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Span kClockAdvance =
-    1s;  // longer than any phase, rest or repeat of the product's proposer
-constexpr std::uint64_t kSeed = 1;  // the jitter says only how long a rest is
+constexpr Span kClockAdvance = 1s;  // longer than any phase, pause or retransmission interval
+constexpr std::uint64_t kSeed = 1;  // the jitter only affects how long a pause is
 }  // namespace
 
 std::uint64_t proposerIdOf(OperationId operation) {
@@ -67,8 +66,8 @@
   trackCompletion(*done);
 }
 
-// The clock is left out: the operation's times were set by the same clock, and all that is ever
-// asked of them is whether a leap passes them, which each does.
+// The clock is left out: the operation's times are relative to the same clock, and every advance
+// passes all of them.
 std::string TimedProposer::ownBytes() const {
   return encodeValue(operationCount_) + (isBusy_ ? '1' : '0') + encodeValue(ballot_) +
          (isAcceptPhase_ ? '1' : '0');
--- a/src/model/timed_proposer.h
+++ b/src/model/timed_proposer.h
@@ -1,6 +1,6 @@
 #pragma once
-// The product's proposer under the model's clock. Time is coarse: an event says that a phase's time
-// or the operation's time has passed, and the clock leaps so far that it has.
+// The production proposer with the model's abstract clock: an event states that a phase or an
+// operation times out, and the clock advances far enough for that.
 #include <string>
 
 #include "register/proposer.h"
@@ -9,39 +9,44 @@
 
 using Sends = std::vector<std::pair<ReplicaMember, Message>>;
 
-// Later than any clock of the model: no deadline passes but by its own event.
+// Later than the clock ever gets, so that deadlines pass only by their own event.
 inline constexpr Instant kNever{std::chrono::hours(100000)};
 
-// An operation's id is its proposer's id times this, and a count.
+// An operation id is the proposer's id times this, plus a counter.
 inline constexpr std::uint64_t kOperationIdsPerProposer = 1000;
 
+// Runs one operation at a time on one proposer.
 class TimedProposer {
  public:
   explicit TimedProposer(ProposerId id);
 
-  // The operation gets the next id of this proposer.
+  // Starts an operation, with the next id of this proposer.
   Sends begin(ChangeAsked change, const ReplicaSet& replicas);
   Sends answer(const ReplicaAnswer& answer, std::vector<ChangeDone>* done);
-  // The time of the present phase has passed, and the rest before the next round too.
+  // The present phase times out, and so does the pause before the next round.
   Sends expirePhase(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
+  // The deadline of the operation passes.
   void expireDeadline(const ReplicaSet& replicas, std::vector<ChangeDone>* done);
   bool isBusy() const { return isBusy_; }
-  // Whether an answer to this request could still move the operation under way.
+  // True if an answer to a request of this ballot and phase can still affect the operation in
+  // progress.
   bool isAwaiting(const Ballot& ballot, bool isAcceptPhase) const {
     return isBusy_ && ballot == ballot_ && isAcceptPhase == isAcceptPhase_;
   }
   Instant clock() const { return clock_; }
-  // Of the operation begun last, which has a write id of its own.
+  // The write id of the operation that began last; no two operations share one.
   WriteId writeId() const {
     return WriteId{id_.value * kOperationIdsPerProposer + operationCount_};
   }
+  // The state as canonical bytes; and split in two as in Proposer, for the symmetry reduction: what
+  // does not depend on single replicas, and what one replica answered.
   std::string stateBytes() const;
-  // The same in parts, as the product's proposer has them.
   std::string sharedBytes() const;
   std::string bytesHeardFrom(StoreId store) const { return proposer_.bytesHeardFrom(store); }
 
  private:
   std::string ownBytes() const;
+  // Take ballot_, isAcceptPhase_ and isBusy_ from what the proposer sent and completed.
   void trackRound(const Sends& sends);
   void trackCompletion(const std::vector<ChangeDone>& done);
 
@@ -50,12 +55,12 @@
   Instant clock_{std::chrono::hours(1)};
   std::uint64_t operationCount_ = 0;
   bool isBusy_ = false;
-  Ballot ballot_;  // of the round under way
+  Ballot ballot_;  // of the round in progress
   bool isAcceptPhase_ = false;
 };
 
-// Operations of different proposers never share an id, as in the product's messages, which go back
-// to the address that asked.
+// The proposer that an operation id belongs to. It stands for the sender's address, to which
+// answers are sent in production.
 std::uint64_t proposerIdOf(OperationId operation);
 
 }  // namespace quayrill::model
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -151,7 +151,7 @@
   Machine machine = machines_[id];
   if (event.kind == Event::Kind::Empty) {
     --state.budgets.emptied;
-    machine.empty(emptiedStoreOf(event.actor));
+    machine.restartEmpty(emptiedStoreOf(event.actor));
   } else {
     --state.budgets.learns;
     machine.adopt(newestSet(state));
