--- a/src/model/invariants.cpp
+++ b/src/model/invariants.cpp
@@ -6,17 +6,17 @@
 namespace quayrill::model {
 
 namespace {
-// What one replica would tell a reader.
-struct View {
+// What one replica would report to a reader.
+struct ReplicaView {
   StoreId store;
   Epoch epoch;
   ConfirmedKey configuration;
-  Epoch replicaSetEpoch;  // of the set that it accepted
-  ChangeSet changes = 0;
+  Epoch replicaSetEpoch;  // of the replica set that it accepted last
+  ChangeSet changes = 0;  // in its accepted configuration
 };
 
-View viewOf(const Machine& machine, const std::vector<OperatorChange>& changes) {
-  View view;
+ReplicaView viewOf(const Machine& machine, const std::vector<OperatorChange>& changes) {
+  ReplicaView view;
   view.store = machine.replica().store();
   view.epoch = machine.replica().replicas().epoch;
   view.configuration = machine.accepted(kConfigurationKey);
@@ -27,46 +27,50 @@
   return view;
 }
 
-std::string setName(const ReplicaSet& replicas, const std::vector<const View*>& quorum) {
+std::string describeQuorum(const ReplicaSet& replicas,
+                           const std::vector<const ReplicaView*>& quorum) {
   std::string text = "epoch " + std::to_string(replicas.epoch.value) + ", replicas";
-  for (const View* view : quorum) text += " " + std::to_string(view->store.value);
+  for (const ReplicaView* view : quorum) text += " " + std::to_string(view->store.value);
   return text;
 }
 
-// A read by a proposer takes the value of the highest ballot that a majority shows it.
-std::string brokenRead(const ReplicaSet& replicas, const std::vector<const View*>& quorum,
-                       const History& history) {
-  const View* highest = quorum.front();
-  for (const View* view : quorum) {
+// A read by a proposer returns the value with the highest ballot that a majority reports.
+std::string checkQuorumRead(const ReplicaSet& replicas,
+                            const std::vector<const ReplicaView*>& quorum, const History& history) {
+  const ReplicaView* highest = quorum.front();
+  for (const ReplicaView* view : quorum) {
     if (view->configuration.acceptedAt > highest->configuration.acceptedAt) highest = view;
   }
   if ((history.acknowledged() & ~highest->changes) != 0)
     return "a quorum would read a value without an acknowledged change: " +
-           setName(replicas, quorum);
+           describeQuorum(replicas, quorum);
   if ((history.refused() & highest->changes) != 0)
-    return "a quorum would read a refused change: " + setName(replicas, quorum);
+    return "a quorum would read a refused change: " + describeQuorum(replicas, quorum);
   if (history.containsRejectedWrite(highest->configuration.value))
-    return "a quorum would read a write said to be dead: " + setName(replicas, quorum);
+    return "a quorum would read a write said to be dead: " + describeQuorum(replicas, quorum);
   return "";
 }
 
-// A read without a round asks as many as meet every majority, for both keys: where one of them
-// accepted a newer replica set the reader goes by that set, and else it must be shown the change.
-std::string brokenConfirm(const ReplicaSet& replicas, const std::vector<const View*>& asked,
-                          const History& history) {
-  ChangeSet shown = 0;
-  for (const View* view : asked) {
+// A confirmation asks, without a round, enough replicas to intersect every majority, for both keys.
+// If one of them accepted a newer replica set, the reader continues with that set; otherwise one of
+// them must report each acknowledged change.
+std::string checkConfirmation(const ReplicaSet& replicas,
+                              const std::vector<const ReplicaView*>& quorum,
+                              const History& history) {
+  ChangeSet reported = 0;
+  for (const ReplicaView* view : quorum) {
     if (view->replicaSetEpoch > replicas.epoch) return "";
-    shown |= view->changes;
+    reported |= view->changes;
   }
-  if ((history.acknowledged() & ~shown) == 0) return "";
-  return "a confirmation would miss an acknowledged change: " + setName(replicas, asked);
+  if ((history.acknowledged() & ~reported) == 0) return "";
+  return "a confirmation would miss an acknowledged change: " + describeQuorum(replicas, quorum);
 }
 
-// Those replicas that would answer a reader of this set.
-std::vector<View> answering(const ReplicaSet& replicas, const std::vector<View>& views) {
-  std::vector<View> found;
-  for (const View& view : views) {
+// The replicas that would answer a reader who knows this replica set.
+std::vector<ReplicaView> answeringReplicas(const ReplicaSet& replicas,
+                                           const std::vector<ReplicaView>& views) {
+  std::vector<ReplicaView> found;
+  for (const ReplicaView& view : views) {
     const bool isMember =
         std::any_of(replicas.members.begin(), replicas.members.end(),
                     [&](const ReplicaMember& member) { return member.store == view.store; });
@@ -75,34 +79,36 @@
   return found;
 }
 
-std::string findViolationIn(const ReplicaSet& replicas, const std::vector<View>& views,
-                            const History& history) {
-  const std::vector<View> able = answering(replicas, views);
-  const std::size_t confirming =
+// Checks the reads of every quorum that could answer under this replica set.
+std::string checkReads(const ReplicaSet& replicas, const std::vector<ReplicaView>& views,
+                       const History& history) {
+  const std::vector<ReplicaView> answering = answeringReplicas(replicas, views);
+  const std::size_t confirmationSize =
       replicas.settled ? meetsEveryMajority(replicas) : majorityOf(replicas);
-  for (std::uint32_t bits = 1; bits < (1u << able.size()); ++bits) {
-    std::vector<const View*> asked;
-    for (std::size_t i = 0; i < able.size(); ++i) {
-      if ((bits >> i) & 1) asked.push_back(&able[i]);
+  for (std::uint32_t subset = 1; subset < (1u << answering.size()); ++subset) {
+    std::vector<const ReplicaView*> quorum;
+    for (std::size_t i = 0; i < answering.size(); ++i) {
+      if ((subset >> i) & 1) quorum.push_back(&answering[i]);
     }
     std::string violation;
-    if (asked.size() == majorityOf(replicas)) violation = brokenRead(replicas, asked, history);
-    if (violation.empty() && asked.size() == confirming)
-      violation = brokenConfirm(replicas, asked, history);
+    if (quorum.size() == majorityOf(replicas))
+      violation = checkQuorumRead(replicas, quorum, history);
+    if (violation.empty() && quorum.size() == confirmationSize)
+      violation = checkConfirmation(replicas, quorum, history);
     if (!violation.empty()) return violation;
   }
   return "";
 }
 
-// Once a set is settled, whoever left it may go: what was acknowledged stands on a majority of the
-// set, counting those of its members whose disks were lost since.
-std::string brokenHolders(const ReplicaSet& newest, const std::vector<View>& views,
-                          const History& history) {
+// Once a set is settled, replicas that left it may be lost. A majority of the set must therefore
+// hold each acknowledged change; members whose disks were lost since count as holders.
+std::string checkSettledSet(const ReplicaSet& newest, const std::vector<ReplicaView>& views,
+                            const History& history) {
   if (!newest.settled) return "";
-  for (ChangeSet left = history.acknowledged(); left != 0; left &= left - 1) {
-    const ChangeSet change = left & -left;
+  for (ChangeSet remaining = history.acknowledged(); remaining != 0; remaining &= remaining - 1) {
+    const ChangeSet change = remaining & -remaining;
     std::size_t holders = newest.members.size();
-    for (const View& view : views) {
+    for (const ReplicaView& view : views) {
       const bool isMember =
           std::any_of(newest.members.begin(), newest.members.end(),
                       [&](const ReplicaMember& member) { return member.store == view.store; });
@@ -118,15 +124,15 @@
 
 std::string findViolation(const std::vector<const Machine*>& machines, const History& history,
                           const std::vector<OperatorChange>& changes) {
-  std::vector<View> views;
+  std::vector<ReplicaView> views;
   for (const Machine* machine : machines) {
     if (machine->replica().isVoting()) views.push_back(viewOf(*machine, changes));
   }
   for (const ReplicaSet& replicas : history.replicaSets()) {
-    std::string violation = findViolationIn(replicas, views, history);
+    std::string violation = checkReads(replicas, views, history);
     if (!violation.empty()) return violation;
   }
-  return brokenHolders(history.replicaSets().back(), views, history);
+  return checkSettledSet(history.replicaSets().back(), views, history);
 }
 
 }  // namespace quayrill::model
--- a/src/model/invariants.h
+++ b/src/model/invariants.h
@@ -1,5 +1,6 @@
 #pragma once
-// Invariants over what the replicas hold at one moment: every read that a quorum could end now.
+// Invariants over the replicas' present state: the results of all reads that a quorum could answer
+// now.
 #include <string>
 #include <vector>
 
@@ -8,7 +9,8 @@
 
 namespace quayrill::model {
 
-// The broken invariant in words; "" where none is. `machines`: all that run, in any order.
+// Returns a description of an invariant that is violated, or "". `machines` are all machines, in
+// any order.
 std::string findViolation(const std::vector<const Machine*>& machines, const History& history,
                           const std::vector<OperatorChange>& changes);
 
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -7,9 +7,9 @@
 namespace quayrill::model {
 
 namespace {
-constexpr std::uint64_t kFounderId = 1;  // its proposer's id, below all others
-constexpr std::uint64_t kEmptiedStoreBase =
-    100;  // a store made on an emptied disk, and the machine
+constexpr std::uint64_t kFounderId = 1;  // of the proposer that founds the set; below all others
+// A machine whose disk was emptied has the store with this id plus that of its first store.
+constexpr std::uint64_t kEmptiedStoreBase = 100;
 
 StoreId firstStoreOf(std::size_t machine) { return StoreId{machine + 1}; }
 StoreId emptiedStoreOf(std::size_t machine) { return StoreId{kEmptiedStoreBase + machine + 1}; }
@@ -52,24 +52,26 @@
     stores_.push_back(emptiedStoreOf(i));
   }
   markDistinguished();
-  const ChosenValue founded = found(&machines, replicas);
+  const ChosenValue foundedValue = foundReplicaSet(&machines, replicas);
   for (std::size_t i = 0; i < machines.size(); ++i)
     initial_.machines[i] = machines_.idOf(machines[i]);
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i)
-    initial_.callers[i] = callers_.idOf(Caller(configuration_.get(), i, founded));
+    initial_.callers[i] = callers_.idOf(Caller(configuration_.get(), i, foundedValue));
   for (std::size_t i = 0; i < configuration_->reconfigurers; ++i)
-    initial_.reconfigurers[i] = reconfigurers_.idOf(Reconfigurer(configuration_.get(), i, founded));
+    initial_.reconfigurers[i] =
+        reconfigurers_.idOf(Reconfigurer(configuration_.get(), i, foundedValue));
   initial_.history = histories_.idOf(History(replicas));
   initial_.budgets = configuration_->budgets;
 }
 
-ChosenValue World::found(std::vector<Machine>* machines, const ReplicaSet& replicas) const {
+ChosenValue World::foundReplicaSet(std::vector<Machine>* machines,
+                                   const ReplicaSet& replicas) const {
   TimedProposer founder{ProposerId{kFounderId}};
-  ChangeAsked ask;
-  ask.key = kReplicaSetKey;
-  ask.body = encodeValue(replicas);
+  ChangeAsked request;
+  request.key = kReplicaSetKey;
+  request.body = encodeValue(replicas);
   std::vector<ChangeDone> done;
-  Sends sends = founder.begin(ask, replicas);
+  Sends sends = founder.begin(request, replicas);
   while (!sends.empty()) {
     Sends next;
     for (const auto& [member, message] : sends) {
@@ -82,11 +84,11 @@
 }
 
 std::vector<Successor> World::successors(const State& state) {
-  std::vector<Successor> found;
+  std::vector<Successor> successors;
   for (const Event& event : events(state)) {
-    if (auto next = apply(state, event)) found.push_back(std::move(*next));
+    if (auto next = apply(state, event)) successors.push_back(std::move(*next));
   }
-  return found;
+  return successors;
 }
 
 std::optional<Successor> World::apply(const State& state, const Event& event) {
@@ -121,7 +123,7 @@
   const auto machine = machineOf(state, requests_[event.request].store);
   if (!machine) return false;
   const ReplicaStep& replicaStep = handle(state.machines[*machine], event.request);
-  const bool isHeard = replicaStep.answer && isAwaited(state, body);
+  const bool isAnswerAwaited = replicaStep.answer && isAwaited(state, body);
   state.machines[*machine] = replicaStep.machine;
   if (event.kind == Event::Kind::Duplicate) {
     --state.budgets.duplicates;
@@ -130,13 +132,13 @@
   }
   if (event.kind == Event::Kind::DeliverAnswerLost) {
     --state.budgets.lostAnswers;
-    return isHeard;
+    return isAnswerAwaited;
   }
-  if (!isHeard) return true;
-  Event heard = event;
-  heard.kind = Event::Kind::Deliver;
-  heard.actor = daemonOf(state, proposerIdOf(operationOf(body))).first;
-  applyDaemon(heard, *replicaStep.answer, next);
+  if (!isAnswerAwaited) return true;
+  Event delivery = event;
+  delivery.kind = Event::Kind::Deliver;
+  delivery.actor = daemonOf(state, proposerIdOf(operationOf(body))).first;
+  applyDaemon(delivery, *replicaStep.answer, next);
   return true;
 }
 
@@ -167,7 +169,7 @@
   if (event.kind == Event::Kind::DaemonLearns) --state.budgets.learns;
   PartId& daemon = event.actor < kMaxCallers ? state.callers[event.actor]
                                              : state.reconfigurers[event.actor - kMaxCallers];
-  const DaemonStep& daemonStep = step(event, daemon, argument, histories_[state.history]);
+  const DaemonStep& daemonStep = stepDaemon(event, daemon, argument, histories_[state.history]);
   daemon = daemonStep.daemon;
   state.requests.insert(state.requests.end(), daemonStep.requests.begin(),
                         daemonStep.requests.end());
@@ -213,17 +215,18 @@
   std::erase_if(state->requests, [&](PartId request) { return isRedundant(*state, request); });
 }
 
-// An Accept that leaves the replica as it is does so for ever: it was refused, and neither promise
-// nor epoch ever falls, or it was accepted before. The replica that would restart on its disk is
-// asked too, so that nothing is lost where a planted error makes the disk forget.
+// An Accept that does not change the replica now never will: either it was rejected, and promises
+// and epochs only rise, or it was accepted before. The replica as it would be after a restart is
+// tried too, since an injected defect may have kept a promise off the disk.
 bool World::isRedundant(const State& state, PartId request) {
   const auto machine = machineOf(state, requests_[request].store);
   if (!machine) return true;
   if (isAwaited(state, requests_[request].body)) return false;
   if (std::holds_alternative<Prepare>(requests_[request].body)) return true;
-  const PartId now = state.machines[*machine];
-  const PartId later = restarted(now);
-  return handle(now, request).machine == now && handle(later, request).machine == later;
+  const PartId present = state.machines[*machine];
+  const PartId afterRestart = restarted(present);
+  return handle(present, request).machine == present &&
+         handle(afterRestart, request).machine == afterRestart;
 }
 
 const World::ReplicaStep& World::handle(PartId machine, PartId request) {
@@ -242,7 +245,8 @@
   const auto found = restarted_.find(machine);
   if (found != restarted_.end()) return found->second;
   Machine changed = machines_[machine];
-  if (!changed.restart()) throw std::logic_error("a replica can't read what it wrote");
+  if (!changed.restart())
+    throw std::logic_error("model check: a replica can't restore the rows that it wrote");
   return restarted_[machine] = machines_.idOf(std::move(changed));
 }
 
--- a/src/model/world_describe.cpp
+++ b/src/model/world_describe.cpp
@@ -1,4 +1,4 @@
-// The words of a counterexample.
+// Descriptions of transitions, for printed schedules.
 #include <algorithm>
 
 #include "model/world.h"
@@ -6,7 +6,7 @@
 namespace quayrill::model {
 
 namespace {
-std::string nameOf(const Ballot& ballot) {
+std::string describeBallot(const Ballot& ballot) {
   return "(" + std::to_string(ballot.epoch.value) + "," + std::to_string(ballot.round) + "," +
          std::to_string(ballot.proposer.value) + ")";
 }
@@ -18,14 +18,14 @@
 
 std::string machineName(std::size_t index) { return "replica " + std::to_string(index + 1); }
 
-std::string setName(const ReplicaSet& replicas) {
+std::string describeReplicaSet(const ReplicaSet& replicas) {
   std::string text = "epoch " + std::to_string(replicas.epoch.value) + " {";
   for (const ReplicaMember& member : replicas.members)
     text += (text.back() == '{' ? "" : " ") + std::to_string(member.store.value);
   return text + (replicas.settled ? "} settled" : "}");
 }
 
-// The names of the orders in a set, as "a b".
+// The names of the changes in a set, separated by blanks.
 std::string changeNames(ChangeSet set, const std::vector<OperatorChange>& changes) {
   std::string text;
   for (std::size_t i = 0; i < changes.size(); ++i) {
@@ -39,29 +39,30 @@
   const Request& request = requests_[id];
   const std::string store = " to store " + std::to_string(request.store.value);
   if (const auto* prepare = std::get_if<Prepare>(&request.body))
-    return "Prepare " + nameOf(prepare->ballot) + " '" + prepare->key.value + "'" + store;
+    return "Prepare " + describeBallot(prepare->ballot) + " '" + prepare->key.value + "'" + store;
   const auto& accept = std::get<Accept>(request.body);
-  std::string text = "Accept " + nameOf(accept.ballot) + " '" + accept.key.value + "' version " +
-                     std::to_string(accept.value.version);
+  std::string text = "Accept " + describeBallot(accept.ballot) + " '" + accept.key.value +
+                     "' version " + std::to_string(accept.value.version);
   ReplicaSet replicas;
   if (accept.key == kConfigurationKey)
     text += " with " + changeNames(changesIn(accept.value.body, configuration_->changes),
                                    configuration_->changes);
   else if (decodeValue(accept.value.body, &replicas))
-    text += " " + setName(replicas);
+    text += " " + describeReplicaSet(replicas);
   return text + store;
 }
 
 std::string World::describeChanges(const State& before, const State& after) const {
-  const History& was = histories_[before.history];
-  const History& is = histories_[after.history];
+  const History& oldHistory = histories_[before.history];
+  const History& newHistory = histories_[after.history];
   std::string text;
-  if (is.acknowledged() != was.acknowledged())
-    text += "; acknowledged now: " + changeNames(is.acknowledged(), configuration_->changes);
-  if (is.refused() != was.refused())
-    text += "; refused now: " + changeNames(is.refused(), configuration_->changes);
-  if (is.replicaSets() != was.replicaSets())
-    text += "; known as chosen now: " + setName(is.replicaSets().back());
+  if (newHistory.acknowledged() != oldHistory.acknowledged())
+    text +=
+        "; acknowledged now: " + changeNames(newHistory.acknowledged(), configuration_->changes);
+  if (newHistory.refused() != oldHistory.refused())
+    text += "; refused now: " + changeNames(newHistory.refused(), configuration_->changes);
+  if (newHistory.replicaSets() != oldHistory.replicaSets())
+    text += "; known as chosen now: " + describeReplicaSet(newHistory.replicaSets().back());
   std::vector<PartId> sent;
   std::set_difference(after.requests.begin(), after.requests.end(), before.requests.begin(),
                       before.requests.end(), std::back_inserter(sent));
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -1,4 +1,4 @@
-// Which events may come in a state of the model.
+// The events that are possible in a state of the model.
 #include <bit>
 
 #include "model/world.h"
@@ -40,8 +40,8 @@
   }
 }
 
-// A call comes after the one before it has ended, and builds only on what was acknowledged: a
-// number that nobody was told is none that an operator can build on.
+// A call starts after the previous one has ended, and builds only on an acknowledged change: an
+// operator can't build on a number that was never reported.
 bool World::mayStart(const State& state, const Caller& caller) const {
   const auto change = caller.nextChange();
   if (!change) return false;
@@ -90,9 +90,10 @@
   }
 }
 
-// As the product's agent does: no step while an operation on the set's own key is under way. The
-// keys are told by any majority of members that are inside the epoch, at one moment: what is told
-// later than that can only be more, for a replica forgets no key and leaves no epoch.
+// As in production, there is no step while an operation on the replica set's own key is in
+// progress. The keys may be listed by any majority of members that have entered the epoch, all at
+// one moment: a list taken later can only be longer, since a replica drops no key and leaves no
+// epoch.
 void World::addReconfigurerSteps(const State& state, std::size_t reconfigurer,
                                  std::vector<Event>* events) const {
   const Reconfigurer& daemon = reconfigurers_[state.reconfigurers[reconfigurer]];
--- a/src/model/world_steps.cpp
+++ b/src/model/world_steps.cpp
@@ -1,4 +1,4 @@
-// What the events make of the model's daemons.
+// The effects of events on the model's daemons.
 #include <algorithm>
 
 #include "model/world.h"
@@ -6,17 +6,18 @@
 namespace quayrill::model {
 
 namespace {
-// The parts of a mover's argument.
-constexpr std::uint32_t kListed = 1, kListsConfiguration = 2;
+// The fields of a reconfigurer's argument: whether keys were listed and the configuration's key is
+// among them, the chosen membership step, and the store that its machine has now.
+constexpr std::uint32_t kKeysListed = 1, kConfigurationListed = 2;
 constexpr unsigned kChoiceShift = 4, kStoreShift = 8;
 }  // namespace
 
-const World::DaemonStep& World::step(const Event& event, PartId daemon, std::uint32_t argument,
-                                     const History& history) {
+const World::DaemonStep& World::stepDaemon(const Event& event, PartId daemon,
+                                           std::uint32_t argument, const History& history) {
   const bool isCaller = event.actor < kMaxCallers;
-  const std::uint32_t what =
+  const std::uint32_t eventCode =
       static_cast<std::uint32_t>(event.kind) * 16 + event.choice * 2u + (isCaller ? 1u : 0u);
-  const StepKey key{what, daemon, argument, history.acknowledged()};
+  const StepKey key{eventCode, daemon, argument, history.acknowledged()};
   const auto found = daemonSteps_.find(key);
   if (found != daemonSteps_.end()) return found->second;
   DaemonStep daemonStep;
@@ -53,7 +54,7 @@
     case Event::Kind::DaemonLearns:
       return caller->learn(history.replicaSets().back());
     default:
-      throw std::logic_error("no event of a caller");
+      throw std::logic_error("model check: not an event of a caller");
   }
 }
 
@@ -64,8 +65,8 @@
       return reconfigurer->answer(answers_[argument].body, effects);
     case Event::Kind::ReconfigurerSteps: {
       std::optional<std::vector<RegisterKey>> listed;
-      if ((argument & kListed) != 0) listed.emplace({kReplicaSetKey});
-      if ((argument & kListsConfiguration) != 0) listed->push_back(kConfigurationKey);
+      if ((argument & kKeysListed) != 0) listed.emplace({kReplicaSetKey});
+      if ((argument & kConfigurationListed) != 0) listed->push_back(kConfigurationKey);
       return reconfigurer->step(listed, nextReplicaSet(reconfigurer->replicas(), argument),
                                 effects);
     }
@@ -78,7 +79,7 @@
     case Event::Kind::DaemonLearns:
       return reconfigurer->learn(history.replicaSets().back());
     default:
-      throw std::logic_error("no event of a mover");
+      throw std::logic_error("model check: not an event of a reconfigurer");
   }
 }
 
@@ -94,12 +95,12 @@
     argument |= static_cast<std::uint32_t>(store.value) << kStoreShift;
   }
   if (event.quorum == 0) return argument;
-  argument |= kListed;
+  argument |= kKeysListed;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     if (((event.quorum >> i) & 1) == 0) continue;
     const auto keys = machines_[state.machines[i]].keys();
     if (std::find(keys.begin(), keys.end(), kConfigurationKey) != keys.end())
-      argument |= kListsConfiguration;
+      argument |= kConfigurationListed;
   }
   return argument;
 }
--- a/src/model/world_symmetry.cpp
+++ b/src/model/world_symmetry.cpp
@@ -1,11 +1,13 @@
-// States that differ by the names of like replicas alone.
+// Symmetry reduction: states that differ only by a permutation of interchangeable replicas have the
+// same signature.
 //
-// Replicas are alike that stand in every set of the configuration and that no membership step and
-// no planted error names. To exchange two of them in a state gives a state whose schedules are the
-// same ones with the names exchanged: the product's code treats replicas by their store ids as
-// members of sets, and takes of several answers the one of the highest ballot, which no two values
-// share. A signature therefore puts all that the state says of one replica together (its disk and
-// memory, the requests under way to it, what each daemon heard from it) and sorts these rows.
+// Replicas are interchangeable if they are in every replica set of the configuration and no
+// membership step or injected defect refers to them. Exchanging two of them in a state gives a
+// state with the same schedules, except for the exchanged names: the production code uses store ids
+// only as members of sets, and of several answers it takes the one with the highest ballot, which
+// no two values share. A signature therefore collects all that the state contains about each
+// replica (its disk and memory, the requests in flight to it, its answers to each daemon) and sorts
+// these rows.
 #include <algorithm>
 
 #include "model/world.h"
@@ -28,21 +30,21 @@
   if (configuration_->defect == Defect::MinorityRead) isDistinguished_[0] = true;
 }
 
-// One whose disk was emptied is no member any more.
+// A machine whose disk was emptied is no longer a member, and so not interchangeable with members.
 bool World::isInterchangeable(const State& state, std::size_t machine) const {
   return !isDistinguished_[machine] &&
          machines_[state.machines[machine]].replica().store() == StoreId{machine + 1};
 }
 
 template <class Daemon>
-const World::Parts& World::partsOf(PartId id, const Daemon& daemon,
-                                   std::unordered_map<PartId, Parts>* known) {
+const World::SignatureParts& World::signaturePartsOf(
+    PartId id, const Daemon& daemon, std::unordered_map<PartId, SignatureParts>* known) {
   const auto found = known->find(id);
   if (found != known->end()) return found->second;
-  Parts parts;
+  SignatureParts parts;
   parts.shared = internText(daemon.sharedBytes());
   for (const StoreId& store : stores_)
-    parts.heard.push_back(internText(daemon.bytesHeardFrom(store)));
+    parts.byStore.push_back(internText(daemon.bytesHeardFrom(store)));
   return (*known)[id] = std::move(parts);
 }
 
@@ -55,24 +57,24 @@
 PartId World::contentOfRequest(PartId request) {
   const auto found = requestContents_.find(request);
   if (found != requestContents_.end()) return found->second;
-  Request nameless = requests_[request];
-  if (auto* prepare = std::get_if<Prepare>(&nameless.body)) prepare->store = {};
-  if (auto* accept = std::get_if<Accept>(&nameless.body)) accept->store = {};
-  return requestContents_[request] = internText(nameless.stateBytes());
+  Request withoutStore = requests_[request];
+  if (auto* prepare = std::get_if<Prepare>(&withoutStore.body)) prepare->store = {};
+  if (auto* accept = std::get_if<Accept>(&withoutStore.body)) accept->store = {};
+  return requestContents_[request] = internText(withoutStore.stateBytes());
 }
 
-// All that the state says of one machine, but for the ids of its stores.
+// All that the state contains about one machine, except the ids of its stores.
 std::string World::bytesOfMachine(const State& state, std::size_t machine) {
   std::string bytes;
   append(&bytes, contentOfMachine(state.machines[machine]));
   for (std::size_t store = 2 * machine; store < 2 * machine + 2; ++store) {
     for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
       const PartId id = state.callers[i];
-      append(&bytes, partsOf(id, callers_[id], &callerParts_).heard[store]);
+      append(&bytes, signaturePartsOf(id, callers_[id], &callerParts_).byStore[store]);
     }
     for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
       const PartId id = state.reconfigurers[i];
-      append(&bytes, partsOf(id, reconfigurers_[id], &reconfigurerParts_).heard[store]);
+      append(&bytes, signaturePartsOf(id, reconfigurers_[id], &reconfigurerParts_).byStore[store]);
     }
   }
   const StoreId store = machines_[state.machines[machine]].replica().store();
@@ -92,11 +94,11 @@
   shared.requests.clear();
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
     const PartId id = state.callers[i];
-    shared.callers[i] = partsOf(id, callers_[id], &callerParts_).shared;
+    shared.callers[i] = signaturePartsOf(id, callers_[id], &callerParts_).shared;
   }
   for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
     const PartId id = state.reconfigurers[i];
-    shared.reconfigurers[i] = partsOf(id, reconfigurers_[id], &reconfigurerParts_).shared;
+    shared.reconfigurers[i] = signaturePartsOf(id, reconfigurers_[id], &reconfigurerParts_).shared;
   }
   std::string bytes = shared.bytes();
   std::vector<std::string> interchangeable;
