--- a/src/model/explorer.cpp
+++ b/src/model/explorer.cpp
@@ -14,24 +14,24 @@
 };
 
 struct FingerprintHash {
-  std::size_t operator()(const Fingerprint& print) const { return print.low; }
+  std::size_t operator()(const Fingerprint& fingerprint) const { return fingerprint.low; }
 };
 
 // The finalizer of MurmurHash3, over each byte.
-std::uint64_t mixed(std::uint64_t bits) {
+std::uint64_t mixBits(std::uint64_t bits) {
   bits = (bits ^ (bits >> 33)) * 0xff51afd7ed558ccdULL;
   bits = (bits ^ (bits >> 33)) * 0xc4ceb9fe1a85ec53ULL;
   return bits ^ (bits >> 33);
 }
 
 Fingerprint fingerprintOf(const std::string& bytes) {
-  Fingerprint print{0x9e3779b97f4a7c15ULL, 0xc2b2ae3d27d4eb4fULL};
+  Fingerprint fingerprint{0x9e3779b97f4a7c15ULL, 0xc2b2ae3d27d4eb4fULL};
   for (const char byte : bytes) {
     const auto value = static_cast<unsigned char>(byte);
-    print.low = mixed(print.low + value + 1);
-    print.high = mixed(print.high ^ (value + 0x165667b19e3779f9ULL));
+    fingerprint.low = mixBits(fingerprint.low + value + 1);
+    fingerprint.high = mixBits(fingerprint.high ^ (value + 0x165667b19e3779f9ULL));
   }
-  return print;
+  return fingerprint;
 }
 
 struct Node {
@@ -39,7 +39,7 @@
   Event event;
 };
 
-struct Waiting {
+struct QueuedState {
   std::uint32_t node = 0;
   State state;
 };
@@ -47,53 +47,53 @@
 class Search {
  public:
   Search(const Configuration& configuration, const SearchBounds& bounds)
-      : world_(configuration), bounds_(bounds) {}
+      : world_(configuration), searchBounds_(bounds) {}
 
   SearchReport run() {
     nodes_.push_back({});
-    meet(world_.initial());
-    std::vector<Waiting> level{{0, world_.initial()}};
-    while (!level.empty() && report_.violation.empty() && !isStopped_) {
-      if (report_.depth >= bounds_.depth) break;
+    visit(world_.initial());
+    std::vector<QueuedState> level{{0, world_.initial()}};
+    while (!level.empty() && report_.violation.empty() && !isBoundReached_) {
+      if (report_.depth >= searchBounds_.depth) break;
       level = expand(level);
       if (!level.empty() || !report_.violation.empty()) ++report_.depth;
     }
-    report_.isExhausted = level.empty() && report_.violation.empty() && !isStopped_;
+    report_.isExhausted = level.empty() && report_.violation.empty() && !isBoundReached_;
     report_.distinct = seen_.size();
     report_.parts = world_.partCount();
-    report_.time = std::chrono::steady_clock::now() - begun_;
+    report_.time = std::chrono::steady_clock::now() - startedAt_;
     return report_;
   }
 
  private:
-  bool meet(const State& state) {
+  bool visit(const State& state) {
     ++report_.visited;
     const std::string bytes =
-        bounds_.mergesSymmetricStates ? world_.signature(state) : state.bytes();
+        searchBounds_.mergesSymmetricStates ? world_.signature(state) : state.bytes();
     return seen_.insert(fingerprintOf(bytes)).second;
   }
 
-  bool isBounded() const {
-    return seen_.size() >= bounds_.states ||
-           std::chrono::steady_clock::now() - begun_ >= bounds_.time;
+  bool reachesBound() const {
+    return seen_.size() >= searchBounds_.states ||
+           std::chrono::steady_clock::now() - startedAt_ >= searchBounds_.time;
   }
 
-  std::vector<Waiting> expand(const std::vector<Waiting>& level) {
-    std::vector<Waiting> next;
-    for (const Waiting& waiting : level) {
-      if (isBounded()) {
-        isStopped_ = true;
+  std::vector<QueuedState> expand(const std::vector<QueuedState>& level) {
+    std::vector<QueuedState> next;
+    for (const QueuedState& queued : level) {
+      if (reachesBound()) {
+        isBoundReached_ = true;
         return next;
       }
       ++report_.expanded;
-      for (Successor& successor : world_.successors(waiting.state)) {
+      for (Successor& successor : world_.successors(queued.state)) {
         if (!successor.violation.empty()) {
           report_.violation = successor.violation;
-          tell(waiting.node, successor.event);
+          recordSchedule(queued.node, successor.event);
           return next;
         }
-        if (!meet(successor.state)) continue;
-        nodes_.push_back({waiting.node, successor.event});
+        if (!visit(successor.state)) continue;
+        nodes_.push_back({queued.node, successor.event});
         next.push_back({static_cast<std::uint32_t>(nodes_.size() - 1), std::move(successor.state)});
       }
     }
@@ -101,7 +101,7 @@
   }
 
   // Plays the schedule again, for its words.
-  void tell(std::uint32_t node, const Event& last) {
+  void recordSchedule(std::uint32_t node, const Event& last) {
     std::vector<Event> events{last};
     for (; node != 0; node = nodes_[node].parent) events.push_back(nodes_[node].event);
     State state = world_.initial();
@@ -113,12 +113,12 @@
   }
 
   World world_;
-  SearchBounds bounds_;
+  SearchBounds searchBounds_;
   SearchReport report_;
   std::vector<Node> nodes_;
   std::unordered_set<Fingerprint, FingerprintHash> seen_;
-  std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
-  bool isStopped_ = false;
+  std::chrono::steady_clock::time_point startedAt_ = std::chrono::steady_clock::now();
+  bool isBoundReached_ = false;
 };
 }  // namespace
 
