--- a/src/model/configurations.cpp
+++ b/src/model/configurations.cpp
@@ -1,3 +1,4 @@
+// The named configurations of the model check.
 #include <algorithm>
 
 #include "model/configuration.h"
@@ -10,7 +11,7 @@
 MembershipStep join(std::size_t machine) { return {Step::Kind::Join, machine}; }
 MembershipStep leave(std::size_t machine) { return {Step::Kind::Leave, machine}; }
 
-Configuration raceOf() {
+Configuration raceConfiguration() {
   Configuration race;
   race.name = "race";
   race.description = "3 replicas, two operators change the same number, faults of the network";
@@ -22,8 +23,8 @@
   return race;
 }
 
-Configuration crashOf() {
-  Configuration crash = raceOf();
+Configuration crashConfiguration() {
+  Configuration crash = raceConfiguration();
   crash.name = "crash";
   crash.description = "as race, with a replica that restarts on its disk in place of a duplicate";
   crash.budgets.duplicates = 0;
@@ -31,7 +32,7 @@
   return crash;
 }
 
-Configuration resendOf() {
+Configuration resendConfiguration() {
   Configuration resend;
   resend.name = "resend";
   resend.description =
@@ -44,7 +45,7 @@
   return resend;
 }
 
-Configuration joinOf() {
+Configuration joinConfiguration() {
   Configuration joining;
   joining.name = "join";
   joining.description = "3 replicas and one that joins, a change meanwhile";
@@ -57,8 +58,8 @@
   return joining;
 }
 
-Configuration leaveOf() {
-  Configuration leaving = joinOf();
+Configuration leaveConfiguration() {
+  Configuration leaving = joinConfiguration();
   leaving.name = "leave";
   leaving.description = "4 replicas and one that leaves, a change meanwhile";
   leaving.members = 4;
@@ -66,8 +67,8 @@
   return leaving;
 }
 
-Configuration replaceOf() {
-  Configuration replacing = joinOf();
+Configuration replaceConfiguration() {
+  Configuration replacing = joinConfiguration();
   replacing.name = "replace";
   replacing.description =
       "3 replicas, the fourth joins and then the first leaves, a change meanwhile";
@@ -76,8 +77,8 @@
   return replacing;
 }
 
-Configuration emptiedOf() {
-  Configuration emptied = joinOf();
+Configuration emptiedConfiguration() {
+  Configuration emptied = joinConfiguration();
   emptied.name = "emptied";
   emptied.description = "3 replicas, one is emptied, joins as a new store, the lost one leaves";
   emptied.machines = 3;
@@ -87,8 +88,8 @@
   return emptied;
 }
 
-Configuration rivalsOf() {
-  Configuration rivals = joinOf();
+Configuration rivalsConfiguration() {
+  Configuration rivals = joinConfiguration();
   rivals.name = "rivals";
   rivals.description = "4 replicas, two daemons take different next steps of the set, no change";
   rivals.members = 4;
@@ -101,8 +102,9 @@
 }  // namespace
 
 const std::vector<Configuration>& configurations() {
-  static const std::vector<Configuration> kAll{raceOf(),  crashOf(),   resendOf(),  joinOf(),
-                                               leaveOf(), replaceOf(), emptiedOf(), rivalsOf()};
+  static const std::vector<Configuration> kAll{
+      raceConfiguration(),  crashConfiguration(),   resendConfiguration(),  joinConfiguration(),
+      leaveConfiguration(), replaceConfiguration(), emptiedConfiguration(), rivalsConfiguration()};
   return kAll;
 }
 
--- a/src/model/explorer.cpp
+++ b/src/model/explorer.cpp
@@ -7,7 +7,8 @@
 namespace quayrill::model {
 
 namespace {
-// Of n states two share all 128 bits with a chance of about n * n / 2^129: under 1e-23 for 1e8.
+// A hash that stands for a state. Two of n states have the same 128 bits with a probability of
+// about n * n / 2^129: 1.5e-23 for 1e8 states.
 struct Fingerprint {
   std::uint64_t low = 0, high = 0;
   bool operator==(const Fingerprint&) const = default;
@@ -17,7 +18,7 @@
   std::size_t operator()(const Fingerprint& fingerprint) const { return fingerprint.low; }
 };
 
-// The finalizer of MurmurHash3, over each byte.
+// The finalizer of MurmurHash3, applied for each byte.
 std::uint64_t mixBits(std::uint64_t bits) {
   bits = (bits ^ (bits >> 33)) * 0xff51afd7ed558ccdULL;
   bits = (bits ^ (bits >> 33)) * 0xc4ceb9fe1a85ec53ULL;
@@ -34,16 +35,19 @@
   return fingerprint;
 }
 
+// How a state was first reached; the root is its own parent.
 struct Node {
   std::uint32_t parent = 0;
   Event event;
 };
 
+// A state that is still to be expanded.
 struct QueuedState {
   std::uint32_t node = 0;
   State state;
 };
 
+// One breadth-first search, level by level.
 class Search {
  public:
   Search(const Configuration& configuration, const SearchBounds& bounds)
@@ -66,6 +70,7 @@
   }
 
  private:
+  // Counts a state that was reached. Returns whether it is new.
   bool visit(const State& state) {
     ++report_.visited;
     const std::string bytes =
@@ -78,6 +83,7 @@
            std::chrono::steady_clock::now() - startedAt_ >= searchBounds_.time;
   }
 
+  // Tries all events of the states of one depth. Returns the new states of the next depth.
   std::vector<QueuedState> expand(const std::vector<QueuedState>& level) {
     std::vector<QueuedState> next;
     for (const QueuedState& queued : level) {
@@ -100,7 +106,7 @@
     return next;
   }
 
-  // Plays the schedule again, for its words.
+  // Replays the schedule that ends with `last`, to describe its events.
   void recordSchedule(std::uint32_t node, const Event& last) {
     std::vector<Event> events{last};
     for (; node != 0; node = nodes_[node].parent) events.push_back(nodes_[node].event);
--- a/src/model/modelcheck.cpp
+++ b/src/model/modelcheck.cpp
@@ -1,4 +1,5 @@
-// quayrill-modelcheck: every schedule of a small system over the product's own register code.
+// quayrill-modelcheck: explores every schedule of a small system that runs the production register
+// code.
 #include <docopt/docopt.h>
 
 #include <iostream>
@@ -19,70 +20,74 @@
 
 Options:
   --configuration=NAME  What to explore, of those that --list names [default: race].
-  --plant=ERROR         An error that must be found: unsynced-promise, unsettled-epoch,
+  --plant=ERROR         Inject a defect that must be found: unsynced-promise, unsettled-epoch,
                         minority-read or resend-as-new [default: none].
-  --states=N            Stop at so many distinct states [default: 5000000].
-  --depth=N             Stop at schedules of so many events [default: 1000].
-  --seconds=S           Stop after so long [default: 600].
+  --states=N            Stop after this many distinct states [default: 5000000].
+  --depth=N             Stop at schedules of this many events [default: 1000].
+  --seconds=S           Stop after this many seconds [default: 600].
   --lost-answers=N      How often an answer may be lost on one schedule. This and the following
-                        budgets are the configuration's own where they are not given.
-  --duplicates=N        How often a request may be delivered once more.
-  --phases=N            How often a round's time may pass.
-  --deadlines=N         How often an operation's time may pass.
-  --daemon-deaths=N     How often a proposer may end.
-  --restarts=N          How often a replica may restart on its disk.
-  --emptied=N           How often a replica may come back with an empty disk.
-  --learns=N            How often somebody may hear of a newer replica set from elsewhere.
+                        budgets default to those of the configuration.
+  --duplicates=N        How often a request may be delivered a second time.
+  --phases=N            How often a phase of a round may time out.
+  --deadlines=N         How often the deadline of an operation may pass.
+  --daemon-deaths=N     How often a daemon may end.
+  --restarts=N          How often a replica may restart with its disk.
+  --emptied=N           How often a replica may restart with an empty disk.
+  --learns=N            How often a replica or daemon may learn a newer replica set from elsewhere.
   --list                List the configurations.
   -h --help             Show this text.
   --version             Show the version.
 
-Exit codes: 0 all states were seen and no invariant broke, 1 an invariant broke (the schedule is
-shown), 2 bad usage, 3 a bound was reached before all states were seen; none broke up to there.
+Exit codes: 0 all states were seen and no invariant was violated, 1 an invariant was violated (the
+schedule is shown), 2 invalid usage, 3 a bound was reached before all states were seen, without a
+violation so far.
 )";
 
 using Flags = std::map<std::string, docopt::value>;
 using quayrill::model::Configuration;
 using quayrill::model::FaultBudgets;
 
-void takeBudget(const Flags& flags, const std::string& name, std::uint8_t* budget) {
+// Overrides a fault budget by the flag of this name, if it is given.
+void applyBudgetFlag(const Flags& flags, const std::string& name, std::uint8_t* budget) {
   const docopt::value& flag = flags.at("--" + name);
   if (!flag) return;
-  const long given = flag.asLong();
-  if (given < 0 || given > std::numeric_limits<std::uint8_t>::max())
-    throw std::invalid_argument("--" + name + " is not between 0 and 255");
-  *budget = static_cast<std::uint8_t>(given);
+  const long value = flag.asLong();
+  if (value < 0 || value > std::numeric_limits<std::uint8_t>::max())
+    throw std::invalid_argument("--" + name + " must be between 0 and 255");
+  *budget = static_cast<std::uint8_t>(value);
 }
 
-void takeBudgets(const Flags& flags, FaultBudgets* budgets) {
-  takeBudget(flags, "lost-answers", &budgets->lostAnswers);
-  takeBudget(flags, "duplicates", &budgets->duplicates);
-  takeBudget(flags, "phases", &budgets->phases);
-  takeBudget(flags, "deadlines", &budgets->deadlines);
-  takeBudget(flags, "daemon-deaths", &budgets->daemonDeaths);
-  takeBudget(flags, "restarts", &budgets->restarts);
-  takeBudget(flags, "emptied", &budgets->emptied);
-  takeBudget(flags, "learns", &budgets->learns);
+void applyBudgetFlags(const Flags& flags, FaultBudgets* budgets) {
+  applyBudgetFlag(flags, "lost-answers", &budgets->lostAnswers);
+  applyBudgetFlag(flags, "duplicates", &budgets->duplicates);
+  applyBudgetFlag(flags, "phases", &budgets->phases);
+  applyBudgetFlag(flags, "deadlines", &budgets->deadlines);
+  applyBudgetFlag(flags, "daemon-deaths", &budgets->daemonDeaths);
+  applyBudgetFlag(flags, "restarts", &budgets->restarts);
+  applyBudgetFlag(flags, "emptied", &budgets->emptied);
+  applyBudgetFlag(flags, "learns", &budgets->learns);
 }
 
 Configuration configurationFrom(const Flags& flags) {
   const std::string name = flags.at("--configuration").asString();
   auto configuration = quayrill::model::configurationByName(name);
-  if (!configuration) throw std::invalid_argument("no configuration '" + name + "': see --list");
-  const std::string planted = flags.at("--plant").asString();
-  const auto defect = quayrill::model::defectByName(planted);
-  if (!defect) throw std::invalid_argument("no error '" + planted + "' to plant: see --help");
+  if (!configuration)
+    throw std::invalid_argument("unknown configuration '" + name + "': see --list");
+  const std::string defectName = flags.at("--plant").asString();
+  const auto defect = quayrill::model::defectByName(defectName);
+  if (!defect)
+    throw std::invalid_argument("--plant: unknown defect '" + defectName + "': see --help");
   configuration->defect = *defect;
-  takeBudgets(flags, &configuration->budgets);
+  applyBudgetFlags(flags, &configuration->budgets);
   return *configuration;
 }
 
 quayrill::model::SearchBounds boundsFrom(const Flags& flags) {
   quayrill::model::SearchBounds bounds;
   const auto positive = [&](const std::string& name) {
-    const long given = flags.at(name).asLong();
-    if (given <= 0) throw std::invalid_argument(name + " is not above 0");
-    return given;
+    const long value = flags.at(name).asLong();
+    if (value <= 0) throw std::invalid_argument(name + " must be greater than 0");
+    return value;
   };
   bounds.states = static_cast<std::size_t>(positive("--states"));
   bounds.depth = static_cast<std::size_t>(positive("--depth"));
@@ -90,7 +95,8 @@
   return bounds;
 }
 
-int report(const Configuration& configuration, const quayrill::model::SearchReport& report) {
+// Prints the outcome of a search and returns the exit code.
+int printReport(const Configuration& configuration, const quayrill::model::SearchReport& report) {
   const FaultBudgets& budgets = configuration.budgets;
   std::cout << configuration.name << ": " << configuration.description << "\n"
             << "budgets: lost answers " << +budgets.lostAnswers << ", duplicates "
@@ -123,7 +129,7 @@
   }
   try {
     const Configuration configuration = configurationFrom(flags);
-    return report(configuration, quayrill::model::explore(configuration, boundsFrom(flags)));
+    return printReport(configuration, quayrill::model::explore(configuration, boundsFrom(flags)));
   } catch (const std::exception& error) {
     std::cerr << "quayrill-modelcheck: " << error.what() << "\n";
     return 2;
