--- a/src/model/state.h
+++ b/src/model/state.h
@@ -41,7 +41,7 @@
     DaemonCrash,        // a daemon ends, and a new one takes its place
     ReconfigurerSteps,  // a reconfigurer submits the next operations of its replica set change
     Restart,            // a replica's process restarts with its disk
-    Empty,              // a replica's machine restarts with an empty disk
+    RestartEmpty,       // a replica's machine restarts with an empty disk
     ReplicaLearns,      // a replica learns the newest replica set
     DaemonLearns,       // a daemon learns the newest replica set
   };
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -100,7 +100,7 @@
       if (!applyDelivery(event, &next)) return std::nullopt;
       break;
     case Event::Kind::Restart:
-    case Event::Kind::Empty:
+    case Event::Kind::RestartEmpty:
     case Event::Kind::ReplicaLearns:
       applyMachine(event, &next);
       break;
@@ -151,7 +151,7 @@
     return;
   }
   Machine machine = machines_[id];
-  if (event.kind == Event::Kind::Empty) {
+  if (event.kind == Event::Kind::RestartEmpty) {
     --state.budgets.emptied;
     machine.restartEmpty(emptiedStoreOf(event.actor));
   } else {
--- a/src/model/world_describe.cpp
+++ b/src/model/world_describe.cpp
@@ -102,7 +102,7 @@
     case Event::Kind::Restart:
       text = machineName(event.actor) + " restarts on its disk";
       break;
-    case Event::Kind::Empty:
+    case Event::Kind::RestartEmpty:
       text = machineName(event.actor) + " comes back with an empty disk";
       break;
     case Event::Kind::ReplicaLearns:
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -131,7 +131,7 @@
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     const RegisterReplica& replica = machines_[state.machines[i]].replica();
     if (state.budgets.restarts > 0) events->push_back(makeEvent(Event::Kind::Restart, i));
-    if (state.budgets.emptied > 0) events->push_back(makeEvent(Event::Kind::Empty, i));
+    if (state.budgets.emptied > 0) events->push_back(makeEvent(Event::Kind::RestartEmpty, i));
     if (state.budgets.learns > 0 && isNewer(newest, replica.replicas()))
       events->push_back(makeEvent(Event::Kind::ReplicaLearns, i));
   }
