--- a/src/model/world.h
+++ b/src/model/world.h
@@ -73,7 +73,7 @@
   // A daemon's state, split for the signature of a state.
   struct SignatureParts {
     PartId shared = 0;            // what does not depend on single replicas
-    std::vector<PartId> byStore;  // what was heard from each store, in the order of stores_
+    std::vector<PartId> byStore;  // what each store answered, in the order of stores_
   };
   // The result of a replica's handling of a request.
   struct ReplicaStep {
@@ -107,7 +107,8 @@
   bool applyDelivery(const Event& event, Successor* next);
   void applyMachine(const Event& event, Successor* next);
   // `argument`: what the step depends on besides the event, the daemon and the history. For a
-  // delivery, the id of the answer; for a reconfigurer's step, see reconfigurerArgument.
+  // delivery, the id of the answer; for ReconfigurerSteps, see reconfigurerArgument; for
+  // DaemonLearns, the id of the history.
   void applyDaemon(const Event& event, std::uint32_t argument, Successor* next);
 
   const DaemonStep& stepDaemon(const Event& event, PartId daemon, std::uint32_t argument,
