--- a/tests/losses_tests.cpp
+++ b/tests/losses_tests.cpp
@@ -1,4 +1,5 @@
-// Losses queued as closely as the losses to bear allow, over many seeds.
+// Machine losses that follow each other as closely as the tolerated number of simultaneous losses
+// permits, over many seeds.
 #include <catch2/catch.hpp>
 
 #include <cstdlib>
@@ -13,21 +14,24 @@
 namespace {
 using Seconds = std::chrono::duration<double>;
 
-// More seeds by hand: QUAYRILL_SEEDS.
-std::uint64_t seedsOr(std::uint64_t usual) {
-  const char* asked = std::getenv("QUAYRILL_SEEDS");
-  return asked ? std::strtoull(asked, nullptr, 10) : usual;
+// The environment variable QUAYRILL_SEEDS overrides the number of seeds, for long manual runs, and
+// prints the statistics.
+std::uint64_t seedsOr(std::uint64_t defaultSeeds) {
+  const char* requested = std::getenv("QUAYRILL_SEEDS");
+  return requested ? std::strtoull(requested, nullptr, 10) : defaultSeeds;
 }
 
-struct Sum {
+// Statistics over all losses of one kind.
+struct RepairStatistics {
   std::size_t losses = 0, unrepaired = 0;
-  Span slowest{}, leastMargin = 1h;
+  Span slowest{}, leastMargin = 1h;  // margin: from the repair until the next loss was permitted
   std::uint64_t epochs = 0;
 };
 
-// Runs all seeds, checks what must hold in each, and returns the repairs by kind.
-std::map<LossKind, Sum> checkLosses(LossesSettings settings, std::uint64_t seeds, Span longestGap) {
-  std::map<LossKind, Sum> sums;
+// Runs all seeds, checks the guarantees of each run and returns the repair statistics by kind.
+std::map<LossKind, RepairStatistics> checkLosses(LossesSettings settings, std::uint64_t seeds,
+                                                 Span longestGap) {
+  std::map<LossKind, RepairStatistics> statisticsByKind;
   Span gap{};
   for (settings.seed = 1; settings.seed <= seeds; ++settings.seed) {
     const LossesResult result = runLosses(settings);
@@ -40,42 +44,44 @@
     gap = std::max(gap, result.longestGap);
     for (const auto& violation : result.violations) FAIL_CHECK(violation.what);
     for (const LossOutcome& outcome : result.outcomes) {
-      Sum& sum = sums[outcome.kind];
-      ++sum.losses;
-      sum.epochs += outcome.epochs;
+      RepairStatistics& statistics = statisticsByKind[outcome.kind];
+      ++statistics.losses;
+      statistics.epochs += outcome.epochs;
       if (!outcome.repairedAfter) {
-        ++sum.unrepaired;
+        ++statistics.unrepaired;
         continue;
       }
-      sum.slowest = std::max(sum.slowest, *outcome.repairedAfter);
-      sum.leastMargin =
-          std::min(sum.leastMargin, outcome.nextLossAllowedAfter - *outcome.repairedAfter);
+      statistics.slowest = std::max(statistics.slowest, *outcome.repairedAfter);
+      statistics.leastMargin =
+          std::min(statistics.leastMargin, outcome.nextLossAllowedAfter - *outcome.repairedAfter);
     }
   }
-  if (!std::getenv("QUAYRILL_SEEDS")) return sums;
+  if (!std::getenv("QUAYRILL_SEEDS")) return statisticsByKind;
   std::cout << settings.diskMachines << " machines, " << settings.tolerate << " to bear, " << seeds
             << " seeds: longest gap between acknowledged changes " << Seconds(gap).count()
             << " s\n";
-  for (const auto& [kind, sum] : sums)
-    std::cout << "  " << nameOf(kind) << ": " << sum.losses << " losses, " << sum.unrepaired
-              << " not repaired in time, slowest " << Seconds(sum.slowest).count()
-              << " s, least margin " << Seconds(sum.leastMargin).count() << " s, steps "
-              << static_cast<double>(sum.epochs) / static_cast<double>(sum.losses) << "\n";
-  return sums;
+  for (const auto& [kind, statistics] : statisticsByKind)
+    std::cout << "  " << nameOf(kind) << ": " << statistics.losses << " losses, "
+              << statistics.unrepaired << " not repaired in time, slowest "
+              << Seconds(statistics.slowest).count() << " s, least margin "
+              << Seconds(statistics.leastMargin).count() << " s, steps "
+              << static_cast<double>(statistics.epochs) / static_cast<double>(statistics.losses)
+              << "\n";
+  return statisticsByKind;
 }
 }  // namespace
 
 TEST_CASE("sim losses: one at a time of four machines, queued at the bound, leave all repaired") {
   LossesSettings settings;
-  const auto sums = checkLosses(settings, seedsOr(12), 5s);
-  for (const auto& [kind, sum] : sums) {
+  const auto statisticsByKind = checkLosses(settings, seedsOr(12), 5s);
+  for (const auto& [kind, statistics] : statisticsByKind) {
     INFO(nameOf(kind));
-    CHECK(sum.unrepaired == 0);
-    // One that is told to end votes for 3 s more, so the next loss may come before it is replaced.
+    CHECK(statistics.unrepaired == 0);
+    // A leaving machine votes for another 3 s, so the next loss may come before it is replaced.
     if (kind == LossKind::Replaced)
-      CHECK(sum.slowest < 3s);
+      CHECK(statistics.slowest < 3s);
     else
-      CHECK(sum.leastMargin > 300ms);
+      CHECK(statistics.leastMargin > 300ms);
   }
 }
 
@@ -101,17 +107,17 @@
   LossesSettings settings;
   settings.kinds = {LossKind::Replaced, LossKind::Wiped};
   settings.losses = 6;
-  const auto sums = checkLosses(settings, seedsOr(12), 5s);
-  for (const auto& [kind, sum] : sums) {
+  const auto statisticsByKind = checkLosses(settings, seedsOr(12), 5s);
+  for (const auto& [kind, statistics] : statisticsByKind) {
     INFO(nameOf(kind));
-    CHECK(sum.unrepaired == 0);
-    CHECK((kind == LossKind::Replaced ? sum.slowest < 3s : sum.leastMargin > 300ms));
+    CHECK(statistics.unrepaired == 0);
+    CHECK((kind == LossKind::Replaced ? statistics.slowest < 3s : statistics.leastMargin > 300ms));
   }
 }
 
 TEST_CASE("sim losses: a plain restart costs no step of the replica set") {
   LossesSettings settings;
   settings.kinds = {LossKind::Restarted};
-  const auto sums = checkLosses(settings, seedsOr(6), 5s);
-  CHECK(sums.at(LossKind::Restarted).epochs == 0);
+  const auto statisticsByKind = checkLosses(settings, seedsOr(6), 5s);
+  CHECK(statisticsByKind.at(LossKind::Restarted).epochs == 0);
 }
--- a/tests/model_tests.cpp
+++ b/tests/model_tests.cpp
@@ -1,5 +1,5 @@
-// The model check: small systems over the product's own register code, schedule by schedule. Each
-// search has a floor of distinct states, so that one that explores nothing fails.
+// Model checks of small systems that run the production register code. Each search must reach a
+// minimum of distinct states, so that a search that explores nothing fails.
 #include <catch2/catch.hpp>
 
 #include "model/explorer.h"
@@ -9,7 +9,7 @@
 using namespace quayrill::model;
 
 namespace {
-Configuration named(const std::string& name) {
+Configuration configurationNamed(const std::string& name) {
   const auto configuration = configurationByName(name);
   REQUIRE(configuration);
   return *configuration;
@@ -18,7 +18,8 @@
 SearchReport search(const Configuration& configuration, std::size_t states) {
   SearchBounds bounds;
   bounds.states = states;
-  bounds.time = std::chrono::seconds(250);  // a loaded machine: the states are the bound
+  // Generous for a loaded machine, so that the number of states is the effective bound.
+  bounds.time = std::chrono::seconds(250);
   SearchReport report = explore(configuration, bounds);
   std::string schedule;
   for (const std::string& event : report.schedule) schedule += "\n  " + event;
@@ -34,33 +35,33 @@
   return configuration;
 }
 
-// The smallest systems in which each planted error shows, and the same ones without it.
+// The smallest systems in which each injected defect can be detected.
 Configuration unsyncedPromise() {
-  Configuration configuration = withoutFaults(named("crash"));
+  Configuration configuration = withoutFaults(configurationNamed("crash"));
   configuration.budgets.restarts = 1;
   configuration.defect = Defect::UnsyncedPromise;
   return configuration;
 }
 Configuration unsettledEpoch() {
-  Configuration configuration = named("replace");
+  Configuration configuration = configurationNamed("replace");
   configuration.defect = Defect::UnsettledEpoch;
   return configuration;
 }
 Configuration minorityRead() {
-  Configuration configuration = withoutFaults(named("race"));
+  Configuration configuration = withoutFaults(configurationNamed("race"));
   configuration.defect = Defect::MinorityRead;
   return configuration;
 }
 Configuration resendAsNew() {
-  Configuration configuration = withoutFaults(named("resend"));
+  Configuration configuration = withoutFaults(configurationNamed("resend"));
   configuration.changes.resize(1);
   configuration.calls = {{0}, {0}};
   configuration.defect = Defect::ResendAsNew;
   return configuration;
 }
 
-// The error is found, and up to twice as many states without it are clean.
-SearchReport checkPlanted(Configuration configuration, std::size_t states) {
+// Checks that the defect is detected, and that twice as many states without it have no violation.
+SearchReport checkDetected(Configuration configuration, std::size_t states) {
   SearchReport found = search(configuration, states);
   CHECK_FALSE(found.violation.empty());
   CHECK(found.schedule.size() == found.depth);
@@ -71,10 +72,10 @@
   return found;
 }
 
-// A named configuration, with all of its faults, up to a bound that the test prints.
+// Searches a named configuration, with all its faults, up to a bound on the states.
 void checkNamed(const std::string& name) {
   constexpr std::size_t kStates = 30'000;
-  const SearchReport report = search(named(name), kStates);
+  const SearchReport report = search(configurationNamed(name), kStates);
   CHECK(report.violation.empty());
   CHECK((report.isExhausted || report.distinct >= kStates));
   CHECK(report.distinct > 5'000);
@@ -89,34 +90,35 @@
 }  // namespace
 
 TEST_CASE("model: a race of two operators without faults is exhausted and holds") {
-  const SearchReport report = search(withoutFaults(named("race")), 1'000'000);
+  const SearchReport report = search(withoutFaults(configurationNamed("race")), 1'000'000);
   CHECK(report.violation.empty());
   CHECK(report.isExhausted);
   CHECK(report.distinct > 4'000);
   CHECK(report.depth >= 20);
 }
 
-// Three like replicas: at most six states become one, and no depth is lost.
+// Three interchangeable replicas have six permutations, so at most six states are merged into one,
+// and the depth does not change.
 TEST_CASE("model: merging states of like replicas loses none") {
-  const Configuration race = withoutFaults(named("race"));
-  SearchBounds each;
-  each.mergesSymmetricStates = false;
+  const Configuration race = withoutFaults(configurationNamed("race"));
+  SearchBounds withoutMerging;
+  withoutMerging.mergesSymmetricStates = false;
   const SearchReport merged = explore(race, {});
-  const SearchReport apart = explore(race, each);
+  const SearchReport unmerged = explore(race, withoutMerging);
   REQUIRE(merged.isExhausted);
-  REQUIRE(apart.isExhausted);
-  CHECK(merged.depth == apart.depth);
-  CHECK(merged.distinct < apart.distinct);
-  CHECK(6 * merged.distinct >= apart.distinct);
-  const SearchReport foundMerged = explore(unsyncedPromise(), {});
-  const SearchReport foundApart = explore(unsyncedPromise(), each);
-  CHECK_FALSE(foundMerged.violation.empty());
-  CHECK(foundMerged.depth == foundApart.depth);
+  REQUIRE(unmerged.isExhausted);
+  CHECK(merged.depth == unmerged.depth);
+  CHECK(merged.distinct < unmerged.distinct);
+  CHECK(6 * merged.distinct >= unmerged.distinct);
+  const SearchReport defectMerged = explore(unsyncedPromise(), {});
+  const SearchReport defectUnmerged = explore(unsyncedPromise(), withoutMerging);
+  CHECK_FALSE(defectMerged.violation.empty());
+  CHECK(defectMerged.depth == defectUnmerged.depth);
 }
 
-// A round that is given up, and its Accept that comes late: what a conflict says must still hold.
+// A round is abandoned and its Accept is delivered late: a reported conflict must remain true.
 TEST_CASE("model: a race in which one round's time passes is exhausted and holds") {
-  Configuration race = withoutFaults(named("race"));
+  Configuration race = withoutFaults(configurationNamed("race"));
   race.budgets.phases = 1;
   const SearchReport report = search(race, 1'000'000);
   CHECK(report.violation.empty());
@@ -140,25 +142,25 @@
 }
 
 TEST_CASE("model: finds a promise that was answered before it was on the disk") {
-  const SearchReport found = checkPlanted(unsyncedPromise(), 400'000);
+  const SearchReport found = checkDetected(unsyncedPromise(), 400'000);
   CHECK(found.violation.find("without an acknowledged change") != std::string::npos);
-  Configuration unharmed = unsyncedPromise();
-  unharmed.budgets.restarts = 0;  // memory still knows what the disk does not
-  CHECK(search(unharmed, 1'000'000).violation.empty());
+  Configuration withoutRestarts = unsyncedPromise();
+  withoutRestarts.budgets.restarts = 0;  // the promise is still in memory
+  CHECK(search(withoutRestarts, 1'000'000).violation.empty());
 }
 
 TEST_CASE("model: finds a replica set that follows one that is not settled") {
-  const SearchReport found = checkPlanted(unsettledEpoch(), 400'000);
+  const SearchReport found = checkDetected(unsettledEpoch(), 400'000);
   CHECK(found.violation.find("without an acknowledged change: epoch 3") != std::string::npos);
 }
 
 TEST_CASE("model: finds a read that asks a minority") {
-  const SearchReport found = checkPlanted(minorityRead(), 100'000);
+  const SearchReport found = checkDetected(minorityRead(), 100'000);
   CHECK(found.violation.find("acknowledged before it began") != std::string::npos);
 }
 
 TEST_CASE("model: finds a change sent again that is judged as a new one") {
-  const SearchReport found = checkPlanted(resendAsNew(), 100'000);
+  const SearchReport found = checkDetected(resendAsNew(), 100'000);
   CHECK(found.violation.find("refused") != std::string::npos);
 }
 
--- a/tests/scenario_tests.cpp
+++ b/tests/scenario_tests.cpp
@@ -1,4 +1,4 @@
-// The named scenarios of the simulator, tens of seeds each; `quayrill-sim --scenario` runs
+// The named scenarios of the simulator, with a few seeds each; `quayrill-sim --scenario` can run
 // thousands.
 #include <catch2/catch.hpp>
 
@@ -17,8 +17,8 @@
     for (const std::string& what : result.violations) FAIL_CHECK(what);
   }
 }
-// Some seed finds the planted error.
-bool isFound(NamedScenarioResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
+// True if the scenario detects its injected defect with one of the seeds.
+bool detectsDefect(NamedScenarioResult (*run)(std::uint64_t, bool), std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     if (!run(seed, true).violations.empty()) return true;
   }
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("scenario: planted errors are found") {
-  CHECK(isFound(runCutOff, 2));
-  CHECK(isFound(runRacingOperators, 2));
-  CHECK(isFound(runManyChanges, 4));
+  CHECK(detectsDefect(runCutOff, 2));
+  CHECK(detectsDefect(runRacingOperators, 2));
+  CHECK(detectsDefect(runManyChanges, 4));
 }
