--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -1,3 +1,5 @@
+// Tests of the control plane in the simulator: consistency, recovery and convergence under faults,
+// and that the checkers detect injected defects.
 #include <catch2/catch.hpp>
 
 #include "sim/scenario.h"
@@ -33,15 +35,15 @@
   World world(settings);
   REQUIRE(runUntilFounded(world, 60s));
   const std::uint64_t fleet = world.core(5).freshness().replicas().fleet;
-  // Machine 0 is the one that may found. It comes back empty.
+  // Machine 0, which may found a fleet, restarts with an empty disk.
   world.crash(0, true);
   world.wipeDisk(0);
   world.start(0);
-  const StoreId fresh = world.core(0).store();
+  const StoreId newStore = world.core(0).store();
   world.run(40s);
   CHECK(world.core(0).freshness().replicas().fleet == fleet);
   CHECK(world.core(0).freshness().replicas().members.size() == 4);
-  CHECK(world.core(0).store() == fresh);
+  CHECK(world.core(0).store() == newStore);
   CHECK(world.core(0).isVoting());
   CHECK(world.violations().empty());
 }
@@ -55,7 +57,7 @@
     const std::uint64_t id = world.change(6, 0, "kept");
     for (int i = 0; i < 400 && !world.operationById(id).done; ++i) world.run(5ms);
     REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
-    // Right after the yes: all lose power, and one its disk.
+    // Immediately after the acknowledgement all machines lose power, and one its disk.
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.crash(i, true);
     world.wipeDisk(seed % 4);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.start(i);
@@ -67,14 +69,14 @@
 }
 
 TEST_CASE("sim: the unsynced answer and the reused store are tripped by the same history") {
-  const auto lostWith = [](bool unsynced, bool reused) {
-    std::size_t lost = 0;
+  const auto seedsWithViolations = [](bool unsynced, bool reused) {
+    std::size_t failedSeeds = 0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       WorldSettings settings;
       settings.seed = seed;
       World world(settings);
       runUntilFounded(world, 60s);
-      // One replica hears nothing of the change; then others fail as planted.
+      // One replica does not receive the change; then others fail according to the defect.
       world.setPartitioned({3}, true);
       world.injectDefects(unsynced, reused);
       const std::uint64_t id = world.change(0, 0, "kept");
@@ -91,12 +93,12 @@
       if (reused) world.crash(2, false);
       world.run(20s);
       world.checkHistory();
-      lost += world.violations().empty() ? 0 : 1;
+      failedSeeds += world.violations().empty() ? 0 : 1;
     }
-    return lost;
+    return failedSeeds;
   };
-  CHECK(lostWith(true, false) > 0);
-  CHECK(lostWith(false, true) > 0);
+  CHECK(seedsWithViolations(true, false) > 0);
+  CHECK(seedsWithViolations(false, true) > 0);
 }
 
 TEST_CASE("sim: a cut-off daemon stops vouching, and a frozen one wakes unconfirmed") {
@@ -104,7 +106,7 @@
   settings.seed = 4;
   World world(settings);
   REQUIRE(runUntilFounded(world, 60s));
-  const auto age = [&](std::size_t machine) {
+  const auto confirmationAge = [&](std::size_t machine) {
     return world.localNow(machine) - *world.core(machine).freshness().confirmedAt();
   };
   world.setPartitioned({7}, true);
@@ -112,10 +114,10 @@
   const std::uint64_t id = world.change(5, 0, "newer");
   world.run(4s);
   REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
-  CHECK(age(7) > 3s);
+  CHECK(confirmationAge(7) > 3s);
   CHECK(world.core(7).freshness().configuration().value.version == 0);
-  CHECK(age(8) > 3s);
-  CHECK(age(9) < 1s);
+  CHECK(confirmationAge(8) > 3s);
+  CHECK(confirmationAge(9) < 1s);
   CHECK(world.core(9).freshness().configuration().value.body == "newer");
   world.healAll();
   world.run(5s);
@@ -145,53 +147,54 @@
     const std::size_t second = holder();
     CHECK(second < world.size());
     CHECK(second != first);
-    world.run(10s);  // the first wakes
+    world.run(10s);  // the first holder resumes
     CHECK(world.violations().empty());
   }
 }
 
 TEST_CASE("sim: each planted error trips its checker") {
-  const auto brokenWith = [](auto injectDefects) {
-    std::size_t broken = 0;
+  const auto seedsWithViolations = [](auto injectDefect) {
+    std::size_t failedSeeds = 0;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       WorldSettings settings;
       settings.seed = seed;
-      injectDefects(settings);
-      broken += runScenario(settings, 40s).violations.empty() ? 0 : 1;
+      injectDefect(settings);
+      failedSeeds += runScenario(settings, 40s).violations.empty() ? 0 : 1;
     }
-    return broken;
+    return failedSeeds;
   };
-  CHECK(brokenWith([](WorldSettings& settings) { settings.injectStaleConfirm = true; }) > 0);
-  CHECK(brokenWith([](WorldSettings&) {}) == 0);
+  CHECK(seedsWithViolations([](WorldSettings& settings) { settings.injectStaleConfirm = true; }) >
+        0);
+  CHECK(seedsWithViolations([](WorldSettings&) {}) == 0);
 }
 
 TEST_CASE("sim: a rival whose clock runs six times too fast takes a lease before it ended") {
-  const auto overlaps = [](bool fast) {
-    std::size_t broken = 0;
+  const auto seedsWithViolations = [](bool fastClocks) {
+    std::size_t failedSeeds = 0;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       WorldSettings settings;
       settings.seed = seed;
       settings.diskMachines = 5;  // three of them are a majority
-      settings.injectFastClocks = fast;
+      settings.injectFastClocks = fastClocks;
       World world(settings);
       runUntilFounded(world, 60s);
-      // Every other machine, the fast ones, is away until a sound one holds the leader role.
-      std::set<std::size_t> everyOther;
-      for (std::size_t i = 1; i < world.size(); i += 2) everyOther.insert(i);
-      world.setPartitioned(everyOther, true);
+      // The machines with fast clocks are isolated until others hold all leader roles.
+      std::set<std::size_t> fastMachines;
+      for (std::size_t i = 1; i < world.size(); i += 2) fastMachines.insert(i);
+      world.setPartitioned(fastMachines, true);
       world.run(8s);
-      // Some of them fall to a fast one as soon as it is back.
+      // Some of these roles are assigned to a fast machine as soon as it is back.
       for (const char* role : {"orders/x", "orders/y", "orders/z", "orders/u", "orders/v"})
         world.addLeaderRole(role);
       world.run(8s);
       world.healAll();
       world.run(10s);
-      broken += world.violations().empty() ? 0 : 1;
+      failedSeeds += world.violations().empty() ? 0 : 1;
     }
-    return broken;
+    return failedSeeds;
   };
-  CHECK(overlaps(true) > 0);
-  CHECK(overlaps(false) == 0);
+  CHECK(seedsWithViolations(true) > 0);
+  CHECK(seedsWithViolations(false) == 0);
 }
 
 TEST_CASE("sim: the replica set never shrinks below three while it replaces what was lost") {
@@ -199,10 +202,10 @@
   settings.seed = 21;
   World world(settings);
   REQUIRE(runUntilFounded(world, 60s));
-  world.crash(3, true);  // for a while
+  world.crash(3, true);  // temporarily
   world.run(20s);
   REQUIRE(world.core(0).freshness().replicas().members.size() == 3);
-  // One of the three is lost as well, and has been gone for long when an empty machine comes.
+  // One of the three is lost as well, and some time later an empty machine replaces it.
   world.crash(2, true);
   world.run(12s);
   world.wipeDisk(2);
@@ -236,7 +239,7 @@
   for (std::size_t machine = 0; machine < 4; ++machine) {
     world.replace(machine);
     change(8);
-    // Edges restart in between, with the seeds they were first given.
+    // An edge machine restarts in between, with its original seeds.
     world.crash(9, false);
     if (machine < 2) world.start(9);
     world.run(45s);
@@ -264,10 +267,10 @@
     world.run(2s);
     REQUIRE(world.operationById(first).done->result == ChangeResult::Chosen);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.setDiskFailing(i, true);
-    const std::uint64_t refused = world.change(7, 1, "while full");
+    const std::uint64_t failing = world.change(7, 1, "while full");
     world.run(5s);
-    REQUIRE(world.operationById(refused).done);
-    CHECK(world.operationById(refused).done->result != ChangeResult::Chosen);
+    REQUIRE(world.operationById(failing).done);
+    CHECK(world.operationById(failing).done->result != ChangeResult::Chosen);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) CHECK_FALSE(world.core(i).isVoting());
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.repairDisk(i);
     world.run(10s);
@@ -284,12 +287,13 @@
 }
 
 namespace {
-// The majority's disks are lost, and the register is founded again on machine `survivor`.
-struct Recovered {
+// A fleet with one acknowledged change, in which a majority of the disks is then lost and the
+// register is founded again.
+struct RecoveryFleet {
   WorldSettings settings;
   World world;
   std::uint64_t oldFleet = 0;
-  explicit Recovered(std::uint64_t seed) : settings{seed}, world(settings) {
+  explicit RecoveryFleet(std::uint64_t seed) : settings{seed}, world(settings) {
     REQUIRE(runUntilFounded(world, 60s));
     oldFleet = world.core(6).freshness().replicas().fleet;
     const std::uint64_t id = world.change(6, 0, "kept");
@@ -300,7 +304,7 @@
                                std::uint64_t version) {
     return world.recover(survivor, given, version);
   }
-  void lose(std::size_t machine) {
+  void replaceDisk(std::size_t machine) {
     world.crash(machine, true);
     world.wipeDisk(machine);
     world.start(machine);
@@ -310,12 +314,12 @@
 
 TEST_CASE("sim: with a majority of disks lost the fleet stays closed until it is founded again") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    Recovered fleet(seed);
+    RecoveryFleet fleet(seed);
     World& world = fleet.world;
     CHECK(fleet.recover(0, "", 0).turnedAway.find("majority answered") != std::string::npos);
     CHECK(fleet.recover(8, "", 0).turnedAway.find("no sound register replica") !=
           std::string::npos);
-    for (std::size_t i : {1U, 2U, 3U}) fleet.lose(i);
+    for (std::size_t i : {1U, 2U, 3U}) fleet.replaceDisk(i);
     world.run(30s);
     CHECK_FALSE(world.isConverged());
     CHECK(world.core(8).freshness().replicas().fleet == fleet.oldFleet);
@@ -341,14 +345,14 @@
     "sim: all disks lost, a saved configuration founds again; a replica of the old fleet never "
     "votes") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    Recovered fleet(seed);
+    RecoveryFleet fleet(seed);
     World& world = fleet.world;
-    world.crash(3, false);  // away, with its disk
+    world.crash(3, false);  // down, with its disk intact
     world.run(1s);
-    for (std::size_t i : {0U, 1U, 2U}) fleet.lose(i);
+    for (std::size_t i : {0U, 1U, 2U}) fleet.replaceDisk(i);
     world.run(30s);
     CHECK_FALSE(world.isConverged());
-    // The empty machine knows no configuration, and the edges serve by one.
+    // The empty machine knows no configuration, while the edge machines still serve by one.
     CHECK(fleet.recover(1, "", 0).turnedAway.find("saved") != std::string::npos);
     const auto made = fleet.recover(1, "saved", 1);
     REQUIRE(made.turnedAway.empty());
@@ -362,7 +366,8 @@
     CHECK(world.core(10).freshness().replicas().members.size() == 3);
     CHECK(world.core(3).freshness().replicas().fleet == made.replicas.fleet);
     CHECK(world.core(3).freshness().configuration().value.body == "saved");
-    // Started again, it still knows that it is disowned, even alone with its old kind.
+    // After another restart it still knows that its store is disowned, even while it is isolated
+    // from the new fleet.
     world.crash(3, false);
     world.setPartitioned({3}, true);
     world.start(3);
