--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "model/operator_changes.h"
+#include "model/orders.h"
 
 namespace quayrill::model {
 
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "model/observation.h"
+#include "model/observed.h"
 
 namespace quayrill::model {
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "model/operator_changes.h"
+#include "model/orders.h"
 #include "register/replica.h"
 
 namespace quayrill::model {
--- a/src/model/reconfigurer.cpp
+++ b/src/model/mover.cpp
@@ -1,4 +1,4 @@
-#include "model/reconfigurer.h"
+#include "model/mover.h"
 
 namespace quayrill::model {
 
--- a/src/model/operator_changes.cpp
+++ b/src/model/orders.cpp
@@ -1,4 +1,4 @@
-#include "model/operator_changes.h"
+#include "model/orders.h"
 
 #include <algorithm>
 #include <sstream>
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -27,7 +27,7 @@
 #include "model/history.h"
 #include "model/interned.h"
 #include "model/machine.h"
-#include "model/reconfigurer.h"
+#include "model/mover.h"
 #include "model/state.h"
 
 namespace quayrill::model {
