--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -13,6 +13,8 @@
   freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
+// Two ids from 50 for each reconfigurer, and others for each incarnation; callers use those
+// from 10.
 std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
   return 50 + kProposers * index_ + proposer + 100 * incarnation_;
 }
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -100,9 +100,9 @@
   if (daemon.isBusy(0)) return;
   const ReplicaSet& replicas = daemon.replicas();
   Event event = makeEvent(Event::Kind::ReconfigurerSteps, kMaxCallers + reconfigurer);
-  const bool mayMove = replicas.settled || configuration_->defect == Defect::UnsettledEpoch;
+  const bool mayChangeSet = replicas.settled || configuration_->defect == Defect::UnsettledEpoch;
   const std::size_t index = replicas.epoch.value - 1;
-  if (mayMove && index < configuration_->steps.size()) {
+  if (mayChangeSet && index < configuration_->steps.size()) {
     for (std::size_t i = 0; i < configuration_->steps[index].size(); ++i) {
       event.choice = static_cast<std::uint8_t>(i);
       events->push_back(event);
@@ -111,15 +111,15 @@
   }
   events->push_back(event);
   if (replicas.settled) return;
-  std::uint8_t inside = 0;
+  std::uint8_t membersInEpoch = 0;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     const RegisterReplica& replica = machines_[state.machines[i]].replica();
     if (replica.replicas().epoch == replicas.epoch && replica.isMember())
-      inside = static_cast<std::uint8_t>(inside | (1u << i));
+      membersInEpoch = static_cast<std::uint8_t>(membersInEpoch | (1u << i));
   }
-  for (unsigned quorum = 1; quorum <= inside; ++quorum) {
-    const bool isInside = (quorum & ~static_cast<unsigned>(inside)) == 0;
-    if (!isInside || static_cast<std::size_t>(std::popcount(quorum)) != majorityOf(replicas))
+  for (unsigned quorum = 1; quorum <= membersInEpoch; ++quorum) {
+    const bool isSubset = (quorum & ~static_cast<unsigned>(membersInEpoch)) == 0;
+    if (!isSubset || static_cast<std::size_t>(std::popcount(quorum)) != majorityOf(replicas))
       continue;
     event.quorum = static_cast<std::uint8_t>(quorum);
     events->push_back(event);
--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -212,6 +212,8 @@
       endWhenHandedOver(loss, now - *loss.leavingSince);
   }
 
+  // Ends a leaving daemon as production does: after the minimum once it has handed over its work,
+  // or after the maximum.
   void endWhenHandedOver(const Loss& loss, Span leavingFor) {
     const bool isHandingOver =
         world_.core(loss.machine).isHandingOver(world_.localNow(loss.machine));
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -91,6 +91,7 @@
   std::erase_if(pending_, [&](const auto& row) { return row.first.first == index; });
 }
 
+// With injectReusedStore, the rows that identify the store survive.
 void World::wipeDisk(std::size_t index) {
   const auto store = machines_[index].synced.find("store");
   const auto format = machines_[index].synced.find("format");
