--- a/src/model/world.h
+++ b/src/model/world.h
@@ -1,6 +1,6 @@
 #pragma once
-// The model's transition system: which events are possible in a state, and which state each leads
-// to.
+// The model's transition system: the events that are possible in a state, and the states that they
+// lead to.
 //
 // Reductions of the state space, and why each is sound (in detail in docs/model-check.md):
 // - Requests in flight form a set, and each is delivered at any later time or never. Loss and
@@ -10,10 +10,9 @@
 //   events change its round. A late answer therefore equals an immediate one if it still counts,
 //   and a lost one if it does not.
 // - A request whose proposer no longer waits for an answer is dropped if it can't change its
-// replica
-//   (a higher ballot was promised, or the store is gone). A Prepare is then always dropped: a
-//   promise that nobody receives can only make the replica reject other requests, which equals
-//   their loss.
+//   replica: a higher ballot was promised, or the store is gone. A Prepare is then always dropped,
+//   since a promise that nobody receives can only make the replica reject other requests, which
+//   equals their loss.
 // - States that differ only by a permutation of interchangeable replicas count as one state.
 // - An event that only spends a budget is omitted: whatever follows it is possible without it.
 #include <map>
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -57,7 +57,7 @@
     const std::uint64_t id = world.change(6, 0, "kept");
     for (int i = 0; i < 400 && !world.operationById(id).done; ++i) world.run(5ms);
     REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
-    // Immediately after the acknowledgement all machines lose power, and one its disk.
+    // Immediately after the acknowledgement all replicas lose power, and one its disk.
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.crash(i, true);
     world.wipeDisk(seed % 4);
     for (std::size_t i = 0; i < world.diskMachines(); ++i) world.start(i);
