--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -6,117 +6,122 @@
 
 namespace {
 constexpr std::size_t kRegisterBodyLimit = 1 << 20;
-// Within the share of the product's Amending that is left for the settling read alone.
-constexpr Duration kLateBefore = 100ms;
+// Within the time that UpdateOperation reserves for the settling read.
+constexpr Duration kTimeLeftForSettling = 100ms;
 
-ReplicaSet firstMemberOf(const ReplicaSet& replicas) {
-  ReplicaSet one = replicas;
-  one.members.resize(1);
-  return one;
+ReplicaSet onlyFirstMember(const ReplicaSet& replicas) {
+  ReplicaSet firstOnly = replicas;
+  firstOnly.members.resize(1);
+  return firstOnly;
 }
 }  // namespace
 
 Caller::Caller(const Configuration* configuration, std::size_t index, const ChosenValue& replicaSet)
     : configuration_(configuration), index_(index), proposer_(ProposerId{proposerId()}) {
-  known_.learnChosen(kReplicaSetKey, replicaSet);
+  freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * life_; }
+// One id from 10 for each caller, and another for each incarnation; reconfigurers use those
+// from 50.
+std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * incarnation_; }
 
-std::optional<std::size_t> Caller::nextOrder() const {
+std::optional<std::size_t> Caller::nextChange() const {
   const auto& calls = configuration_->calls[index_];
-  if (amending_ || nextCall_ >= calls.size()) return std::nullopt;
+  if (update_ || nextCall_ >= calls.size()) return std::nullopt;
   return calls[nextCall_];
 }
 
-void Caller::start(OrderSet acked, StepEffects* effects) {
+void Caller::start(ChangeSet acknowledged, StepEffects* effects) {
   ++nextCall_;
-  writes_.clear();
-  isLate_ = false;
-  const bool asNew = configuration_->plant == Plant::ResendAsNew;
-  amending_.emplace(updateOf(configuration_->orders[order()], asNew), kRegisterBodyLimit, kNever);
-  pump(acked, effects);
+  proposedWrites_.clear();
+  isChangeDeadlinePassed_ = false;
+  const bool treatsResendAsNew = configuration_->defect == Defect::ResendAsNew;
+  update_.emplace(updateOf(configuration_->changes[change()], treatsResendAsNew),
+                  kRegisterBodyLimit, kNever);
+  advance(acknowledged, effects);
 }
 
-void Caller::pump(OrderSet acked, StepEffects* effects) {
-  const Instant now = isLate_ ? kNever - kLateBefore : proposer_.clock();
-  const auto asked = amending_->next(now);
-  if (!asked) {
-    report(amending_->done()->result, effects);
-    amending_.reset();
+void Caller::advance(ChangeSet acknowledged, StepEffects* effects) {
+  const Instant now = isChangeDeadlinePassed_ ? kNever - kTimeLeftForSettling : proposer_.clock();
+  const auto request = update_->next(now);
+  if (!request) {
+    recordAnswer(update_->done()->result, effects);
+    update_.reset();
     return;
   }
-  isRead_ = asked->isRead;
-  ackedBefore_ = acked;
-  const bool minority = isRead_ && configuration_->plant == Plant::MinorityRead;
-  Sends sends =
-      proposer_.begin(*asked, minority ? firstMemberOf(known_.replicas()) : known_.replicas());
-  if (!isRead_) writes_.push_back(proposer_.writeId());
+  isRead_ = request->isRead;
+  acknowledgedBefore_ = acknowledged;
+  const bool readsMinority = isRead_ && configuration_->defect == Defect::MinorityRead;
+  Sends sends = proposer_.begin(
+      *request, readsMinority ? onlyFirstMember(freshness_.replicas()) : freshness_.replicas());
+  if (!isRead_) proposedWrites_.push_back(proposer_.writeId());
   effects->sends = std::move(sends);
 }
 
-void Caller::report(UpdateResult result, StepEffects* effects) {
-  Observed ended;
-  ended.kind = Observed::Kind::OrderEnded;
-  ended.order = order();
-  ended.result = result;
-  effects->observed.push_back(ended);
-  const bool mayHold = result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied ||
-                       result == UpdateResult::Unknown;
-  if (mayHold || writes_.empty()) return;
-  Observed dead;
-  dead.kind = Observed::Kind::DeadWrites;
-  dead.writes = writes_;
-  effects->observed.push_back(dead);
+void Caller::recordAnswer(UpdateResult result, StepEffects* effects) {
+  Observation answered;
+  answered.kind = Observation::Kind::ChangeAnswered;
+  answered.change = change();
+  answered.result = result;
+  effects->observations.push_back(answered);
+  const bool mayTakeEffect = result == UpdateResult::Applied ||
+                             result == UpdateResult::AlreadyApplied ||
+                             result == UpdateResult::Unknown;
+  if (mayTakeEffect || proposedWrites_.empty()) return;
+  Observation rejected;
+  rejected.kind = Observation::Kind::WritesRejected;
+  rejected.writes = proposedWrites_;
+  effects->observations.push_back(rejected);
 }
 
-void Caller::take(const std::vector<ChangeOutcome>& done, OrderSet acked, StepEffects* effects) {
-  for (const ChangeOutcome& ended : done) {
-    known_.adopt(ended.replicas);
-    Observed seen;
-    if (ended.result == ChangeResult::Chosen) {
-      known_.learnChosen(ended.key, {ended.ballot, ended.value});
-      seen.key = ended.key;
-      seen.value = ended.value;
-      seen.isRead = isRead_;
-      seen.ackedBefore = ackedBefore_;
-      effects->observed.push_back(seen);
-    } else if (!isRead_ && ended.result != ChangeResult::Unknown) {
-      seen.kind = Observed::Kind::DeadWrites;
-      seen.writes = {writes_.back()};
-      effects->observed.push_back(seen);
+void Caller::onCompleted(const std::vector<ChangeOutcome>& done, ChangeSet acknowledged,
+                         StepEffects* effects) {
+  for (const ChangeOutcome& completed : done) {
+    freshness_.adopt(completed.replicas);
+    Observation observation;
+    if (completed.result == ChangeResult::Chosen) {
+      freshness_.learnChosen(completed.key, {completed.ballot, completed.value});
+      observation.key = completed.key;
+      observation.value = completed.value;
+      observation.isRead = isRead_;
+      observation.acknowledgedBefore = acknowledgedBefore_;
+      effects->observations.push_back(observation);
+    } else if (!isRead_ && completed.result != ChangeResult::Unknown) {
+      observation.kind = Observation::Kind::WritesRejected;
+      observation.writes = {proposedWrites_.back()};
+      effects->observations.push_back(observation);
     }
-    amending_->onAnswer(ended);
-    pump(acked, effects);
+    update_->onAnswer(completed);
+    advance(acknowledged, effects);
   }
 }
 
-void Caller::answer(const ReplicaResponse& answer, OrderSet acked, StepEffects* effects) {
+void Caller::answer(const ReplicaResponse& answer, ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeOutcome> done;
   effects->sends = proposer_.answer(answer, &done);
-  known_.adopt(answer.replicas);
-  take(done, acked, effects);
+  freshness_.adopt(answer.replicas);
+  onCompleted(done, acknowledged, effects);
 }
 
-void Caller::passPhase(OrderSet acked, StepEffects* effects) {
+void Caller::expirePhase(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeOutcome> done;
-  effects->sends = proposer_.passPhase(known_.replicas(), &done);
-  take(done, acked, effects);
+  effects->sends = proposer_.expirePhase(freshness_.replicas(), &done);
+  onCompleted(done, acknowledged, effects);
 }
 
-void Caller::passDeadline(OrderSet acked, StepEffects* effects) {
+void Caller::expireDeadline(ChangeSet acknowledged, StepEffects* effects) {
   std::vector<ChangeOutcome> done;
-  proposer_.passDeadline(known_.replicas(), &done);
-  isLate_ = true;
-  take(done, acked, effects);
+  proposer_.expireDeadline(freshness_.replicas(), &done);
+  isChangeDeadlinePassed_ = true;
+  onCompleted(done, acknowledged, effects);
 }
 
-void Caller::die() {
-  ++life_;
+void Caller::crash() {
+  ++incarnation_;
   proposer_ = TimedProposer(ProposerId{proposerId()});
-  amending_.reset();
-  writes_.clear();
-  isLate_ = false;
+  update_.reset();
+  proposedWrites_.clear();
+  isChangeDeadlinePassed_ = false;
 }
 
 const TimedProposer* Caller::proposer(std::uint64_t id) const {
@@ -124,12 +129,14 @@
 }
 
 std::string Caller::ownBytes() const {
-  std::string bytes = "caller" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + encodeValue(nextCall_) +
-                      encodeValue(writes_) + encodeValue(ackedBefore_);
-  for (const bool flag : {isRead_, isLate_, amending_.has_value()}) bytes += flag ? '1' : '0';
-  if (amending_) bytes += amending_->stateBytes();
+  std::string bytes = "caller" + encodeValue(index_) + encodeValue(incarnation_) +
+                      encodeValue(freshness_.replicas()) +
+                      encodeValue(freshness_.question({}, false)) +
+                      encodeValue(freshness_.replicaSetVersion()) + encodeValue(nextCall_) +
+                      encodeValue(proposedWrites_) + encodeValue(acknowledgedBefore_);
+  for (const bool flag : {isRead_, isChangeDeadlinePassed_, update_.has_value()})
+    bytes += flag ? '1' : '0';
+  if (update_) bytes += update_->stateBytes();
   return bytes;
 }
 
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the outside was told on one schedule, and the invariants over it.
+// The externally visible history of one schedule, and the invariants over it.
 #include <map>
 #include <string>
 #include <vector>
@@ -8,33 +8,38 @@
 
 namespace quayrill::model {
 
+// Accumulates observations and checks that they are consistent with each other.
 class History {
  public:
-  explicit History(const ReplicaSet& founded) { sets_.push_back(founded); }
-
-  // The broken invariant in words; "" where none is.
-  std::string observe(const Observed& seen, const std::vector<Order>& orders);
-
-  OrderSet acked() const { return acked_; }
-  OrderSet refused() const { return refused_; }
-  // A write that was said never to take effect stands in this value or its history.
-  bool holdsDeadWrite(const RegisterValue& value) const;
-  // The chosen replica sets by epoch, each as it was seen last.
-  const std::vector<ReplicaSet>& sets() const { return sets_; }
+  // `founded` is the first replica set.
+  explicit History(const ReplicaSet& founded) { replicaSets_.push_back(founded); }
+
+  // Adds an observation. Returns a description of the invariant that it violates, or "".
+  std::string observe(const Observation& observation, const std::vector<OperatorChange>& changes);
+
+  // The changes that were reported to an operator as taken, and as refused for good.
+  ChangeSet acknowledged() const { return acknowledged_; }
+  ChangeSet refused() const { return refused_; }
+  // True if a write that was reported to never take effect made this value or one before it.
+  bool containsRejectedWrite(const RegisterValue& value) const;
+  // The chosen replica sets by epoch, each in the latest state that was observed.
+  const std::vector<ReplicaSet>& replicaSets() const { return replicaSets_; }
   std::string stateBytes() const;
 
  private:
-  std::string observeChosen(const Observed& seen, const std::vector<Order>& orders);
-  std::string observeSet(const ReplicaSet& replicas);
-  std::string observeEnd(const Observed& seen, const std::vector<Order>& orders);
+  std::string observeChosen(const Observation& observation,
+                            const std::vector<OperatorChange>& changes);
+  std::string observeReplicaSet(const ReplicaSet& replicas);
+  std::string observeAnswer(const Observation& observation,
+                            const std::vector<OperatorChange>& changes);
 
-  OrderSet acked_ = 0, refused_ = 0;
+  ChangeSet acknowledged_ = 0, refused_ = 0;
   std::map<RegisterKey, std::map<std::uint64_t, RegisterValue>> chosen_;  // by version
-  std::vector<WriteId> dead_;                                             // sorted
-  std::vector<ReplicaSet> sets_;
+  std::vector<WriteId> rejectedWrites_;                                   // sorted
+  std::vector<ReplicaSet> replicaSets_;
 };
 
-// Whether every majority of one shares a member with every majority of the other.
-bool majoritiesMeet(const ReplicaSet& one, const ReplicaSet& other);
+// True if every majority of one set shares a member with every majority of the other.
+bool majoritiesIntersect(const ReplicaSet& one, const ReplicaSet& other);
 
 }  // namespace quayrill::model
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -6,116 +6,121 @@
 std::size_t proposerFor(const RegisterKey& key) { return key == kReplicaSetKey ? 0 : 1; }
 }  // namespace
 
-Mover::Mover(const Configuration* configuration, std::size_t index, const ChosenValue& replicaSet)
+Reconfigurer::Reconfigurer(const Configuration* configuration, std::size_t index,
+                           const ChosenValue& replicaSet)
     : configuration_(configuration), index_(index), isRead_(kProposers, false) {
-  for (std::size_t i = 0; i < kProposers; ++i) proposers_.push_back(madeProposer(i));
-  known_.learnChosen(kReplicaSetKey, replicaSet);
+  for (std::size_t i = 0; i < kProposers; ++i) proposers_.push_back(makeProposer(i));
+  freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-std::uint64_t Mover::proposerId(std::size_t proposer) const {
-  return 50 + kProposers * index_ + proposer + 100 * life_;
+// Two ids from 50 for each reconfigurer, and others for each incarnation; callers use those
+// from 10.
+std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
+  return 50 + kProposers * index_ + proposer + 100 * incarnation_;
 }
 
-TimedProposer Mover::madeProposer(std::size_t proposer) const {
+TimedProposer Reconfigurer::makeProposer(std::size_t proposer) const {
   return TimedProposer(ProposerId{proposerId(proposer)});
 }
 
-void Mover::begin(const ChangeRequest& ask, StepEffects* effects) {
-  const std::size_t proposer = proposerFor(ask.key);
+void Reconfigurer::begin(const ChangeRequest& request, StepEffects* effects) {
+  const std::size_t proposer = proposerFor(request.key);
   if (proposers_[proposer].isBusy()) return;
-  isRead_[proposer] = ask.isRead;
-  for (auto& send : proposers_[proposer].begin(ask, known_.replicas()))
+  isRead_[proposer] = request.isRead;
+  for (auto& send : proposers_[proposer].begin(request, freshness_.replicas()))
     effects->sends.push_back(std::move(send));
 }
 
-void Mover::step(const std::optional<std::vector<RegisterKey>>& listed,
-                 const std::optional<ReplicaSet>& following, StepEffects* effects) {
-  if (wantsRead_) {
+void Reconfigurer::step(const std::optional<std::vector<RegisterKey>>& listed,
+                        const std::optional<ReplicaSet>& nextReplicaSet, StepEffects* effects) {
+  if (needsRead_) {
     begin({{}, kReplicaSetKey, true, 0, {}, {}, {}}, effects);
     return;
   }
-  ReplicaSet replicas = known_.replicas();
-  if (configuration_->plant == Plant::UnsettledEpoch) replicas.settled = true;
+  ReplicaSet replicas = freshness_.replicas();
+  if (configuration_->defect == Defect::UnsettledEpoch) replicas.settled = true;
   const Instant now = proposers_[0].clock();
-  const auto asks = sweep_.next(replicas, known_.replicaSetVersion(), listed, following, now);
-  for (const ChangeRequest& ask : asks) begin(ask, effects);
+  const auto requests =
+      sweep_.next(replicas, freshness_.replicaSetVersion(), listed, nextReplicaSet, now);
+  for (const ChangeRequest& request : requests) begin(request, effects);
 }
 
-void Mover::take(std::size_t proposer, const std::vector<ChangeOutcome>& done,
-                 StepEffects* effects) {
-  for (const ChangeOutcome& ended : done) {
-    known_.adopt(ended.replicas);
-    const bool isChosen = ended.result == ChangeResult::Chosen;
+void Reconfigurer::onCompleted(std::size_t proposer, const std::vector<ChangeOutcome>& done,
+                               StepEffects* effects) {
+  for (const ChangeOutcome& completed : done) {
+    freshness_.adopt(completed.replicas);
+    const bool isChosen = completed.result == ChangeResult::Chosen;
     if (isChosen) {
-      known_.learnChosen(ended.key, {ended.ballot, ended.value});
-      Observed seen;
-      seen.key = ended.key;
-      seen.value = ended.value;
-      effects->observed.push_back(seen);
+      freshness_.learnChosen(completed.key, {completed.ballot, completed.value});
+      Observation observation;
+      observation.key = completed.key;
+      observation.value = completed.value;
+      effects->observations.push_back(observation);
     }
-    if (isRead_[proposer] && !wantsRead_) sweep_.onReadDone(ended);
-    if (ended.key == kReplicaSetKey) wantsRead_ = !isChosen && (wantsRead_ || !isRead_[proposer]);
+    if (isRead_[proposer] && !needsRead_) sweep_.onReadDone(completed);
+    if (completed.key == kReplicaSetKey)
+      needsRead_ = !isChosen && (needsRead_ || !isRead_[proposer]);
   }
 }
 
-void Mover::answer(const ReplicaResponse& answer, StepEffects* effects) {
+void Reconfigurer::answer(const ReplicaResponse& answer, StepEffects* effects) {
   for (std::size_t i = 0; i < kProposers; ++i) {
-    if (proposerOf(answer.operation) != proposerId(i)) continue;
+    if (proposerIdOf(answer.operation) != proposerId(i)) continue;
     std::vector<ChangeOutcome> done;
     effects->sends = proposers_[i].answer(answer, &done);
-    known_.adopt(answer.replicas);
-    take(i, done, effects);
+    freshness_.adopt(answer.replicas);
+    onCompleted(i, done, effects);
   }
 }
 
-void Mover::passPhase(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::expirePhase(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeOutcome> done;
-  effects->sends = proposers_[proposer].passPhase(known_.replicas(), &done);
-  take(proposer, done, effects);
+  effects->sends = proposers_[proposer].expirePhase(freshness_.replicas(), &done);
+  onCompleted(proposer, done, effects);
 }
 
-void Mover::passDeadline(std::size_t proposer, StepEffects* effects) {
+void Reconfigurer::expireDeadline(std::size_t proposer, StepEffects* effects) {
   std::vector<ChangeOutcome> done;
-  proposers_[proposer].passDeadline(known_.replicas(), &done);
-  take(proposer, done, effects);
+  proposers_[proposer].expireDeadline(freshness_.replicas(), &done);
+  onCompleted(proposer, done, effects);
 }
 
-void Mover::die() {
-  ++life_;
-  for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = madeProposer(i);
+void Reconfigurer::crash() {
+  ++incarnation_;
+  for (std::size_t i = 0; i < kProposers; ++i) proposers_[i] = makeProposer(i);
   sweep_ = EpochSweep();
-  wantsRead_ = false;
+  needsRead_ = false;
 }
 
-const TimedProposer* Mover::proposer(std::uint64_t id) const {
+const TimedProposer* Reconfigurer::proposer(std::uint64_t id) const {
   for (std::size_t i = 0; i < kProposers; ++i) {
     if (id == proposerId(i)) return &proposers_[i];
   }
   return nullptr;
 }
 
-std::string Mover::ownBytes() const {
-  std::string bytes = "mover" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + sweep_.stateBytes() +
-                      (wantsRead_ ? '1' : '0');
+std::string Reconfigurer::ownBytes() const {
+  std::string bytes =
+      "mover" + encodeValue(index_) + encodeValue(incarnation_) +
+      encodeValue(freshness_.replicas()) + encodeValue(freshness_.question({}, false)) +
+      encodeValue(freshness_.replicaSetVersion()) + sweep_.stateBytes() + (needsRead_ ? '1' : '0');
   for (const bool isRead : isRead_) bytes += isRead ? '1' : '0';
   return bytes;
 }
 
-std::string Mover::sharedBytes() const {
+std::string Reconfigurer::sharedBytes() const {
   std::string bytes = ownBytes();
   for (const TimedProposer& proposer : proposers_) bytes += proposer.sharedBytes();
   return bytes;
 }
 
-std::string Mover::bytesOfAnswersFrom(StoreId store) const {
+std::string Reconfigurer::bytesOfAnswersFrom(StoreId store) const {
   std::string bytes;
   for (const TimedProposer& proposer : proposers_) bytes += proposer.bytesOfAnswersFrom(store);
   return bytes;
 }
 
-std::string Mover::stateBytes() const {
+std::string Reconfigurer::stateBytes() const {
   std::string bytes = ownBytes();
   for (const TimedProposer& proposer : proposers_) bytes += proposer.stateBytes();
   return bytes;
--- a/src/model/orders.cpp
+++ b/src/model/orders.cpp
@@ -6,49 +6,51 @@
 namespace quayrill::model {
 
 namespace {
-// The model's days are short: every change is remembered.
+// Schedules are short, so the record of a taken change is never dropped.
 constexpr std::uint64_t kNoneForgotten = 0;
 
-std::string digestOf(const Order& order) { return changeDigest("order", order.basis, order.name); }
+std::string digestOf(const OperatorChange& change) {
+  return changeDigest("order", change.basis, change.name);
+}
 
-AppliedChanges readBody(const std::string& body) {
-  std::istringstream in(body);
+AppliedChanges decodeBody(const std::string& body) {
+  std::istringstream input(body);
   AppliedChanges taken;
   AppliedChange change;
-  while (in >> change.version >> change.digest) taken.push_back(change);
+  while (input >> change.version >> change.digest) taken.push_back(change);
   return taken;
 }
 
-std::string writeBody(const AppliedChanges& taken) {
-  std::ostringstream out;
-  for (const AppliedChange& change : taken) out << change.version << ' ' << change.digest << ' ';
-  return out.str();
+std::string encodeBody(const AppliedChanges& taken) {
+  std::ostringstream output;
+  for (const AppliedChange& change : taken) output << change.version << ' ' << change.digest << ' ';
+  return output.str();
 }
 }  // namespace
 
-Update updateOf(const Order& order, bool judgesResendsAsNew) {
-  return [order, judgesResendsAsNew](
-             const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    AppliedChanges taken = readBody(standing);
-    const std::string digest = digestOf(order);
+Update updateOf(const OperatorChange& change, bool treatsResendAsNew) {
+  return [change, treatsResendAsNew](
+             const std::string& presentBody) -> absl::StatusOr<std::optional<std::string>> {
+    AppliedChanges taken = decodeBody(presentBody);
+    const std::string digest = digestOf(change);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().version;
-    const SubmittedChange sent{order.basis + 1, order.basis, digest};
-    const ChangeStatus standingOfOrder = classifyChange(sent, taken, kNoneForgotten, number);
-    if (!judgesResendsAsNew && standingOfOrder == ChangeStatus::Applied)
+    const SubmittedChange sent{change.basis + 1, change.basis, digest};
+    const ChangeStatus changeStanding = classifyChange(sent, taken, kNoneForgotten, number);
+    if (!treatsResendAsNew && changeStanding == ChangeStatus::Applied)
       return std::optional<std::string>{};
-    if (number != order.basis)
-      return absl::FailedPreconditionError("number " + std::to_string(number) + " stands");
+    if (number != change.basis)
+      return absl::FailedPreconditionError("number " + std::to_string(number) + " is current");
     recordApplied(&taken, {number + 1, digest});
-    return std::optional<std::string>{writeBody(taken)};
+    return std::optional<std::string>{encodeBody(taken)};
   };
 }
 
-OrderSet ordersIn(const std::string& body, const std::vector<Order>& orders) {
-  const AppliedChanges taken = readBody(body);
-  OrderSet found = 0;
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    const AppliedChange made{orders[i].basis + 1, digestOf(orders[i])};
-    if (std::find(taken.begin(), taken.end(), made) != taken.end()) found |= bitOf(i);
+ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes) {
+  const AppliedChanges taken = decodeBody(body);
+  ChangeSet found = 0;
+  for (std::size_t i = 0; i < changes.size(); ++i) {
+    const AppliedChange takenChange{changes[i].basis + 1, digestOf(changes[i])};
+    if (std::find(taken.begin(), taken.end(), takenChange) != taken.end()) found |= bitOf(i);
   }
   return found;
 }
--- a/src/model/timed_proposer.cpp
+++ b/src/model/timed_proposer.cpp
@@ -5,70 +5,72 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kLeap = 1s;  // longer than any phase, rest or repeat of the product's proposer
-constexpr std::uint64_t kSeed = 1;  // the jitter says only how long a rest is
+constexpr Duration kClockAdvance = 1s;  // longer than any phase, pause or retransmission interval
+constexpr std::uint64_t kSeed = 1;      // the jitter only affects how long a pause is
 }  // namespace
 
-std::uint64_t proposerOf(OperationId operation) { return operation.value / kOperationsEach; }
+std::uint64_t proposerIdOf(OperationId operation) {
+  return operation.value / kOperationIdsPerProposer;
+}
 
 TimedProposer::TimedProposer(ProposerId id) : proposer_(id, kSeed), id_(id) {}
 
-void TimedProposer::note(const Sends& sends) {
+void TimedProposer::trackRound(const Sends& sends) {
   if (sends.empty()) return;
   const Message& message = sends.front().second;
   if (const auto* prepare = std::get_if<Prepare>(&message)) {
     ballot_ = prepare->ballot;
-    accepting_ = false;
+    isAcceptPhase_ = false;
   }
   if (const auto* accept = std::get_if<Accept>(&message)) {
     ballot_ = accept->ballot;
-    accepting_ = true;
+    isAcceptPhase_ = true;
   }
 }
 
-void TimedProposer::end(const std::vector<ChangeOutcome>& done) {
+void TimedProposer::trackCompletion(const std::vector<ChangeOutcome>& done) {
   if (!done.empty()) isBusy_ = false;
 }
 
 Sends TimedProposer::begin(ChangeRequest change, const ReplicaSet& replicas) {
-  change.operation = OperationId{id_.value * kOperationsEach + ++operations_};
+  change.operation = OperationId{id_.value * kOperationIdsPerProposer + ++operationCount_};
   change.writeId = WriteId{change.operation.value};
   change.deadline = kNever;
   isBusy_ = true;
   Sends sends = proposer_.begin(change, replicas, clock_);
-  note(sends);
+  trackRound(sends);
   return sends;
 }
 
 Sends TimedProposer::answer(const ReplicaResponse& answer, std::vector<ChangeOutcome>* done) {
   Sends sends = proposer_.onAnswer(answer, clock_, done);
-  note(sends);
-  end(*done);
+  trackRound(sends);
+  trackCompletion(*done);
   return sends;
 }
 
-Sends TimedProposer::passPhase(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
-  clock_ += kLeap;
+Sends TimedProposer::expirePhase(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
+  clock_ += kClockAdvance;
   Sends sends = proposer_.onTick(replicas, clock_, done);
   if (sends.empty() && done->empty()) {
-    clock_ += kLeap;
+    clock_ += kClockAdvance;
     sends = proposer_.onTick(replicas, clock_, done);
   }
-  note(sends);
-  end(*done);
+  trackRound(sends);
+  trackCompletion(*done);
   return sends;
 }
 
-void TimedProposer::passDeadline(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
+void TimedProposer::expireDeadline(const ReplicaSet& replicas, std::vector<ChangeOutcome>* done) {
   proposer_.onTick(replicas, kNever, done);
-  end(*done);
+  trackCompletion(*done);
 }
 
-// The clock is left out: the operation's times were set by the same clock, and all that is ever
-// asked of them is whether a leap passes them, which each does.
+// The clock is left out: the operation's times are relative to the same clock, and every advance
+// passes all of them.
 std::string TimedProposer::ownBytes() const {
-  return encodeValue(operations_) + (isBusy_ ? '1' : '0') + encodeValue(ballot_) +
-         (accepting_ ? '1' : '0');
+  return encodeValue(operationCount_) + (isBusy_ ? '1' : '0') + encodeValue(ballot_) +
+         (isAcceptPhase_ ? '1' : '0');
 }
 
 std::string TimedProposer::sharedBytes() const { return proposer_.sharedBytes() + ownBytes(); }
--- a/src/model/world_events.cpp
+++ b/src/model/world_events.cpp
@@ -1,4 +1,4 @@
-// Which events may come in a state of the model.
+// The events that are possible in a state of the model.
 #include <bit>
 
 #include "model/world.h"
@@ -11,10 +11,10 @@
          (replicas.epoch == than.epoch && replicas.settled && !than.settled);
 }
 
-Event eventOf(Event::Kind kind, std::size_t who) {
+Event makeEvent(Event::Kind kind, std::size_t actor) {
   Event event;
   event.kind = kind;
-  event.who = static_cast<std::uint8_t>(who);
+  event.actor = static_cast<std::uint8_t>(actor);
   return event;
 }
 }  // namespace
@@ -33,73 +33,76 @@
     event.request = request;
     event.kind = Event::Kind::Deliver;
     events->push_back(event);
-    event.kind = Event::Kind::DeliverUnheard;
+    event.kind = Event::Kind::DeliverAnswerLost;
     if (state.budgets.lostAnswers > 0) events->push_back(event);
     event.kind = Event::Kind::Duplicate;
     if (state.budgets.duplicates > 0) events->push_back(event);
   }
 }
 
-// A call comes after the one before it has ended, and builds only on what was acknowledged: a
-// number that nobody was told is none that an operator can build on.
+// A call starts after the previous one has ended, and builds only on an acknowledged change: an
+// operator can't build on a number that was never reported.
 bool World::mayStart(const State& state, const Caller& caller) const {
-  const auto order = caller.nextOrder();
-  if (!order) return false;
-  const std::uint64_t basis = configuration_->orders[*order].basis;
+  const auto change = caller.nextChange();
+  if (!change) return false;
+  const std::uint64_t basis = configuration_->changes[*change].basis;
   if (basis == 0) return true;
-  const OrderSet acked = histories_[state.history].acked();
-  for (std::size_t i = 0; i < configuration_->orders.size(); ++i) {
-    if ((acked & bitOf(i)) != 0 && configuration_->orders[i].basis + 1 == basis) return true;
+  const ChangeSet acknowledged = histories_[state.history].acknowledged();
+  for (std::size_t i = 0; i < configuration_->changes.size(); ++i) {
+    if ((acknowledged & bitOf(i)) != 0 && configuration_->changes[i].basis + 1 == basis)
+      return true;
   }
   return false;
 }
 
-void World::addTimeEvents(const State& state, std::uint8_t who, std::uint8_t proposer,
-                          std::vector<Event>* events) const {
-  Event event = eventOf(Event::Kind::Phase, who);
+void World::addTimeoutEvents(const State& state, std::uint8_t actor, std::uint8_t proposer,
+                             std::vector<Event>* events) const {
+  Event event = makeEvent(Event::Kind::PhaseTimeout, actor);
   event.choice = proposer;
   if (state.budgets.phases > 0) events->push_back(event);
-  event.kind = Event::Kind::Deadline;
+  event.kind = Event::Kind::OperationTimeout;
   if (state.budgets.deadlines > 0) events->push_back(event);
 }
 
 void World::addDaemonEvents(const State& state, std::vector<Event>* events) const {
   const ReplicaSet& newest = newestSet(state);
-  const auto addFaults = [&](std::size_t who, bool isBusy, const ReplicaSet& known) {
+  const auto addFaults = [&](std::size_t actor, bool isBusy, const ReplicaSet& known) {
     if (isBusy && state.budgets.daemonDeaths > 0)
-      events->push_back(eventOf(Event::Kind::DaemonDies, who));
+      events->push_back(makeEvent(Event::Kind::DaemonCrash, actor));
     if (state.budgets.learns > 0 && isNewer(newest, known))
-      events->push_back(eventOf(Event::Kind::DaemonLearns, who));
+      events->push_back(makeEvent(Event::Kind::DaemonLearns, actor));
   };
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
     const Caller& caller = callers_[state.callers[i]];
-    if (mayStart(state, caller)) events->push_back(eventOf(Event::Kind::Start, i));
-    if (caller.isBusy()) addTimeEvents(state, static_cast<std::uint8_t>(i), 0, events);
+    if (mayStart(state, caller)) events->push_back(makeEvent(Event::Kind::Start, i));
+    if (caller.isBusy()) addTimeoutEvents(state, static_cast<std::uint8_t>(i), 0, events);
     addFaults(i, caller.isBusy(), caller.replicas());
   }
-  for (std::size_t i = 0; i < configuration_->movers; ++i) {
-    const Mover& mover = movers_[state.movers[i]];
-    const std::size_t who = kMostCallers + i;
-    addMoverSteps(state, i, events);
-    for (std::uint8_t proposer = 0; proposer < Mover::kProposers; ++proposer) {
-      if (mover.isBusy(proposer))
-        addTimeEvents(state, static_cast<std::uint8_t>(who), proposer, events);
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+    const Reconfigurer& reconfigurer = reconfigurers_[state.reconfigurers[i]];
+    const std::size_t actor = kMaxCallers + i;
+    addReconfigurerSteps(state, i, events);
+    for (std::uint8_t proposer = 0; proposer < Reconfigurer::kProposers; ++proposer) {
+      if (reconfigurer.isBusy(proposer))
+        addTimeoutEvents(state, static_cast<std::uint8_t>(actor), proposer, events);
     }
-    addFaults(who, mover.isBusy(0) || mover.isBusy(1), mover.replicas());
+    addFaults(actor, reconfigurer.isBusy(0) || reconfigurer.isBusy(1), reconfigurer.replicas());
   }
 }
 
-// As the product's agent does: no step while an operation on the set's own key is under way. The
-// keys are told by any majority of members that are inside the epoch, at one moment: what is told
-// later than that can only be more, for a replica forgets no key and leaves no epoch.
-void World::addMoverSteps(const State& state, std::size_t mover, std::vector<Event>* events) const {
-  const Mover& daemon = movers_[state.movers[mover]];
+// As in production, there is no step while an operation on the replica set's own key is in
+// progress. The keys may be listed by any majority of members that have entered the epoch, all at
+// one moment: a list taken later can only be longer, since a replica drops no key and leaves no
+// epoch.
+void World::addReconfigurerSteps(const State& state, std::size_t reconfigurer,
+                                 std::vector<Event>* events) const {
+  const Reconfigurer& daemon = reconfigurers_[state.reconfigurers[reconfigurer]];
   if (daemon.isBusy(0)) return;
   const ReplicaSet& replicas = daemon.replicas();
-  Event event = eventOf(Event::Kind::MoverSteps, kMostCallers + mover);
-  const bool mayMove = replicas.settled || configuration_->plant == Plant::UnsettledEpoch;
+  Event event = makeEvent(Event::Kind::ReconfigurerSteps, kMaxCallers + reconfigurer);
+  const bool mayChangeSet = replicas.settled || configuration_->defect == Defect::UnsettledEpoch;
   const std::size_t index = replicas.epoch.value - 1;
-  if (mayMove && index < configuration_->steps.size()) {
+  if (mayChangeSet && index < configuration_->steps.size()) {
     for (std::size_t i = 0; i < configuration_->steps[index].size(); ++i) {
       event.choice = static_cast<std::uint8_t>(i);
       events->push_back(event);
@@ -108,15 +111,15 @@
   }
   events->push_back(event);
   if (replicas.settled) return;
-  std::uint8_t inside = 0;
+  std::uint8_t membersInEpoch = 0;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     const RegisterReplica& replica = machines_[state.machines[i]].replica();
     if (replica.replicas().epoch == replicas.epoch && replica.isMember())
-      inside = static_cast<std::uint8_t>(inside | (1u << i));
+      membersInEpoch = static_cast<std::uint8_t>(membersInEpoch | (1u << i));
   }
-  for (unsigned quorum = 1; quorum <= inside; ++quorum) {
-    const bool isInside = (quorum & ~static_cast<unsigned>(inside)) == 0;
-    if (!isInside || static_cast<std::size_t>(std::popcount(quorum)) != majorityOf(replicas))
+  for (unsigned quorum = 1; quorum <= membersInEpoch; ++quorum) {
+    const bool isSubset = (quorum & ~static_cast<unsigned>(membersInEpoch)) == 0;
+    if (!isSubset || static_cast<std::size_t>(std::popcount(quorum)) != majorityOf(replicas))
       continue;
     event.quorum = static_cast<std::uint8_t>(quorum);
     events->push_back(event);
@@ -127,10 +130,10 @@
   const ReplicaSet& newest = newestSet(state);
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     const RegisterReplica& replica = machines_[state.machines[i]].replica();
-    if (state.budgets.restarts > 0) events->push_back(eventOf(Event::Kind::Restart, i));
-    if (state.budgets.emptied > 0) events->push_back(eventOf(Event::Kind::Empty, i));
+    if (state.budgets.restarts > 0) events->push_back(makeEvent(Event::Kind::Restart, i));
+    if (state.budgets.emptied > 0) events->push_back(makeEvent(Event::Kind::RestartEmpty, i));
     if (state.budgets.learns > 0 && isNewer(newest, replica.replicas()))
-      events->push_back(eventOf(Event::Kind::ReplicaLearns, i));
+      events->push_back(makeEvent(Event::Kind::ReplicaLearns, i));
   }
 }
 
--- a/src/model/world_steps.cpp
+++ b/src/model/world_steps.cpp
@@ -1,4 +1,4 @@
-// What the events make of the model's daemons.
+// The effects of events on the model's daemons.
 #include <algorithm>
 
 #include "model/world.h"
@@ -6,84 +6,87 @@
 namespace quayrill::model {
 
 namespace {
-// The parts of a mover's argument.
-constexpr std::uint32_t kListed = 1, kListsConfiguration = 2;
+// The fields of a reconfigurer's argument: whether keys were listed and the configuration's key is
+// among them, the chosen membership step, and the store that its machine has now.
+constexpr std::uint32_t kKeysListed = 1, kConfigurationListed = 2;
 constexpr unsigned kChoiceShift = 4, kStoreShift = 8;
 }  // namespace
 
-const World::Stepped& World::step(const Event& event, PartId daemon, std::uint32_t argument,
-                                  const History& history) {
-  const bool isCaller = event.who < kMostCallers;
-  const std::uint32_t what =
+const World::DaemonStep& World::stepDaemon(const Event& event, PartId daemon,
+                                           std::uint32_t argument, const History& history) {
+  const bool isCaller = event.actor < kMaxCallers;
+  const std::uint32_t eventCode =
       static_cast<std::uint32_t>(event.kind) * 16 + event.choice * 2u + (isCaller ? 1u : 0u);
-  const StepKey key{what, daemon, argument, history.acked()};
-  const auto found = stepped_.find(key);
-  if (found != stepped_.end()) return found->second;
-  Stepped stepped;
+  const StepKey key{eventCode, daemon, argument, history.acknowledged()};
+  const auto found = daemonSteps_.find(key);
+  if (found != daemonSteps_.end()) return found->second;
+  DaemonStep daemonStep;
   StepEffects effects;
   if (isCaller) {
     Caller caller = callers_[daemon];
     stepCaller(event, argument, history, &caller, &effects);
-    stepped.daemon = callers_.idOf(std::move(caller));
+    daemonStep.daemon = callers_.idOf(std::move(caller));
   } else {
-    Mover mover = movers_[daemon];
-    stepMover(event, argument, history, &mover, &effects);
-    stepped.daemon = movers_.idOf(std::move(mover));
+    Reconfigurer reconfigurer = reconfigurers_[daemon];
+    stepReconfigurer(event, argument, history, &reconfigurer, &effects);
+    daemonStep.daemon = reconfigurers_.idOf(std::move(reconfigurer));
   }
   for (auto& [member, message] : effects.sends)
-    stepped.requests.push_back(requests_.idOf({member.store, std::move(message)}));
-  stepped.observed = std::move(effects.observed);
-  return stepped_[key] = std::move(stepped);
+    daemonStep.requests.push_back(requests_.idOf({member.store, std::move(message)}));
+  daemonStep.observations = std::move(effects.observations);
+  return daemonSteps_[key] = std::move(daemonStep);
 }
 
 void World::stepCaller(const Event& event, std::uint32_t argument, const History& history,
                        Caller* caller, StepEffects* effects) const {
-  const OrderSet acked = history.acked();
+  const ChangeSet acknowledged = history.acknowledged();
   switch (event.kind) {
     case Event::Kind::Deliver:
-      return caller->answer(answers_[argument].body, acked, effects);
+      return caller->answer(answers_[argument].body, acknowledged, effects);
     case Event::Kind::Start:
-      return caller->start(acked, effects);
-    case Event::Kind::Phase:
-      return caller->passPhase(acked, effects);
-    case Event::Kind::Deadline:
-      return caller->passDeadline(acked, effects);
-    case Event::Kind::DaemonDies:
-      return caller->die();
+      return caller->start(acknowledged, effects);
+    case Event::Kind::PhaseTimeout:
+      return caller->expirePhase(acknowledged, effects);
+    case Event::Kind::OperationTimeout:
+      return caller->expireDeadline(acknowledged, effects);
+    case Event::Kind::DaemonCrash:
+      return caller->crash();
     case Event::Kind::DaemonLearns:
-      return caller->learn(history.sets().back());
+      return caller->learn(history.replicaSets().back());
     default:
-      throw std::logic_error("no event of a caller");
+      throw std::logic_error("model check: not an event of a caller");
   }
 }
 
-void World::stepMover(const Event& event, std::uint32_t argument, const History& history,
-                      Mover* mover, StepEffects* effects) const {
+void World::stepReconfigurer(const Event& event, std::uint32_t argument, const History& history,
+                             Reconfigurer* reconfigurer, StepEffects* effects) const {
   switch (event.kind) {
     case Event::Kind::Deliver:
-      return mover->answer(answers_[argument].body, effects);
-    case Event::Kind::MoverSteps: {
+      return reconfigurer->answer(answers_[argument].body, effects);
+    case Event::Kind::ReconfigurerSteps: {
       std::optional<std::vector<RegisterKey>> listed;
-      if ((argument & kListed) != 0) listed.emplace({kReplicaSetKey});
-      if ((argument & kListsConfiguration) != 0) listed->push_back(kConfigurationKey);
-      return mover->step(listed, following(mover->replicas(), argument), effects);
+      if ((argument & kKeysListed) != 0) listed.emplace({kReplicaSetKey});
+      if ((argument & kConfigurationListed) != 0) listed->push_back(kConfigurationKey);
+      return reconfigurer->step(listed, nextReplicaSet(reconfigurer->replicas(), argument),
+                                effects);
     }
-    case Event::Kind::Phase:
-      return mover->passPhase(event.choice, effects);
-    case Event::Kind::Deadline:
-      return mover->passDeadline(event.choice, effects);
-    case Event::Kind::DaemonDies:
-      return mover->die();
+    case Event::Kind::PhaseTimeout:
+      return reconfigurer->expirePhase(event.choice, effects);
+    case Event::Kind::OperationTimeout:
+      return reconfigurer->expireDeadline(event.choice, effects);
+    case Event::Kind::DaemonCrash:
+      return reconfigurer->crash();
     case Event::Kind::DaemonLearns:
-      return mover->learn(history.sets().back());
+      return reconfigurer->learn(history.replicaSets().back());
     default:
-      throw std::logic_error("no event of a mover");
+      throw std::logic_error("model check: not an event of a reconfigurer");
   }
 }
 
-std::uint32_t World::moverArgument(const State& state, const Event& event) const {
+std::uint32_t World::reconfigurerArgument(const State& state, const Event& event) const {
   std::uint32_t argument = static_cast<std::uint32_t>(event.choice) << kChoiceShift;
-  const ReplicaSet& replicas = movers_[state.movers[event.who - kMostCallers]].replicas();
+  const ReplicaSet& replicas =
+      reconfigurers_[state.reconfigurers[event.actor - kMaxCallers]].replicas();
   const std::size_t index = replicas.epoch.value - 1;
   if (index < configuration_->steps.size()) {
     const auto& options = configuration_->steps[index];
@@ -92,18 +95,18 @@
     argument |= static_cast<std::uint32_t>(store.value) << kStoreShift;
   }
   if (event.quorum == 0) return argument;
-  argument |= kListed;
+  argument |= kKeysListed;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
     if (((event.quorum >> i) & 1) == 0) continue;
     const auto keys = machines_[state.machines[i]].keys();
     if (std::find(keys.begin(), keys.end(), kConfigurationKey) != keys.end())
-      argument |= kListsConfiguration;
+      argument |= kConfigurationListed;
   }
   return argument;
 }
 
-std::optional<ReplicaSet> World::following(const ReplicaSet& replicas,
-                                           std::uint32_t argument) const {
+std::optional<ReplicaSet> World::nextReplicaSet(const ReplicaSet& replicas,
+                                                std::uint32_t argument) const {
   const std::size_t index = replicas.epoch.value - 1;
   if (index >= configuration_->steps.size()) return std::nullopt;
   const auto& options = configuration_->steps[index];
--- a/src/model/world_symmetry.cpp
+++ b/src/model/world_symmetry.cpp
@@ -1,11 +1,13 @@
-// States that differ by the names of like replicas alone.
+// Symmetry reduction: states that differ only by a permutation of interchangeable replicas have the
+// same signature.
 //
-// Replicas are alike that stand in every set of the configuration and that no membership step and
-// no planted error names. To exchange two of them in a state gives a state whose schedules are the
-// same ones with the names exchanged: the product's code treats replicas by their store ids as
-// members of sets, and takes of several answers the one of the highest ballot, which no two values
-// share. A signature therefore puts all that the state says of one replica together (its disk and
-// memory, the requests under way to it, what each daemon heard from it) and sorts these rows.
+// Replicas are interchangeable if they are in every replica set of the configuration and no
+// membership step or injected defect refers to them. Exchanging two of them in a state gives a
+// state with the same schedules, except for the exchanged names: the production code uses store ids
+// only as members of sets, and of several answers it takes the one with the highest ballot, which
+// no two values share. A signature therefore collects all that the state contains about each
+// replica (its disk and memory, the requests in flight to it, its answers to each daemon) and sorts
+// these rows.
 #include <algorithm>
 
 #include "model/world.h"
@@ -18,61 +20,61 @@
 }
 }  // namespace
 
-void World::markNamed() {
-  isNamed_.assign(configuration_->machines, false);
+void World::markDistinguished() {
+  isDistinguished_.assign(configuration_->machines, false);
   for (std::size_t i = configuration_->members; i < configuration_->machines; ++i)
-    isNamed_[i] = true;
+    isDistinguished_[i] = true;
   for (const auto& options : configuration_->steps) {
-    for (const MembershipStep& step : options) isNamed_[step.machine] = true;
+    for (const MembershipStep& step : options) isDistinguished_[step.machine] = true;
   }
-  if (configuration_->plant == Plant::MinorityRead) isNamed_[0] = true;
+  if (configuration_->defect == Defect::MinorityRead) isDistinguished_[0] = true;
 }
 
-// One whose disk was emptied is no member any more.
-bool World::isAlike(const State& state, std::size_t machine) const {
-  return !isNamed_[machine] &&
+// A machine whose disk was emptied is no longer a member, and so not interchangeable with members.
+bool World::isInterchangeable(const State& state, std::size_t machine) const {
+  return !isDistinguished_[machine] &&
          machines_[state.machines[machine]].replica().store() == StoreId{machine + 1};
 }
 
 template <class Daemon>
-const World::Parts& World::partsOf(PartId id, const Daemon& daemon,
-                                   std::unordered_map<PartId, Parts>* known) {
+const World::SignatureParts& World::signaturePartsOf(
+    PartId id, const Daemon& daemon, std::unordered_map<PartId, SignatureParts>* known) {
   const auto found = known->find(id);
   if (found != known->end()) return found->second;
-  Parts parts;
-  parts.shared = textOf(daemon.sharedBytes());
+  SignatureParts parts;
+  parts.shared = internText(daemon.sharedBytes());
   for (const StoreId& store : stores_)
-    parts.heard.push_back(textOf(daemon.bytesOfAnswersFrom(store)));
+    parts.byStore.push_back(internText(daemon.bytesOfAnswersFrom(store)));
   return (*known)[id] = std::move(parts);
 }
 
-PartId World::contentOf(PartId machine) {
+PartId World::contentOfMachine(PartId machine) {
   const auto found = machineContents_.find(machine);
   if (found != machineContents_.end()) return found->second;
-  return machineContents_[machine] = textOf(machines_[machine].bytesButStore());
+  return machineContents_[machine] = internText(machines_[machine].stateBytesWithoutStore());
 }
 
 PartId World::contentOfRequest(PartId request) {
   const auto found = requestContents_.find(request);
   if (found != requestContents_.end()) return found->second;
-  Request nameless = requests_[request];
-  if (auto* prepare = std::get_if<Prepare>(&nameless.body)) prepare->store = {};
-  if (auto* accept = std::get_if<Accept>(&nameless.body)) accept->store = {};
-  return requestContents_[request] = textOf(nameless.stateBytes());
+  Request withoutStore = requests_[request];
+  if (auto* prepare = std::get_if<Prepare>(&withoutStore.body)) prepare->store = {};
+  if (auto* accept = std::get_if<Accept>(&withoutStore.body)) accept->store = {};
+  return requestContents_[request] = internText(withoutStore.stateBytes());
 }
 
-// All that the state says of one machine, but for the ids of its stores.
-std::string World::bytesAbout(const State& state, std::size_t machine) {
+// All that the state contains about one machine, except the ids of its stores.
+std::string World::bytesOfMachine(const State& state, std::size_t machine) {
   std::string bytes;
-  append(&bytes, contentOf(state.machines[machine]));
+  append(&bytes, contentOfMachine(state.machines[machine]));
   for (std::size_t store = 2 * machine; store < 2 * machine + 2; ++store) {
     for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
       const PartId id = state.callers[i];
-      append(&bytes, partsOf(id, callers_[id], &callerParts_).heard[store]);
+      append(&bytes, signaturePartsOf(id, callers_[id], &callerParts_).byStore[store]);
     }
-    for (std::size_t i = 0; i < configuration_->movers; ++i) {
-      const PartId id = state.movers[i];
-      append(&bytes, partsOf(id, movers_[id], &moverParts_).heard[store]);
+    for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+      const PartId id = state.reconfigurers[i];
+      append(&bytes, signaturePartsOf(id, reconfigurers_[id], &reconfigurerParts_).byStore[store]);
     }
   }
   const StoreId store = machines_[state.machines[machine]].replica().store();
@@ -92,25 +94,25 @@
   shared.requests.clear();
   for (std::size_t i = 0; i < configuration_->calls.size(); ++i) {
     const PartId id = state.callers[i];
-    shared.callers[i] = partsOf(id, callers_[id], &callerParts_).shared;
+    shared.callers[i] = signaturePartsOf(id, callers_[id], &callerParts_).shared;
   }
-  for (std::size_t i = 0; i < configuration_->movers; ++i) {
-    const PartId id = state.movers[i];
-    shared.movers[i] = partsOf(id, movers_[id], &moverParts_).shared;
+  for (std::size_t i = 0; i < configuration_->reconfigurers; ++i) {
+    const PartId id = state.reconfigurers[i];
+    shared.reconfigurers[i] = signaturePartsOf(id, reconfigurers_[id], &reconfigurerParts_).shared;
   }
   std::string bytes = shared.bytes();
-  std::vector<std::string> alike;
+  std::vector<std::string> interchangeable;
   for (std::size_t i = 0; i < configuration_->machines; ++i) {
-    if (isAlike(state, i)) {
-      alike.push_back(bytesAbout(state, i));
+    if (isInterchangeable(state, i)) {
+      interchangeable.push_back(bytesOfMachine(state, i));
       continue;
     }
     const auto store = static_cast<PartId>(machines_[state.machines[i]].replica().store().value);
     append(&bytes, store);
-    bytes += bytesAbout(state, i);
+    bytes += bytesOfMachine(state, i);
   }
-  std::sort(alike.begin(), alike.end());
-  for (const std::string& row : alike) bytes += row;
+  std::sort(interchangeable.begin(), interchangeable.end());
+  for (const std::string& row : interchangeable) bytes += row;
   return bytes;
 }
 
--- a/src/model/world_words.cpp
+++ b/src/model/world_words.cpp
@@ -1,4 +1,4 @@
-// The words of a counterexample.
+// Descriptions of transitions, for printed schedules.
 #include <algorithm>
 
 #include "model/world.h"
@@ -6,30 +6,30 @@
 namespace quayrill::model {
 
 namespace {
-std::string nameOf(const Ballot& ballot) {
+std::string describeBallot(const Ballot& ballot) {
   return "(" + std::to_string(ballot.epoch.value) + "," + std::to_string(ballot.round) + "," +
          std::to_string(ballot.proposer.value) + ")";
 }
 
-std::string daemonName(std::uint8_t who) {
-  if (who < kMostCallers) return "caller " + std::to_string(who + 1);
-  return "mover " + std::to_string(who - kMostCallers + 1);
+std::string daemonName(std::uint8_t actor) {
+  if (actor < kMaxCallers) return "caller " + std::to_string(actor + 1);
+  return "mover " + std::to_string(actor - kMaxCallers + 1);
 }
 
 std::string machineName(std::size_t index) { return "replica " + std::to_string(index + 1); }
 
-std::string setName(const ReplicaSet& replicas) {
+std::string describeReplicaSet(const ReplicaSet& replicas) {
   std::string text = "epoch " + std::to_string(replicas.epoch.value) + " {";
   for (const ReplicaMember& member : replicas.members)
     text += (text.back() == '{' ? "" : " ") + std::to_string(member.store.value);
   return text + (replicas.settled ? "} settled" : "}");
 }
 
-// The names of the orders in a set, as "a b".
-std::string ordersName(OrderSet set, const std::vector<Order>& orders) {
+// The names of the changes in a set, separated by blanks.
+std::string changeNames(ChangeSet set, const std::vector<OperatorChange>& changes) {
   std::string text;
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    if ((set & bitOf(i)) != 0) text += (text.empty() ? "" : " ") + orders[i].name;
+  for (std::size_t i = 0; i < changes.size(); ++i) {
+    if ((set & bitOf(i)) != 0) text += (text.empty() ? "" : " ") + changes[i].name;
   }
   return text.empty() ? "none" : text;
 }
@@ -39,28 +39,30 @@
   const Request& request = requests_[id];
   const std::string store = " to store " + std::to_string(request.store.value);
   if (const auto* prepare = std::get_if<Prepare>(&request.body))
-    return "Prepare " + nameOf(prepare->ballot) + " '" + prepare->key.value + "'" + store;
+    return "Prepare " + describeBallot(prepare->ballot) + " '" + prepare->key.value + "'" + store;
   const auto& accept = std::get<Accept>(request.body);
-  std::string text = "Accept " + nameOf(accept.ballot) + " '" + accept.key.value + "' version " +
-                     std::to_string(accept.value.version);
+  std::string text = "Accept " + describeBallot(accept.ballot) + " '" + accept.key.value +
+                     "' version " + std::to_string(accept.value.version);
   ReplicaSet replicas;
   if (accept.key == kConfigurationKey)
-    text += " with " +
-            ordersName(ordersIn(accept.value.body, configuration_->orders), configuration_->orders);
+    text += " with " + changeNames(changesIn(accept.value.body, configuration_->changes),
+                                   configuration_->changes);
   else if (decodeValue(accept.value.body, &replicas))
-    text += " " + setName(replicas);
+    text += " " + describeReplicaSet(replicas);
   return text + store;
 }
 
 std::string World::describeChanges(const State& before, const State& after) const {
-  const History& was = histories_[before.history];
-  const History& is = histories_[after.history];
+  const History& oldHistory = histories_[before.history];
+  const History& newHistory = histories_[after.history];
   std::string text;
-  if (is.acked() != was.acked())
-    text += "; acknowledged now: " + ordersName(is.acked(), configuration_->orders);
-  if (is.refused() != was.refused())
-    text += "; refused now: " + ordersName(is.refused(), configuration_->orders);
-  if (is.sets() != was.sets()) text += "; known as chosen now: " + setName(is.sets().back());
+  if (newHistory.acknowledged() != oldHistory.acknowledged())
+    text +=
+        "; acknowledged now: " + changeNames(newHistory.acknowledged(), configuration_->changes);
+  if (newHistory.refused() != oldHistory.refused())
+    text += "; refused now: " + changeNames(newHistory.refused(), configuration_->changes);
+  if (newHistory.replicaSets() != oldHistory.replicaSets())
+    text += "; known as chosen now: " + describeReplicaSet(newHistory.replicaSets().back());
   std::vector<PartId> sent;
   std::set_difference(after.requests.begin(), after.requests.end(), before.requests.begin(),
                       before.requests.end(), std::back_inserter(sent));
@@ -74,40 +76,40 @@
     case Event::Kind::Deliver:
       text = "delivered: " + describeRequest(event.request);
       break;
-    case Event::Kind::DeliverUnheard:
+    case Event::Kind::DeliverAnswerLost:
       text = "delivered, its answer lost: " + describeRequest(event.request);
       break;
     case Event::Kind::Duplicate:
       text = "delivered, and a duplicate stays under way: " + describeRequest(event.request);
       break;
     case Event::Kind::Start: {
-      const auto order = callers_[before.callers[event.who]].nextOrder();
-      text = daemonName(event.who) + " is sent order " + configuration_->orders[*order].name;
+      const auto change = callers_[before.callers[event.actor]].nextChange();
+      text = daemonName(event.actor) + " is sent order " + configuration_->changes[*change].name;
       break;
     }
-    case Event::Kind::Phase:
-      text = daemonName(event.who) + ": the round's time passes";
+    case Event::Kind::PhaseTimeout:
+      text = daemonName(event.actor) + ": the round's time passes";
       break;
-    case Event::Kind::Deadline:
-      text = daemonName(event.who) + ": the operation's time passes";
+    case Event::Kind::OperationTimeout:
+      text = daemonName(event.actor) + ": the operation's time passes";
       break;
-    case Event::Kind::DaemonDies:
-      text = daemonName(event.who) + " ends, another daemon takes its place";
+    case Event::Kind::DaemonCrash:
+      text = daemonName(event.actor) + " ends, another daemon takes its place";
       break;
-    case Event::Kind::MoverSteps:
-      text = daemonName(event.who) + " takes the replica set's next step";
+    case Event::Kind::ReconfigurerSteps:
+      text = daemonName(event.actor) + " takes the replica set's next step";
       break;
     case Event::Kind::Restart:
-      text = machineName(event.who) + " restarts on its disk";
+      text = machineName(event.actor) + " restarts on its disk";
       break;
-    case Event::Kind::Empty:
-      text = machineName(event.who) + " comes back with an empty disk";
+    case Event::Kind::RestartEmpty:
+      text = machineName(event.actor) + " comes back with an empty disk";
       break;
     case Event::Kind::ReplicaLearns:
-      text = machineName(event.who) + " hears of the newest set";
+      text = machineName(event.actor) + " hears of the newest set";
       break;
     case Event::Kind::DaemonLearns:
-      text = daemonName(event.who) + " hears of the newest set";
+      text = daemonName(event.actor) + " hears of the newest set";
       break;
   }
   return text + describeChanges(before, after);
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -9,19 +9,19 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kOrderDue = 3500ms;  // as the daemons give an order
+constexpr Duration kUpdateTimeout = 3500ms;  // the same as in the daemons
 constexpr Duration kStep = 5ms;
 
-bool isYes(UpdateResult result) {
+bool isAcknowledged(UpdateResult result) {
   return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
 }
-bool isNo(UpdateResult result) {
+bool isRejected(UpdateResult result) {
   return result == UpdateResult::Rejected || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
 }  // namespace
 
-std::string writeChain(const ChainBody& body) {
+std::string encodeSimulatedBody(const SimulatedBody& body) {
   std::ostringstream text;
   text << body.number << ' ' << body.forgotten << ' ' << body.taken.size();
   for (const AppliedChange& change : body.taken)
@@ -30,120 +30,125 @@
   return text.str();
 }
 
-ChainBody readChain(const std::string& text) {
-  ChainBody body;
-  std::istringstream read(text.substr(0, text.find('\n')));
+SimulatedBody decodeSimulatedBody(const std::string& text) {
+  SimulatedBody body;
+  std::istringstream input(text.substr(0, text.find('\n')));
   std::size_t count = 0;
-  read >> body.number >> body.forgotten >> count;
+  input >> body.number >> body.forgotten >> count;
   for (std::size_t i = 0; i < count; ++i) {
     AppliedChange change;
-    read >> change.version >> change.digest;
+    input >> change.version >> change.digest;
     body.taken.push_back(std::move(change));
   }
   return body;
 }
 
-Update orderOnTop(const SubmittedChange& order, std::size_t padding, bool forgetting) {
-  return [order, padding,
-          forgetting](const std::string& standing) -> absl::StatusOr<std::optional<std::string>> {
-    ChainBody body = readChain(standing);
-    if (forgetting) body.taken.clear();
-    switch (classifyChange(order, body.taken, body.forgotten, body.number)) {
+Update updateFor(const SubmittedChange& change, std::size_t padding, bool forgetsTaken) {
+  return [change, padding, forgetsTaken](
+             const std::string& presentBody) -> absl::StatusOr<std::optional<std::string>> {
+    SimulatedBody body = decodeSimulatedBody(presentBody);
+    if (forgetsTaken) body.taken.clear();
+    switch (classifyChange(change, body.taken, body.forgotten, body.number)) {
       case ChangeStatus::Applied:
         return std::nullopt;
       case ChangeStatus::Stale:
-        return absl::FailedPreconditionError("another version stands");
+        return absl::FailedPreconditionError("the register holds another version");
       case ChangeStatus::Forgotten:
-        return absl::UnknownError("it may have been taken long ago");
+        return absl::UnknownError("the change may have been taken before its record was dropped");
       case ChangeStatus::New:
         break;
     }
     body.forgotten =
-        std::max(body.forgotten, recordApplied(&body.taken, {order.version, order.digest}));
-    body.number = order.version;
+        std::max(body.forgotten, recordApplied(&body.taken, {change.version, change.digest}));
+    body.number = change.version;
     body.padding = padding;
-    return writeChain(body);
+    return encodeSimulatedBody(body);
   };
 }
 
-std::size_t Operators::make(std::uint64_t basis, std::uint64_t number) {
-  const std::string text = "order " + std::to_string(orders_.size());
-  orders_.push_back({{number, basis, changeDigest("whole", basis, text)}});
-  answers_.emplace_back();
-  return orders_.size() - 1;
+std::size_t Operators::create(std::uint64_t basis, std::uint64_t number) {
+  const std::string text = "order " + std::to_string(submissions_.size());
+  submissions_.push_back({{number, basis, changeDigest("whole", basis, text)}});
+  lastAnswers_.emplace_back();
+  return submissions_.size() - 1;
 }
 
-void Operators::send(std::size_t order, std::size_t machine, bool answerLost) {
+void Operators::send(std::size_t submission, std::size_t machine, bool answerLost) {
   if (!world_.isUp(machine)) return;
-  UpdateOperation updateOperation(orderOnTop(orders_.at(order).change, padding_, forgetting_),
-                                  kRegisterBodyLimit, world_.localNow(machine) + kOrderDue);
+  UpdateOperation updateOperation(
+      updateFor(submissions_.at(submission).change, padding_, forgetsTaken_), kRegisterBodyLimit,
+      world_.localNow(machine) + kUpdateTimeout);
   calls_.push_back(
-      std::make_unique<Call>(Call{order, machine, answerLost, std::move(updateOperation)}));
+      std::make_unique<Call>(Call{submission, machine, answerLost, std::move(updateOperation)}));
 }
 
-void Operators::pump(Call& call) {
+void Operators::advance(Call& call) {
   if (call.pending) {
-    const auto& done = world_.asked(*call.pending).done;
-    if (!done) return;
+    const auto& result = world_.operationById(*call.pending).done;
+    if (!result) return;
     call.pending.reset();
-    call.updateOperation.onAnswer(*done);
+    call.updateOperation.onAnswer(*result);
   }
-  const auto asked = call.updateOperation.next(world_.localNow(call.machine));
-  if (!asked) return answered(call);
-  const std::uint64_t id = asked->isRead
-                               ? world_.read(call.machine)
-                               : world_.change(call.machine, asked->expectedVersion, asked->body);
+  const auto request = call.updateOperation.next(world_.localNow(call.machine));
+  if (!request) return recordAnswer(call);
+  const std::uint64_t id =
+      request->isRead ? world_.read(call.machine)
+                      : world_.change(call.machine, request->expectedVersion, request->body);
   if (id != 0) call.pending = id;
 }
 
-void Operators::answered(const Call& call) {
+void Operators::recordAnswer(const Call& call) {
   const UpdateResult result = call.updateOperation.done()->result;
-  Order& order = orders_[call.order];
-  order.confirmed = order.confirmed || isYes(result);
-  order.refused = order.refused || isNo(result);
-  order.heard = order.heard || (!call.answerLost && (isYes(result) || isNo(result)));
-  answers_[call.order] = result;
-  if (isYes(result)) newest_ = std::max(newest_, order.change.version);
+  Submission& submission = submissions_[call.submission];
+  submission.confirmed = submission.confirmed || isAcknowledged(result);
+  submission.refused = submission.refused || isRejected(result);
+  submission.isAnswered =
+      submission.isAnswered || (!call.answerLost && (isAcknowledged(result) || isRejected(result)));
+  lastAnswers_[call.submission] = result;
+  if (isAcknowledged(result))
+    newestConfirmed_ = std::max(newestConfirmed_, submission.change.version);
 }
 
 bool Operators::isIdle() const { return calls_.empty(); }
 
 void Operators::run(Duration span) {
-  for (Duration past{}; past < span; past += kStep) {
+  for (Duration elapsed{}; elapsed < span; elapsed += kStep) {
     for (const auto& call : calls_) {
-      // What was asked of a daemon that ended is never answered.
-      if (world_.isUp(call->machine)) pump(*call);
+      // A call to a daemon that is down is never answered.
+      if (world_.isUp(call->machine)) advance(*call);
     }
     std::erase_if(calls_, [&](const auto& call) {
-      const bool isOver =
+      const bool isOverdue =
           world_.isUp(call->machine) &&
-          world_.localNow(call->machine) > call->updateOperation.deadline() + kOrderDue;
-      return call->updateOperation.done() || isOver || !world_.isUp(call->machine);
+          world_.localNow(call->machine) > call->updateOperation.deadline() + kUpdateTimeout;
+      return call->updateOperation.done() || isOverdue || !world_.isUp(call->machine);
     });
     world_.run(kStep);
   }
 }
 
-std::vector<std::string> Operators::broken(const std::string& standing) const {
-  std::vector<std::string> broken;
-  std::map<std::uint64_t, std::size_t> confirmedOn;
-  for (std::size_t i = 0; i < orders_.size(); ++i) {
-    const Order& order = orders_[i];
+std::vector<std::string> Operators::violations(const std::string& presentBody) const {
+  std::vector<std::string> violations;
+  std::map<std::uint64_t, std::size_t> confirmedByBasis;
+  for (std::size_t i = 0; i < submissions_.size(); ++i) {
+    const Submission& submission = submissions_[i];
     const std::string name = "order " + std::to_string(i);
-    if (order.confirmed && order.refused) broken.push_back(name + " was confirmed and refused");
-    if (!order.confirmed) continue;
-    if (!confirmedOn.try_emplace(order.change.baseVersion, i).second)
-      broken.push_back(name + " was confirmed on the basis of another one that was");
+    if (submission.confirmed && submission.refused)
+      violations.push_back(name + " was confirmed and refused");
+    if (!submission.confirmed) continue;
+    if (!confirmedByBasis.try_emplace(submission.change.baseVersion, i).second)
+      violations.push_back(name + " was confirmed on the basis of another one that was");
   }
-  const ChainBody body = readChain(standing);
-  if (body.number < newest_) broken.push_back("what stands is older than what was confirmed");
+  const SimulatedBody body = decodeSimulatedBody(presentBody);
+  if (body.number < newestConfirmed_)
+    violations.push_back("what stands is older than what was confirmed");
   for (const AppliedChange& taken : body.taken) {
-    for (const Order& order : orders_) {
-      if (order.change.digest == taken.digest && order.refused)
-        broken.push_back("number " + std::to_string(taken.version) + " was refused and stands");
+    for (const Submission& submission : submissions_) {
+      if (submission.change.digest == taken.digest && submission.refused)
+        violations.push_back("number " + std::to_string(taken.version) + " was refused and stands");
     }
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace quayrill::sim
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -8,21 +8,23 @@
   const Duration until = world.elapsed() + limit;
   while (world.elapsed() < until) {
     world.run(250ms);
-    bool full = true;
+    bool isComplete = true;
     for (std::size_t i = 0; i < world.size(); ++i) {
       if (!world.isUp(i)) continue;
       const ReplicaSet& replicas = world.core(i).freshness().replicas();
-      full = full && replicas.members.size() == world.replicasWanted() && replicas.settled;
+      isComplete =
+          isComplete && replicas.members.size() == world.replicasWanted() && replicas.settled;
     }
-    if (full && world.isConverged()) return true;
+    if (isComplete && world.isConverged()) return true;
   }
   return false;
 }
 
 namespace {
 
-// At most one disk is lost for good at a time, as the brief bounds it; kills and cuts are not.
-void oneFault(World& world, Duration* wipeQuietUntil) {
+// Injects or ends one fault. At most one disk is wiped per minute, since the fleet need not survive
+// more permanent losses than that; crashes and partitions are not limited.
+void injectRandomFault(World& world, Duration* nextWipeAllowedAt) {
   auto& random = world.random();
   const std::size_t machine = random() % world.size();
   const std::size_t diskMachine = random() % world.diskMachines();
@@ -34,8 +36,8 @@
       world.crash(diskMachine, true);
       break;
     case 2:
-      if (world.elapsed() < *wipeQuietUntil) break;
-      *wipeQuietUntil = world.elapsed() + 60s;
+      if (world.elapsed() < *nextWipeAllowedAt) break;
+      *nextWipeAllowedAt = world.elapsed() + 60s;
       world.crash(diskMachine, true);
       world.wipeDisk(diskMachine);
       world.start(diskMachine);
@@ -47,21 +49,21 @@
       world.freeze(diskMachine, std::chrono::milliseconds(500 + random() % 9000));
       break;
     case 5:
-      world.cutOneWay(machine, random() % world.size(), true);
+      world.setLinkBlocked(machine, random() % world.size(), true);
       break;
     case 6:
-      world.cut({machine}, true);
+      world.setPartitioned({machine}, true);
       break;
     case 7: {
       std::set<std::size_t> side;
       for (std::size_t i = 0; i < world.diskMachines(); ++i) {
         if (random() % 2) side.insert(i);
       }
-      world.cut(side, true);
+      world.setPartitioned(side, true);
       break;
     }
     case 8:
-      world.slowDisk(diskMachine, std::chrono::milliseconds(random() % 1500));
+      world.setDiskDelay(diskMachine, std::chrono::milliseconds(random() % 1500));
       break;
     case 9:
       for (std::size_t i = 0; i < world.size(); ++i) {
@@ -69,10 +71,10 @@
       }
       break;
     case 10:
-      world.failDisk(diskMachine, true);
+      world.setDiskFailing(diskMachine, true);
       break;
     case 11:
-      world.mendDisk(diskMachine);
+      world.repairDisk(diskMachine);
       break;
     default:
       world.healAll();
@@ -84,16 +86,16 @@
 
 ScenarioResult runScenario(WorldSettings settings, Duration faultSpan) {
   World world(settings);
-  world.wantRole("orders/a");
-  world.wantRole("orders/b");
+  world.addLeaderRole("orders/a");
+  world.addLeaderRole("orders/b");
   ScenarioResult result;
   runUntilFounded(world, 60s);
   auto& random = world.random();
-  Duration wipeQuietUntil{};
+  Duration nextWipeAllowedAt{};
   const Duration until = world.elapsed() + faultSpan;
   while (world.elapsed() < until) {
-    if (random() % 6 == 0) oneFault(world, &wipeQuietUntil);
-    for (int operators = 0; operators < 2; ++operators) {
+    if (random() % 6 == 0) injectRandomFault(world, &nextWipeAllowedAt);
+    for (int operatorIndex = 0; operatorIndex < 2; ++operatorIndex) {
       const std::size_t machine = random() % world.size();
       if (!world.isUp(machine)) continue;
       const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
@@ -110,13 +112,13 @@
     world.run(250ms);
     result.converged = world.isConverged();
   }
-  result.convergedAfter = world.elapsed() - healedAt;
+  result.reconvergedAfterHeal = world.elapsed() - healedAt;
   world.read(0);
   world.run(4s);
   world.checkHistory();
   result.violations = world.violations();
   result.traceHash = world.traceHash();
-  result.tally = world.tally();
+  result.counters = world.counters();
   return result;
 }
 
--- a/src/sim/scenarios_copies.cpp
+++ b/src/sim/scenarios_copies.cpp
@@ -1,4 +1,5 @@
-// Scenarios about copies: hundreds of changes while each of them restarts and its disk fails.
+// The scenario about register replicas: hundreds of changes while replicas restart and their disks
+// fail. Also the table of all named scenarios.
 #include <algorithm>
 
 #include "sim/operators.h"
@@ -11,35 +12,36 @@
 
 namespace {
 constexpr std::size_t kChanges = 600;
-constexpr std::size_t kChangesBetween = 30;  // from one trouble to the next
+constexpr std::size_t kChangesPerFault = 30;
 constexpr std::size_t kBodyBytes = 16 << 10;
-constexpr Duration kTroubleSpan = 6s;
-constexpr Duration kBackLimit = 30s;
+constexpr Duration kFaultSpan = 6s;
+constexpr Duration kRecoveryLimit = 30s;
 
-enum class Trouble { Kill, PowerLoss, Emptied, Slow, Stalled, Failing, Count };
+// What happens to a machine and its disk.
+enum class ReplicaFault { Kill, PowerLoss, DiskWiped, DiskSlow, DiskStalled, DiskFailing, Count };
 
-void begin(World& world, std::size_t machine, Trouble trouble) {
-  switch (trouble) {
-    case Trouble::Kill:
+void inject(World& world, std::size_t machine, ReplicaFault fault) {
+  switch (fault) {
+    case ReplicaFault::Kill:
       return world.crash(machine, false);
-    case Trouble::PowerLoss:
+    case ReplicaFault::PowerLoss:
       return world.crash(machine, true);
-    case Trouble::Emptied:
+    case ReplicaFault::DiskWiped:
       world.crash(machine, true);
       return world.wipeDisk(machine);
-    case Trouble::Slow:
-      return world.slowDisk(machine, 400ms);
-    case Trouble::Stalled:
-      return world.slowDisk(machine, kTroubleSpan);
-    case Trouble::Failing:
-      return world.failDisk(machine, true);
-    case Trouble::Count:
+    case ReplicaFault::DiskSlow:
+      return world.setDiskDelay(machine, 400ms);
+    case ReplicaFault::DiskStalled:
+      return world.setDiskDelay(machine, kFaultSpan);
+    case ReplicaFault::DiskFailing:
+      return world.setDiskFailing(machine, true);
+    case ReplicaFault::Count:
       return;
   }
 }
 
-// The replica of the machine votes: it may write, and a settled set names its store.
-bool votes(World& world, std::size_t machine) {
+// True if the machine's replica votes: it is writable, and its store is in a settled replica set.
+bool isVotingMember(World& world, std::size_t machine) {
   if (!world.isUp(machine) || !world.core(machine).isWritable()) return false;
   const ReplicaSet& replicas = world.core(machine).freshness().replicas();
   const StoreId store = world.core(machine).store();
@@ -48,78 +50,82 @@
                      [&](const ReplicaMember& member) { return member.store == store; });
 }
 
-// Makes one change on top of the newest, through any machine that is up, until it is confirmed.
-bool makeChange(World& world, Operators* operators, NamedResult* result) {
+// Submits one change on top of the newest, through random machines, until it gets a definite
+// answer. Returns whether it was confirmed.
+bool submitChange(World& world, Operators* operators, NamedScenarioResult* result) {
   const std::uint64_t basis = operators->newestConfirmed();
-  const std::size_t order = operators->make(basis, basis + 1);
-  for (int tries = 0; tries < 60; ++tries) {
+  const std::size_t submission = operators->create(basis, basis + 1);
+  for (int attempt = 0; attempt < 60; ++attempt) {
     const std::size_t machine = world.random()() % world.size();
-    operators->send(order, machine, false);
-    result->resends += tries > 0;
-    for (int step = 0; step < 100 && !operators->order(order).heard; ++step) {
+    operators->send(submission, machine, false);
+    result->resends += attempt > 0;
+    for (int step = 0; step < 100 && !operators->submission(submission).isAnswered; ++step) {
       operators->run(10ms);
       if (operators->isIdle()) break;
     }
-    if (operators->order(order).heard) return operators->order(order).confirmed;
+    if (operators->submission(submission).isAnswered)
+      return operators->submission(submission).confirmed;
   }
   return false;
 }
 }  // namespace
 
-NamedResult runManyChanges(std::uint64_t seed, bool plant) {
-  NamedResult result;
+NamedScenarioResult runManyChanges(std::uint64_t seed, bool injectDefect) {
+  NamedScenarioResult result;
   WorldSettings settings;
   settings.seed = seed;
   settings.diskMachines = 3;
   settings.edgeMachines = 2;
-  settings.plantReusedStore = plant;
+  settings.injectReusedStore = injectDefect;
   World world(settings);
-  if (!runUntilFounded(world, 60s)) result.broken.push_back("not founded");
+  if (!runUntilFounded(world, 60s)) result.violations.push_back("not founded");
   Operators operators(world);
   operators.setPadding(kBodyBytes);
   std::size_t machine = 0;
   for (std::size_t change = 0; change < kChanges; ++change) {
-    const bool isTrouble = change % kChangesBetween == kChangesBetween - 1;
-    if (!isTrouble) {
-      if (!makeChange(world, &operators, &result)) result.broken.push_back("a change failed");
+    const bool startsFault = change % kChangesPerFault == kChangesPerFault - 1;
+    if (!startsFault) {
+      if (!submitChange(world, &operators, &result)) result.violations.push_back("a change failed");
       continue;
     }
-    const auto kinds = static_cast<std::size_t>(Trouble::Count);
-    const auto trouble = static_cast<Trouble>(result.incidents++ % kinds);
+    const auto kinds = static_cast<std::size_t>(ReplicaFault::Count);
+    const auto fault = static_cast<ReplicaFault>(result.injectedFaults++ % kinds);
     machine = (machine + 1) % world.diskMachines();
-    begin(world, machine, trouble);
-    const Duration until = world.elapsed() + kTroubleSpan;
+    inject(world, machine, fault);
+    const Duration until = world.elapsed() + kFaultSpan;
     while (world.elapsed() < until) {
-      if (!makeChange(world, &operators, &result)) result.broken.push_back("a change failed");
+      if (!submitChange(world, &operators, &result)) result.violations.push_back("a change failed");
     }
-    const Duration ended = world.elapsed();
+    const Duration healedAt = world.elapsed();
     world.healAll();
-    Duration caughtUp{}, voting{};
-    while (world.elapsed() - ended < kBackLimit &&
-           (caughtUp == Duration{} || voting == Duration{})) {
+    Duration caughtUpAfter{}, votingAfter{};
+    while (world.elapsed() - healedAt < kRecoveryLimit &&
+           (caughtUpAfter == Duration{} || votingAfter == Duration{})) {
       world.run(20ms);
-      const Duration past = world.elapsed() - ended;
+      const Duration sinceHeal = world.elapsed() - healedAt;
       const std::uint64_t number =
-          readChain(world.core(machine).freshness().configuration().value.body).number;
+          decodeSimulatedBody(world.core(machine).freshness().configuration().value.body).number;
       const bool isNewest = number >= operators.newestConfirmed();
-      if (caughtUp == Duration{} && isNewest && world.isConfirmed(machine, 500ms)) caughtUp = past;
-      if (voting == Duration{} && votes(world, machine)) voting = past;
+      if (caughtUpAfter == Duration{} && isNewest && world.isConfirmed(machine, 500ms))
+        caughtUpAfter = sinceHeal;
+      if (votingAfter == Duration{} && isVotingMember(world, machine)) votingAfter = sinceHeal;
     }
-    if (caughtUp == Duration{} || voting == Duration{})
-      result.broken.push_back("a replica never came back after trouble " +
-                              std::to_string(static_cast<int>(trouble)));
-    result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUp);
-    result.slowestVote = std::max(result.slowestVote, voting);
+    if (caughtUpAfter == Duration{} || votingAfter == Duration{})
+      result.violations.push_back("a replica never came back after trouble " +
+                                  std::to_string(static_cast<int>(fault)));
+    result.slowestCatchUp = std::max(result.slowestCatchUp, caughtUpAfter);
+    result.slowestVotingRestore = std::max(result.slowestVotingRestore, votingAfter);
   }
   world.run(4s);
   const std::uint64_t id = world.read(0);
   world.run(4s);
-  const auto& done = world.asked(id).done;
+  const auto& done = world.operationById(id).done;
   const std::string body = done && done->result == ChangeResult::Chosen ? done->value.body : "";
-  for (std::string& what : operators.broken(body)) result.broken.push_back(std::move(what));
+  for (std::string& what : operators.violations(body)) result.violations.push_back(std::move(what));
   world.checkHistory();
-  for (const Violation& violation : world.violations()) result.broken.push_back(violation.what);
-  for (const Order& order : operators.orders()) result.confirmed += order.confirmed;
+  for (const Violation& violation : world.violations()) result.violations.push_back(violation.what);
+  for (const Submission& submission : operators.submissions())
+    result.confirmed += submission.confirmed;
   return result;
 }
 
--- a/tests/recovery_tests.cpp
+++ b/tests/recovery_tests.cpp
@@ -25,15 +25,16 @@
   return world.elapsed() - start;
 }
 bool isChosen(World& world, std::uint64_t id) {
-  return id != 0 && world.asked(id).done && world.asked(id).done->result == ChangeResult::Chosen;
+  return id != 0 && world.operationById(id).done &&
+         world.operationById(id).done->result == ChangeResult::Chosen;
 }
 // Changes the configuration from `machine` until a change is acknowledged, and returns its version.
 std::uint64_t changeAcknowledged(World& world, std::size_t machine, const std::string& body) {
   for (int i = 0; i < 10; ++i) {
     const std::uint64_t known = world.core(machine).freshness().configuration().value.version;
     const std::uint64_t id = world.change(machine, known, body);
-    timeUntil(world, 4s, [&] { return world.asked(id).done.has_value(); });
-    if (isChosen(world, id)) return world.asked(id).done->value.version;
+    timeUntil(world, 4s, [&] { return world.operationById(id).done.has_value(); });
+    if (isChosen(world, id)) return world.operationById(id).done->value.version;
   }
   return 0;
 }
@@ -77,8 +78,8 @@
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     INFO("seed " << seed);
     WorldSettings settings = fourCoreMachines(seed);
-    settings.lossRate = settings.duplicateRate = 0.15;
-    settings.delayHigh = seed % 2 ? 60ms : 8ms;
+    settings.messageLossRate = settings.messageDuplicationRate = 0.15;
+    settings.maxMessageDelay = seed % 2 ? 60ms : 8ms;
     World world(settings);
     auto& random = world.random();
     for (std::size_t deaths = 0; deaths < 1 + seed % 3; ++deaths) {
@@ -189,7 +190,7 @@
     INFO("seed " << seed);
     World world(fourCoreMachines(seed));
     timeUntil(world, 20s, [&] { return world.isConverged(); });
-    world.wantRole("orders/x");
+    world.addLeaderRole("orders/x");
     timeUntil(world, 20s, [&] {
       bool held = false;
       for (std::size_t i = 0; i < 4; ++i)
--- a/tests/replica_leaving_tests.cpp
+++ b/tests/replica_leaving_tests.cpp
@@ -44,9 +44,9 @@
     world.run(25ms);
     minMembers = std::min(minMembers, replicas().members.size());
     longestGap = std::max(longestGap, world.elapsed() - lastAck);
-    if (asked != 0 && !world.asked(asked).done) return;
-    if (asked != 0 && world.asked(asked).done->result == ChangeResult::Chosen) {
-      newest = world.asked(asked).done->value.version;
+    if (asked != 0 && !world.operationById(asked).done) return;
+    if (asked != 0 && world.operationById(asked).done->result == ChangeResult::Chosen) {
+      newest = world.operationById(asked).done->value.version;
       lastAck = world.elapsed();
       ++acknowledged;
     }
@@ -61,9 +61,9 @@
   void check() {
     const std::uint64_t read = world.read(edge());
     world.run(4s);
-    REQUIRE(world.asked(read).done);
-    CHECK(world.asked(read).done->result == ChangeResult::Chosen);
-    CHECK(world.asked(read).done->value.version >= newest);
+    REQUIRE(world.operationById(read).done);
+    CHECK(world.operationById(read).done->result == ChangeResult::Chosen);
+    CHECK(world.operationById(read).done->value.version >= newest);
     world.checkHistory();
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
@@ -179,9 +179,9 @@
     const std::size_t stalled = someMember(load);
     const Epoch before = load.replicas().epoch;
     for (int stall = 0; stall < 8; ++stall) {
-      world.slowDisk(stalled, 3500ms);
+      world.setDiskDelay(stalled, 3500ms);
       load.run(100ms);
-      world.slowDisk(stalled, Duration{});
+      world.setDiskDelay(stalled, Duration{});
       load.run(6s);
     }
     CHECK(load.replicas().epoch.value - before.value <= 4);
@@ -197,7 +197,7 @@
   ChangeLoad load(world);
   load.run(2s);
   const Epoch before = load.replicas().epoch;
-  world.slowDisk(someMember(load), 150ms);
+  world.setDiskDelay(someMember(load), 150ms);
   load.run(20s);
   CHECK(load.replicas().epoch == before);
   CHECK(load.longestGap < kAckBound);
--- a/tests/replica_plan_tests.cpp
+++ b/tests/replica_plan_tests.cpp
@@ -138,8 +138,8 @@
     REQUIRE(isFull());
     const std::uint64_t first = world.change(5, 0, "kept");
     world.run(1s);
-    REQUIRE(world.asked(first).done);
-    REQUIRE(world.asked(first).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(first).done);
+    REQUIRE(world.operationById(first).done->result == ChangeResult::Chosen);
     // Two members lose their disks at the same time, right after a change was acknowledged.
     for (std::size_t machine : {0U, 1U}) {
       world.crash(machine, true);
@@ -148,8 +148,8 @@
     const std::size_t edge = world.diskMachines();
     const std::uint64_t second = world.change(edge, 1, "newer");
     world.run(3s);
-    REQUIRE(world.asked(second).done);
-    CHECK(world.asked(second).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(second).done);
+    CHECK(world.operationById(second).done->result == ChangeResult::Chosen);
     for (std::size_t machine : {0U, 1U}) world.start(machine);
     world.run(10s);
     CHECK(isFull());
@@ -228,11 +228,11 @@
     }
     // Therefore the loss of any one zone leaves a majority.
     const std::uint64_t version = world.core(6).freshness().configuration().value.version;
-    world.cut({seed % 3, seed % 3 + 3}, true);
+    world.setPartitioned({seed % 3, seed % 3 + 3}, true);
     const std::uint64_t id = world.change(6, version, "kept");
     world.run(3s);
-    REQUIRE(world.asked(id).done);
-    CHECK(world.asked(id).done->result == ChangeResult::Chosen);
+    REQUIRE(world.operationById(id).done);
+    CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
     for (const auto& violation : world.violations()) FAIL_CHECK(violation.what);
   }
 }
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -206,11 +206,11 @@
   world.setSeeds(late, {Address{"127.9.9.1:7000"}, Address{"127.9.9.2:7000"}});
   world.start(late);
   world.run(20s);
-  REQUIRE(world.listedBy(late) == 1);
+  REQUIRE(world.liveMachinesSeenBy(late) == 1);
   REQUIRE_FALSE(world.isConfirmed(late, 2s));
   world.setSeeds(late, {world.addressOf(1), world.addressOf(2)});
   world.run(5s);
-  CHECK(world.listedBy(late) == world.size());
+  CHECK(world.liveMachinesSeenBy(late) == world.size());
   CHECK(world.isConfirmed(late, 2s));
   CHECK(world.violations().empty());
 }
@@ -226,8 +226,8 @@
   for (std::size_t i = 0; i < world.size(); ++i)
     world.setSeeds(i, {world.addressOf(2), world.addressOf(3)});
   world.run(5s);
-  REQUIRE(world.asked(id).done);
-  CHECK(world.asked(id).done->result == ChangeResult::Chosen);
+  REQUIRE(world.operationById(id).done);
+  CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
   CHECK(world.core(0).store() == store);
   CHECK(world.core(0).freshness().replicas() == replicas);
   CHECK(world.isConverged());
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -292,7 +292,7 @@
   // Advances one update if its pending step is done.
   void pump(Call& call) {
     if (call.pending) {
-      const auto& done = world.asked(*call.pending).done;
+      const auto& done = world.operationById(*call.pending).done;
       if (!done) return;
       call.pending.reset();
       call.updateOperation.onAnswer(*done);
@@ -319,7 +319,7 @@
     sim::WorldSettings settings;
     settings.seed = seed;
     settings.edgeMachines = 3;
-    settings.lossRate = 0.05;
+    settings.messageLossRate = 0.05;
     Fleet fleet(settings);
     std::uint64_t baseVersion = 0;
     for (std::uint64_t round = 1; round <= 5; ++round) {
