--- a/src/model/caller.h
+++ b/src/model/caller.h
@@ -6,7 +6,7 @@
 
 #include "agent/core/freshness.h"
 #include "model/configuration.h"
-#include "model/observed.h"
+#include "model/observation.h"
 #include "register/update_operation.h"
 
 namespace quayrill::model {
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "model/orders.h"
+#include "model/operator_changes.h"
 
 namespace quayrill::model {
 
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "model/observed.h"
+#include "model/observation.h"
 
 namespace quayrill::model {
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "model/orders.h"
+#include "model/operator_changes.h"
 #include "register/replica.h"
 
 namespace quayrill::model {
--- a/src/model/observed.h
+++ b/src/model/observation.h
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "configuration/update.h"
-#include "model/orders.h"
+#include "model/operator_changes.h"
 #include "model/timed_proposer.h"
 
 namespace quayrill::model {
--- a/src/model/orders.cpp
+++ b/src/model/operator_changes.cpp
@@ -1,4 +1,4 @@
-#include "model/orders.h"
+#include "model/operator_changes.h"
 
 #include <algorithm>
 #include <sstream>
--- a/src/model/mover.cpp
+++ b/src/model/reconfigurer.cpp
@@ -1,4 +1,4 @@
-#include "model/mover.h"
+#include "model/reconfigurer.h"
 
 namespace quayrill::model {
 
--- a/src/model/mover.h
+++ b/src/model/reconfigurer.h
@@ -6,7 +6,7 @@
 
 #include "agent/core/freshness.h"
 #include "model/configuration.h"
-#include "model/observed.h"
+#include "model/observation.h"
 #include "register/epoch_sweep.h"
 
 namespace quayrill::model {
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -26,7 +26,7 @@
 #include "model/history.h"
 #include "model/interned.h"
 #include "model/machine.h"
-#include "model/mover.h"
+#include "model/reconfigurer.h"
 #include "model/state.h"
 
 namespace quayrill::model {
