--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -124,10 +124,10 @@
 }
 
 std::string Caller::ownBytes() const {
-  std::string bytes = "caller" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + encodeValue(nextCall_) +
-                      encodeValue(writes_) + encodeValue(ackedBefore_);
+  std::string bytes =
+      "caller" + encodeValue(index_) + encodeValue(life_) + encodeValue(known_.replicas()) +
+      encodeValue(known_.confirmRequest({}, false)) + encodeValue(known_.replicaSetVersion()) +
+      encodeValue(nextCall_) + encodeValue(writes_) + encodeValue(ackedBefore_);
   for (const bool flag : {isRead_, isLate_, amending_.has_value()}) bytes += flag ? '1' : '0';
   if (amending_) bytes += amending_->stateBytes();
   return bytes;
--- a/src/model/mover.cpp
+++ b/src/model/mover.cpp
@@ -95,10 +95,10 @@
 }
 
 std::string Mover::ownBytes() const {
-  std::string bytes = "mover" + encodeValue(index_) + encodeValue(life_) +
-                      encodeValue(known_.replicas()) + encodeValue(known_.question({}, false)) +
-                      encodeValue(known_.replicaSetVersion()) + sweep_.stateBytes() +
-                      (wantsRead_ ? '1' : '0');
+  std::string bytes =
+      "mover" + encodeValue(index_) + encodeValue(life_) + encodeValue(known_.replicas()) +
+      encodeValue(known_.confirmRequest({}, false)) + encodeValue(known_.replicaSetVersion()) +
+      sweep_.stateBytes() + (wantsRead_ ? '1' : '0');
   for (const bool isRead : isRead_) bytes += isRead ? '1' : '0';
   return bytes;
 }
