--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -131,7 +131,7 @@
 std::string Caller::ownBytes() const {
   std::string bytes = "caller" + encodeValue(index_) + encodeValue(incarnation_) +
                       encodeValue(freshness_.replicas()) +
-                      encodeValue(freshness_.question({}, false)) +
+                      encodeValue(freshness_.confirmRequest({}, false)) +
                       encodeValue(freshness_.replicaSetVersion()) + encodeValue(nextCall_) +
                       encodeValue(proposedWrites_) + encodeValue(acknowledgedBefore_);
   for (const bool flag : {isRead_, isChangeDeadlinePassed_, update_.has_value()})
--- a/src/model/reconfigurer.cpp
+++ b/src/model/reconfigurer.cpp
@@ -102,7 +102,7 @@
 std::string Reconfigurer::ownBytes() const {
   std::string bytes =
       "mover" + encodeValue(index_) + encodeValue(incarnation_) +
-      encodeValue(freshness_.replicas()) + encodeValue(freshness_.question({}, false)) +
+      encodeValue(freshness_.replicas()) + encodeValue(freshness_.confirmRequest({}, false)) +
       encodeValue(freshness_.replicaSetVersion()) + sweep_.stateBytes() + (needsRead_ ? '1' : '0');
   for (const bool isRead : isRead_) bytes += isRead ? '1' : '0';
   return bytes;
