--- a/src/agent/core/gossip.cpp
+++ b/src/agent/core/gossip.cpp
@@ -36,16 +36,16 @@
     own_.version = {Incarnation{version.incarnation.value + 1}, own_.version.counter};
 }
 
-NewsAsk Gossip::makeRequest() const {
-  NewsAsk ask;
+GossipRequest Gossip::makeRequest() const {
+  GossipRequest ask;
   ask.known.emplace_back(self_, own_.version);
   for (const auto& [source, row] : rows_) ask.known.emplace_back(source, row.item.version);
   return ask;
 }
 
-NewsAnswer Gossip::answerRequest(const NewsAsk& ask) {
+GossipResponse Gossip::answerRequest(const GossipRequest& ask) {
   std::map<Address, GossipVersion> known(ask.known.begin(), ask.known.end());
-  NewsAnswer answer;
+  GossipResponse answer;
   if (const auto mine = known.find(self_); mine != known.end()) supersedeEarlierRun(mine->second);
   if (own_.version > known[self_]) answer.items.push_back(own_);
   for (const auto& [source, row] : rows_) {
@@ -54,7 +54,7 @@
   return answer;
 }
 
-void Gossip::onAnswer(const NewsAnswer& answer, Instant now) {
+void Gossip::onAnswer(const GossipResponse& answer, Instant now) {
   for (const GossipItem& item : answer.items) {
     if (item.source == self_) {
       if (item.nonce != own_.nonce) supersedeEarlierRun(item.version);
--- a/src/agent/core/gossip.h
+++ b/src/agent/core/gossip.h
@@ -21,10 +21,10 @@
   // Increments the version of the own item, and forgets items that have not changed for long.
   void advanceHeartbeat(Instant now);
   // A request to another daemon for all items newer than the ones known here.
-  NewsAsk makeRequest() const;
-  NewsAnswer answerRequest(const NewsAsk& ask);
+  GossipRequest makeRequest() const;
+  GossipResponse answerRequest(const GossipRequest& ask);
   // Takes the items that are newer than the known ones.
-  void onAnswer(const NewsAnswer& answer, Instant now);
+  void onAnswer(const GossipResponse& answer, Instant now);
 
   std::vector<GossipItem> live(Instant now) const;  // sorted by address, always includes self
   bool isLive(const Address& source, Instant now) const;
