--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -59,6 +59,7 @@
   // SIGHUP came since the last poll. A text is evaluated once, when two consecutive polls returned
   // it, and again at each SIGHUP.
   SettingsPollResult onPoll(const std::optional<std::string>& text, bool reloadRequested);
+  // The settings that the daemon runs with, including all changes that were returned by onPoll().
   const Settings& inForce() const { return inForce_; }
 
  private:
@@ -78,6 +79,7 @@
   // Called on the watch's thread, once per change.
   using ApplyCallback = std::function<void(const Settings&)>;
 
+  // Starts the thread. `inForce` are the settings that were read from `source` at the start.
   SettingsWatch(SettingsSource source, Settings inForce, ApplyCallback applyCallback);
   ~SettingsWatch();
   SettingsWatch(const SettingsWatch&) = delete;
--- a/src/net/disk.h
+++ b/src/net/disk.h
@@ -30,7 +30,7 @@
 inline constexpr std::size_t kWriteBufferBytes = 1 << 20;
 
 struct DiskSettings {
-  std::string folder;
+  std::string folder;                             // path of the data folder; must exist
   std::string syncDelayFile;                      // for tests with a slow disk; else empty
   std::chrono::milliseconds retryInterval{1000};  // between attempts to reopen a failed disk
   FileSystem files{};                             // default: the host's file system
@@ -45,7 +45,9 @@
   using Rows = std::map<std::string, std::string>;
   // Called on the disk's thread, each time that a failed folder was reopened and read again.
   using ReopenedCallback = std::function<void(Rows)>;
+  // Does not access the folder yet; open() does.
   Disk(DiskSettings settings, ReopenedCallback onReopened);
+  // Finishes all queued writes.
   ~Disk();
   // Returns the stored rows. Returns nullopt if the folder can't be written now (full) or takes
   // over a second (stalled); the rows are then passed to the reopened callback later. An error is
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -24,8 +24,8 @@
   std::string body;
   std::map<std::string, std::string> headers;
   Span timeout = std::chrono::seconds(1);  // for the whole call, connecting included
-  std::size_t bodyLimit = 4 << 20;  // bytes, of the answer
-  Address from;  // local address to call from; empty: the system chooses
+  std::size_t bodyLimit = 4 << 20;         // bytes, of the answer
+  Address from;                            // local address to call from; empty: the system chooses
   // The request is not sent after this, even if the process was suspended while connecting.
   std::optional<Instant> sendDeadline{};
 };
@@ -53,6 +53,7 @@
 class HttpServer {
  public:
   HttpServer(asio::io_context& io, HttpServerSettings settings, HttpHandler handler);
+  // Listens and accepts connections. An error names the address and the remedy.
   absl::Status start();
   // Accepts no new connections and closes idle ones; requests in progress finish. Thread-safe.
   void stopAccepting();
@@ -72,7 +73,9 @@
   std::atomic<bool> stopping_{false};
 };
 
+// A response with the JSON and a newline as its body.
 HttpResponse jsonResponse(unsigned status, const nlohmann::json& body);
+// A response of type text/plain.
 HttpResponse textResponse(unsigned status, std::string body);
 // The error's HTTP status, with its name and message as JSON.
 HttpResponse errorResponse(const Error& error);
--- a/src/net/model_server.h
+++ b/src/net/model_server.h
@@ -9,6 +9,7 @@
 
 namespace quayrill {
 
+// Path and header names of a request for a model.
 namespace wire {
 inline constexpr char kGenerate[] = "/generate";
 inline constexpr char kRequestId[] = "Quayrill-Request-Id";
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -27,6 +27,7 @@
   void send(const Envelope& envelope);
   // Number of envelopes dropped so far.
   std::uint64_t dropped() const { return dropped_; }
+  // Bytes of the frames that wait in all queues.
   std::size_t queuedBytes() const { return queuedBytes_; }
 
  private:
--- a/src/proxy/deliver.h
+++ b/src/proxy/deliver.h
@@ -34,6 +34,7 @@
   CallerGone,        // the caller disconnected or stopped reading
 };
 
+// What became of a delivery.
 struct DeliveryResult {
   DeliveryOutcome outcome{};
   std::string detail;        // for the decision log
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -26,9 +26,11 @@
   absl::Status start();
   // Reports "not ready" from now on. Requests are still accepted.
   void beginLeaving() { leaving_ = true; }
+  // Accepts no new connections from now on; open requests finish.
   void stopAccepting() { callerServer_->stopAccepting(); }
   // The longest time that a request accepted now may take.
   Span longestRequestTimeout() const;
+  // Connections of callers that are still open.
   std::size_t openConnections() const { return callerServer_->connections(); }
   // Stops the traffic threads; open requests are abandoned.
   void stop();
