--- a/src/agent/operator_api.cpp
+++ b/src/agent/operator_api.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 HttpResponse rejection(const std::string& why) {
-  HttpResponse response = errorResponse({ErrorKind::TurnedAway, why});
+  HttpResponse response = errorResponse({ErrorKind::Rejected, why});
   response.set(http::field::retry_after, "1");
   return response;
 }
@@ -69,8 +69,8 @@
   }
   if (body.size() > kConfigurationLimit)
     co_return errorResponse(
-        {ErrorKind::Oversize, "the configuration would have " + std::to_string(body.size()) +
-                                  " bytes of at most " + std::to_string(kConfigurationLimit)});
+        {ErrorKind::BodyTooLarge, "the configuration would have " + std::to_string(body.size()) +
+                                      " bytes of at most " + std::to_string(kConfigurationLimit)});
   if (const auto parsed = dialect_.readConfiguration(body); !parsed.ok())
     co_return errorResponse(
         {ErrorKind::InvalidConfiguration, std::string(parsed.status().message())});
@@ -95,7 +95,7 @@
     case ChangeResult::Unknown:
       break;
   }
-  co_return errorResponse({ErrorKind::ChangeUnknown, "the change may or may not be made"});
+  co_return errorResponse({ErrorKind::ChangeOutcomeUnknown, "the change may or may not be made"});
 }
 
 // Founds a new register on this machine's disk. The last resort, for when a majority of the
@@ -128,7 +128,8 @@
   // A successful round of the new register shows that its founding state is synced to disk.
   const ChangeOutcome done = co_await linearizableRead(3s);
   if (done.result != ChangeResult::Chosen)
-    co_return errorResponse({ErrorKind::ChangeUnknown, "the new register did not answer yet"});
+    co_return errorResponse(
+        {ErrorKind::ChangeOutcomeUnknown, "the new register did not answer yet"});
   LOG(INFO) << "new register founded as fleet " << recovered.replicas.fleet;
   co_return jsonResponse(200, {{"fleet", recovered.replicas.fleet},
                                {"epoch", recovered.replicas.epoch.value},
@@ -200,7 +201,7 @@
     co_return co_await changeConfiguration(request, verb == http::verb::patch);
   if (path == "/q/refound" && verb == http::verb::post) co_return co_await recover(request);
   if (verb != http::verb::get)
-    co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
+    co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
   if (path == "/healthz") co_return textResponse(200, "ok\n");
   if (path == "/readyz") {
     const auto confirmedAt = core_->freshness().confirmedAt();
@@ -231,7 +232,7 @@
       co_return rejection("no majority of register replicas answered");
     co_return jsonResponse(200, configurationJson());
   }
-  co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
+  co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
 }
 
 }  // namespace quayrill
--- a/src/agent/weights_orders.cpp
+++ b/src/agent/weights_orders.cpp
@@ -84,7 +84,7 @@
   apply(std::move(effects));
   for (const WeightsOrder& order : rolloutEffects.orders)
     asio::co_spawn(io_, sendWeightsOrder(model, order, now), asio::detached);
-  for (const ReportRequest& request : rolloutEffects.questions)
+  for (const ReportRequest& request : rolloutEffects.reportRequests)
     asio::co_spawn(io_, requestWeightsReport(model, request), asio::detached);
 }
 
--- a/src/proxy/parse_request.cpp
+++ b/src/proxy/parse_request.cpp
@@ -38,13 +38,13 @@
   job->policyName = route->second;
   job->policy = currentView.configuration->policies.at(route->second);
   if (request.body().size() > job->policy.bodyLimit)
-    return Error{ErrorKind::Oversize, "the body is over the policy's limit"};
+    return Error{ErrorKind::BodyTooLarge, "the body is over the policy's limit"};
   const std::string salt = headerOf(request, wire::kSalt);
   if (salt.size() > 64 || !std::all_of(salt.begin(), salt.end(), isSaltLetter))
     return Error{ErrorKind::MalformedRequest,
                  "Quayrill-Cache-Salt: at most 64 of A-Z a-z 0-9 . _ - :"};
   if (!resolveCacheSalt(*currentView.configuration, job->tenant, salt, &job->salt))
-    return Error{ErrorKind::SaltMisuse, "the salt belongs to isolated tenants"};
+    return Error{ErrorKind::ForbiddenSalt, "the salt belongs to isolated tenants"};
   auto prefix = parsePrefix(headerOf(request, wire::kPrefix));
   if (!prefix.ok())
     return Error{ErrorKind::MalformedRequest, std::string(prefix.status().message())};
--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -98,7 +98,7 @@
     co_return jsonResponse(200,
                            {{"first", page.first}, {"next", page.next}, {"lines", page.lines}});
   }
-  co_return errorResponse({ErrorKind::UnknownWay, "no such call: " + path});
+  co_return errorResponse({ErrorKind::UnknownRoute, "no such call: " + path});
 }
 
 awaitable<void> Relay::accept(Tcp::acceptor& acceptor) {
@@ -240,9 +240,10 @@
   }
   if (code == http::error::end_of_stream || !caller->socket.is_open()) co_return false;
   Error error{ErrorKind::MalformedRequest, "the request can't be read: " + code.message()};
-  if (caller->timedOut) error = {ErrorKind::SlowCaller, "the request did not come whole in time"};
-  if (code == http::error::header_limit) error = {ErrorKind::HeaderOversize, "the headers"};
-  if (code == http::error::body_limit) error = {ErrorKind::Oversize, "the body"};
+  if (caller->timedOut)
+    error = {ErrorKind::RequestTimeout, "the request did not come whole in time"};
+  if (code == http::error::header_limit) error = {ErrorKind::HeadersTooLarge, "the headers"};
+  if (code == http::error::body_limit) error = {ErrorKind::BodyTooLarge, "the body"};
   const bool closed = code == asio::error::eof || code == asio::error::connection_reset ||
                       code == http::error::partial_message;
   if (!closed) {
