--- a/src/fleet/steps_daemons.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
 
--- a/src/fleet/steps_outside.cpp
+++ b/src/fleet/external_faults.cpp
@@ -1,5 +1,5 @@
 // Faults and releases of model servers, the store and the platform.
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
 
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -133,7 +133,7 @@
 };
 Figures figuresOf(const Ledger& ledger, Instant trafficEnd);
 
-// The rules on what operators change, in checker_operators.cpp.
+// The rules on what operators change, in checker_configuration.cpp.
 void checkOperators(const Ledger& ledger, std::vector<Finding>* findings);
 Duration slowestInForce(const Ledger& ledger);
 
--- a/src/fleet/callers.cpp
+++ b/src/fleet/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/callers.h"
+#include "fleet/load_generator.h"
 
 #include "base/digest.h"
 #include "net/model_server.h"
--- a/src/fleet/site.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -1,4 +1,4 @@
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 #include <csignal>
 #include <iostream>
--- a/src/fleet/site.h
+++ b/src/fleet/local_deployment.h
@@ -2,9 +2,9 @@
 // One deployment on one machine: daemons, stand-ins, gateway and the operator's steps.
 #include <memory>
 
-#include "fleet/callers.h"
 #include "fleet/daemons.h"
-#include "fleet/stand_in_site.h"
+#include "fleet/load_generator.h"
+#include "fleet/stand_in_services.h"
 #include "fleet/steps.h"
 
 namespace quayrill::fleet {
--- a/src/fleet/site_operators.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <iostream>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
 
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -6,7 +6,7 @@
 #include <iomanip>
 #include <iostream>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace {
 constexpr char kUsage[] =
--- a/src/fleet/stand_in_site.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -1,4 +1,4 @@
-#include "fleet/stand_in_site.h"
+#include "fleet/stand_in_services.h"
 
 namespace quayrill::fleet {
 
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -3,7 +3,7 @@
 
 #include <sstream>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
 
