--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kKeyBound = 5s;
 constexpr Duration kLeaveBound = 3s;
 constexpr Duration kWeightsBound = 25s;
-constexpr Duration kTryWindow = 10s;
+constexpr Duration kRetryWindow = 10s;
 constexpr Duration kRecoveryBound = 12s;
 
 std::string millis(Duration span) {
@@ -38,7 +38,7 @@
       findings->push_back(
           {"retry-after", call.nonce + (call.repeatable ? " may be repeated and is not told when"
                                                         : " may not be and has Retry-After")});
-    if (call.status == 200 && !call.piecesRight)
+    if (call.status == 200 && !call.piecesValid)
       findings->push_back({"stream", call.nonce + ": " + call.error});
     if (call.complete && call.status == 200 && !call.endMark)
       findings->push_back({"cut-looks-complete", call.nonce + " ended whole without an end mark"});
@@ -58,13 +58,13 @@
 
 // Whether the server had weights by `due` that were named at `named` or later.
 bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant named, Instant due) {
-  const std::string& inEnd = ledger.serversAtEnd.at(server);
-  for (const auto& [weights, namedAt] : ledger.weightsNamedAt) {
+  const std::string& finalWeights = ledger.finalServers.at(server);
+  for (const auto& [weights, namedAt] : ledger.weightsConfiguredAt) {
     if (namedAt < named) continue;
-    const auto row = ledger.weightsReachedAt.find(weights);
-    const bool switched = row != ledger.weightsReachedAt.end() && row->second.contains(server);
+    const auto row = ledger.weightsLoadedAt.find(weights);
+    const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
     // One that had these weights all along need not switch.
-    if (switched ? row->second.at(server) <= due : inEnd == weights) return true;
+    if (switched ? row->second.at(server) <= due : finalWeights == weights) return true;
   }
   return false;
 }
@@ -72,19 +72,19 @@
 // Each naming has its own bound, which no later one extends: by then every server has those weights
 // or newer ones, and nothing begins on older ones.
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
-  for (const auto& [weights, named] : ledger.weightsNamedAt) {
-    for (const auto& [server, inEnd] : ledger.serversAtEnd) {
+  for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
+    for (const auto& [server, finalWeights] : ledger.finalServers) {
       Instant due = named + kWeightsBound;
       // One that came back since has the time from then.
-      if (const auto back = ledger.backAt.find(server); back != ledger.backAt.end())
+      if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
         due = std::max(due, back->second + kWeightsBound);
       if (due > trafficEnd || hadWeightsSince(ledger, server, named, due)) continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
                                                 millis(kWeightsBound)});
     }
     for (const RunRow& run : ledger.runs) {
-      const auto own = ledger.weightsNamedAt.find(run.weights);
-      const bool isOlder = own == ledger.weightsNamedAt.end() || own->second < named;
+      const auto own = ledger.weightsConfiguredAt.find(run.weights);
+      const bool isOlder = own == ledger.weightsConfiguredAt.end() || own->second < named;
       if (isOlder && run.at > named + kWeightsBound)
         findings->push_back({"superseded-weights", run.nonce + " ran on " + run.weights + " " +
                                                        millis(run.at - named) + " after " +
@@ -95,8 +95,8 @@
 
 void checkBounds(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const CallRow& call : ledger.calls) {
-    const auto withdrawn = ledger.withdrawnAt.find(call.tenant);
-    if (withdrawn == ledger.withdrawnAt.end() || call.status != 200) continue;
+    const auto withdrawn = ledger.keyRevokedAt.find(call.tenant);
+    if (withdrawn == ledger.keyRevokedAt.end() || call.status != 200) continue;
     if (call.begun > withdrawn->second + kKeyBound)
       findings->push_back({"withdrawn-key", call.nonce + " was served " +
                                                 millis(call.begun - withdrawn->second) +
@@ -109,7 +109,7 @@
                                                  millis(run.at - leaving->second) +
                                                  " after it showed as leaving"});
   }
-  for (const HinderedRow& left : ledger.leftSpans) {
+  for (const DisruptionRow& left : ledger.leavingSpans) {
     for (const RunRow& run : ledger.runs) {
       if (run.server == left.daemon && run.at > left.begun + kLeaveBound && run.at < left.ended)
         findings->push_back({"leaving-server", run.server + " got work " +
@@ -142,7 +142,7 @@
 
 // Every arrival of a nonce beyond its first is an extra try. Judged are the windows that end at a
 // send (cut off at the run's begin) and those that start at one and lie within the run.
-void checkTries(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
+void checkRetries(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   std::set<std::string> seen;
   std::vector<std::pair<Instant, bool>> sends;
   std::vector<ArrivalRow> ordered = ledger.arrivals;
@@ -151,7 +151,7 @@
   for (const ArrivalRow& row : ordered) sends.emplace_back(row.at, !seen.insert(row.nonce).second);
   std::size_t to = 0, extras = 0;
   for (std::size_t from = 0; from < sends.size(); ++from) {
-    const Instant windowEnd = sends[from].first + kTryWindow;
+    const Instant windowEnd = sends[from].first + kRetryWindow;
     for (; to < sends.size() && sends[to].first <= windowEnd; ++to) {
       extras += sends[to].second ? 1 : 0;
       // What came before the run's begin paid for nothing: this window is short, and judged.
@@ -174,11 +174,11 @@
 }
 
 // What a daemon had accepted when it was warned, or took until it stopped listening, must end well.
-void checkPlanned(const Ledger& ledger, std::vector<Finding>* findings) {
-  for (const PlannedRow& planned : ledger.planned) {
+void checkPlannedRestarts(const Ledger& ledger, std::vector<Finding>* findings) {
+  for (const PlannedRestartRow& planned : ledger.planned) {
     for (const CallRow& call : ledger.calls) {
       if (call.daemon != planned.daemon || !call.accepted) continue;
-      if (ledger.brokenByServer.contains(call.nonce)) continue;  // no daemon could have kept it
+      if (ledger.abortedByServer.contains(call.nonce)) continue;  // no daemon could have kept it
       if (call.begun > planned.ended || call.ended < planned.begun) continue;
       if (call.status == 0 || (call.status == 200 && !call.complete))
         findings->push_back({"planned-restart", call.nonce + " was dropped by " + call.daemon});
@@ -187,9 +187,9 @@
 }
 
 // The longest stretch within [begin, end] that holds none of `ends` and nothing hindered.
-Duration longestGap(std::vector<Instant> ends, std::vector<HinderedRow> hindered, Instant begin,
-                    Instant end) {
-  for (const HinderedRow& row : hindered) ends.push_back(std::clamp(row.ended, begin, end));
+Duration longestGap(std::vector<Instant> ends, std::vector<DisruptionRow> disruptions,
+                    Instant begin, Instant end) {
+  for (const DisruptionRow& row : disruptions) ends.push_back(std::clamp(row.ended, begin, end));
   ends.push_back(end);
   std::sort(ends.begin(), ends.end());
   Duration longest{};
@@ -197,7 +197,7 @@
   for (const Instant& at : ends) {
     Instant to = std::clamp(at, begin, end);
     // A stretch ends where something begins to hinder; what follows counts from that one's end.
-    for (const HinderedRow& row : hindered) {
+    for (const DisruptionRow& row : disruptions) {
       if (row.begun < to && row.ended > from) to = std::max(from, row.begun);
     }
     longest = std::max(longest, to - from);
@@ -211,11 +211,11 @@
   for (const CallRow& call : ledger.calls) {
     if (call.daemon == daemon && call.status == 200 && call.complete) ends.push_back(call.ended);
   }
-  std::vector<HinderedRow> hindered;
-  for (const HinderedRow& row : ledger.hindered) {
-    if (row.daemon == daemon || row.daemon.empty()) hindered.push_back(row);
+  std::vector<DisruptionRow> disruptions;
+  for (const DisruptionRow& row : ledger.disruptions) {
+    if (row.daemon == daemon || row.daemon.empty()) disruptions.push_back(row);
   }
-  return longestGap(ends, hindered, ledger.trafficBegin, trafficEnd);
+  return longestGap(ends, disruptions, ledger.trafficStart, trafficEnd);
 }
 
 double longestSilence(const Ledger& ledger) {
@@ -231,17 +231,17 @@
 
 // The fleet as a whole, each daemon that nothing hinders, and each way.
 void checkRecovery(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
-  std::vector<HinderedRow> hinderedAll;
-  for (const HinderedRow& row : ledger.hindered) {
-    if (row.daemon.empty()) hinderedAll.push_back(row);
+  std::vector<DisruptionRow> fleetDisruptions;
+  for (const DisruptionRow& row : ledger.disruptions) {
+    if (row.daemon.empty()) fleetDisruptions.push_back(row);
   }
-  std::map<std::string, std::vector<Instant>> endsOfWay;
+  std::map<std::string, std::vector<Instant>> endsOfPath;
   for (const CallRow& call : ledger.calls) {
-    std::vector<Instant>& ends = endsOfWay[call.way];
+    std::vector<Instant>& ends = endsOfPath[call.way];
     if (call.status == 200 && call.complete) ends.push_back(call.ended);
   }
-  for (const auto& [way, ends] : endsOfWay) {
-    const Duration gap = longestGap(ends, hinderedAll, ledger.trafficBegin, trafficEnd);
+  for (const auto& [way, ends] : endsOfPath) {
+    const Duration gap = longestGap(ends, fleetDisruptions, ledger.trafficStart, trafficEnd);
     if (gap > kRecoveryBound)
       findings->push_back({"recovery", "no answer of '" + way + "' finished for " + millis(gap)});
   }
@@ -259,32 +259,32 @@
   checkCache(ledger, &findings);
   checkBounds(ledger, trafficEnd, &findings);
   checkOrders(ledger, &findings);
-  checkTries(ledger, trafficEnd, &findings);
-  checkPlanned(ledger, &findings);
+  checkRetries(ledger, trafficEnd, &findings);
+  checkPlannedRestarts(ledger, &findings);
   checkRecovery(ledger, trafficEnd, &findings);
-  checkOperators(ledger, &findings);
+  checkConfigurationChanges(ledger, &findings);
   return findings;
 }
 
-Figures figuresOf(const Ledger& ledger, Instant trafficEnd) {
-  Figures figures;
+RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd) {
+  RunStatistics statistics;
   std::vector<double> firsts;
   for (const CallRow& call : ledger.calls) {
-    ++figures.calls;
+    ++statistics.calls;
     if (call.status == 200 && call.complete) {
-      ++figures.done;
+      ++statistics.done;
       firsts.push_back(
           std::chrono::duration<double, std::milli>(call.firstPiece - call.begun).count());
     } else if (call.status == 200) {
-      ++figures.cut;
+      ++statistics.cut;
     } else if (call.status == 429 || call.status == 503) {
-      ++figures.turnedAway;
+      ++statistics.turnedAway;
     } else if (call.status == 502 || call.status == 504) {
-      ++figures.unknown;
+      ++statistics.unknown;
     } else if (call.status == 0) {
-      ++figures.noAnswer;
+      ++statistics.noAnswer;
     } else {
-      ++figures.bad;
+      ++statistics.bad;
     }
   }
   std::size_t prompt = 0, cached = 0;
@@ -292,20 +292,20 @@
     prompt += run.promptTokens;
     cached += run.cachedTokens;
   }
-  figures.runs = ledger.runs.size();
-  figures.longestSilenceMs = longestSilence(ledger);
+  statistics.runs = ledger.runs.size();
+  statistics.longestSilenceMs = longestSilence(ledger);
   using Millis = std::chrono::duration<double, std::milli>;
   for (const std::string& daemon : ledger.daemons)
-    figures.longestDaemonSilenceMs = std::max(
-        figures.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
-  figures.slowestInForceMs = Millis(slowestInForce(ledger)).count();
-  figures.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
+    statistics.longestDaemonSilenceMs = std::max(
+        statistics.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
+  statistics.longestStaleServingMs = Millis(longestStaleServing(ledger)).count();
+  statistics.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
   std::sort(firsts.begin(), firsts.end());
   if (!firsts.empty()) {
-    figures.firstPieceMedianMs = firsts[firsts.size() / 2];
-    figures.firstPieceP95Ms = firsts[firsts.size() * 95 / 100];
+    statistics.firstPieceMedianMs = firsts[firsts.size() / 2];
+    statistics.firstPiece95thMs = firsts[firsts.size() * 95 / 100];
   }
-  return figures;
+  return statistics;
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -9,10 +9,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kInForceBound = 2s;
+constexpr Duration kPropagationBound = 2s;
 
 // Acknowledged versions in order of time, each the highest up to then.
-std::vector<std::pair<Instant, std::uint64_t>> floorsOf(const Ledger& ledger) {
+std::vector<std::pair<Instant, std::uint64_t>> acknowledgedFloors(const Ledger& ledger) {
   auto floors = ledger.acknowledged;
   std::sort(floors.begin(), floors.end());
   std::uint64_t highest = 0;
@@ -21,8 +21,8 @@
 }
 
 // The first acknowledgement that a daemon which serves by `version` should have heard of.
-std::optional<Instant> overtakenAt(const std::vector<std::pair<Instant, std::uint64_t>>& floors,
-                                   std::uint64_t version) {
+std::optional<Instant> supersededAt(const std::vector<std::pair<Instant, std::uint64_t>>& floors,
+                                    std::uint64_t version) {
   for (const auto& [at, acknowledged] : floors) {
     if (acknowledged > version) return at;
   }
@@ -30,51 +30,51 @@
 }
 }  // namespace
 
-Duration slowestInForce(const Ledger& ledger) {
-  const auto floors = floorsOf(ledger);
+Duration longestStaleServing(const Ledger& ledger) {
+  const auto floors = acknowledgedFloors(ledger);
   Duration slowest{};
-  for (const ServedRow& row : ledger.served) {
-    const auto overtaken = overtakenAt(floors, row.version);
-    if (overtaken && row.at > *overtaken) slowest = std::max(slowest, row.at - *overtaken);
+  for (const ServedVersionRow& row : ledger.served) {
+    const auto superseded = supersededAt(floors, row.version);
+    if (superseded && row.at > *superseded) slowest = std::max(slowest, row.at - *superseded);
   }
   return slowest;
 }
 
-void checkOperators(const Ledger& ledger, std::vector<Finding>* findings) {
-  const auto floors = floorsOf(ledger);
+void checkConfigurationChanges(const Ledger& ledger, std::vector<Finding>* findings) {
+  const auto floors = acknowledgedFloors(ledger);
   std::map<std::string, std::uint64_t> highest;
-  for (const ServedRow& row : ledger.served) {
+  for (const ServedVersionRow& row : ledger.served) {
     std::uint64_t& top = highest[row.daemon];
     if (row.version < top)
       findings->push_back({"slipped-back", row.daemon + " served by configuration " +
                                                std::to_string(row.version) + " after " +
                                                std::to_string(top)});
     top = std::max(top, row.version);
-    const auto overtaken = overtakenAt(floors, row.version);
-    if (overtaken && row.at > *overtaken + kInForceBound)
+    const auto superseded = supersededAt(floors, row.version);
+    if (superseded && row.at > *superseded + kPropagationBound)
       findings->push_back({"in-force", row.daemon + " served by configuration " +
                                            std::to_string(row.version) +
                                            " over 2 s after a newer one was acknowledged"});
   }
-  if (ledger.versionInEnd == 0) return;
-  std::map<std::uint64_t, std::string> wayOfVersion;
-  for (const OperatorRow& row : ledger.operators) {
-    const bool stands = ledger.waysInEnd.contains(row.way);
-    if (row.status == 200 && !stands)
+  if (ledger.finalVersion == 0) return;
+  std::map<std::uint64_t, std::string> pathOfVersion;
+  for (const ConfigurationChangeRow& row : ledger.operators) {
+    const bool tookEffect = ledger.finalPaths.contains(row.way);
+    if (row.status == 200 && !tookEffect)
       findings->push_back({"acknowledged-lost", row.way + " was acknowledged and is gone"});
-    if (row.status == 200 && !wayOfVersion.try_emplace(row.version, row.way).second)
+    if (row.status == 200 && !pathOfVersion.try_emplace(row.version, row.way).second)
       findings->push_back({"acknowledged-lost", "two changes were acknowledged as version " +
                                                     std::to_string(row.version)});
-    const bool certainNot =
+    const bool certainlyRejected =
         row.status == 409 || row.status == 422 || row.status == 413 || row.status == 503;
-    if (certainNot && stands)
+    if (certainlyRejected && tookEffect)
       findings->push_back({"refused-change", row.way + " was answered with " +
                                                  std::to_string(row.status) + " and took effect"});
   }
   for (const auto& [at, version] : ledger.acknowledged) {
-    if (version > ledger.versionInEnd)
+    if (version > ledger.finalVersion)
       findings->push_back({"slipped-back", "the register ended at configuration " +
-                                               std::to_string(ledger.versionInEnd) + " after " +
+                                               std::to_string(ledger.finalVersion) + " after " +
                                                std::to_string(version) + " was acknowledged"});
   }
 }
--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -25,19 +25,19 @@
   ::prlimit(daemon.pid, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-void setDrag(const Daemon& daemon, int milliseconds) {
-  std::ofstream(daemon.dragFile, std::ios::trunc) << milliseconds << "\n";
+void setSyncDelay(const Daemon& daemon, int milliseconds) {
+  std::ofstream(daemon.syncDelayFile, std::ios::trunc) << milliseconds << "\n";
 }
 }  // namespace
 
-void Site::hinder(const std::string& daemon, Instant begun) {
-  ledger_.with([&](Ledger& ledger) {
-    ledger.hindered.push_back({daemon, begun, BootClock::now()});
+void LocalDeployment::hinder(const std::string& daemon, Instant begun) {
+  ledger_.withLock([&](Ledger& ledger) {
+    ledger.disruptions.push_back({daemon, begun, BootClock::now()});
   });
 }
 
-void Site::cutFrom(const std::string& ip, const std::set<std::string>& others, bool inward,
-                   bool cut) {
+void LocalDeployment::cutFrom(const std::string& ip, const std::set<std::string>& others,
+                              bool inward, bool cut) {
   for (const std::string& other : others) {
     if (other == ip) continue;
     relay_->cut(ip, other, cut);
@@ -45,7 +45,7 @@
   }
 }
 
-awaitable<void> Site::kill(Daemon& daemon, Duration backAfter, bool wipe) {
+awaitable<void> LocalDeployment::kill(Daemon& daemon, Duration backAfter, bool wipe) {
   const Instant begun = BootClock::now();
   signalDaemon(daemon, SIGKILL);
   waitDaemon(&daemon, 2000);
@@ -55,7 +55,7 @@
   hinder(daemon.callers.value, begun);
 }
 
-awaitable<void> Site::restart(Daemon& daemon) {
+awaitable<void> LocalDeployment::restart(Daemon& daemon) {
   const Instant begun = BootClock::now();
   signalDaemon(daemon, SIGTERM);
   int status = -1;
@@ -64,7 +64,7 @@
     co_await pauseFor(10ms);
   }
   if (status != 0) ++plannedExitErrors_;
-  ledger_.with([&](Ledger& ledger) {
+  ledger_.withLock([&](Ledger& ledger) {
     ledger.planned.push_back({daemon.callers.value, begun, BootClock::now()});
   });
   startDaemon(&daemon, settings_.plan);
@@ -72,7 +72,7 @@
 }
 
 // Nothing is dropped for it: the daemon counts as not hindered.
-awaitable<void> Site::changeSettings(Daemon& daemon) {
+awaitable<void> LocalDeployment::changeSettings(Daemon& daemon) {
   const std::vector<Address> first = daemon.seeds;
   daemon.seeds = {daemonAt(settings_.plan.cores, true).peer};
   writeSettings(daemon, daemon.seeds);
@@ -85,7 +85,7 @@
   co_await awaitLog(daemon, "read anew, seeds " + daemon.seeds[0].value);
 }
 
-awaitable<void> Site::awaitLog(const Daemon& daemon, std::string text) {
+awaitable<void> LocalDeployment::awaitLog(const Daemon& daemon, std::string text) {
   for (const Instant until = BootClock::now() + 4s; BootClock::now() < until;) {
     std::ifstream in(daemon.logFile);
     const std::string log{std::istreambuf_iterator<char>(in), {}};
@@ -95,7 +95,7 @@
   settingsMissed_.push_back(daemon.name + " did not log '" + text + "' within 4 s");
 }
 
-awaitable<void> Site::atDaemon(std::string what, Daemon& daemon) {
+awaitable<void> LocalDeployment::atDaemon(std::string what, Daemon& daemon) {
   if (!busyDaemons_.insert(daemon.name).second) co_return;  // one fault at a time for each
   note(what + " " + daemon.name);
   const std::string ip = ipOf(daemon);
@@ -118,9 +118,9 @@
     co_await pauseFor(6s);
     setFull(daemon, false);
   } else if (what == "slow" || what == "stall") {
-    setDrag(daemon, what == "slow" ? 300 : 5000);
+    setSyncDelay(daemon, what == "slow" ? 300 : 5000);
     co_await pauseFor(what == "slow" ? 6s : 500ms);
-    setDrag(daemon, 0);
+    setSyncDelay(daemon, 0);
     co_await pauseFor(5s);
   } else if (what == "refound") {
     co_await recover(daemon);
@@ -141,7 +141,7 @@
   busyDaemons_.erase(daemon.name);
 }
 
-void Site::spawnAt(const std::string& what, Daemon& daemon) {
+void LocalDeployment::spawnAt(const std::string& what, Daemon& daemon) {
   ++stepsOpen_;
   asio::co_spawn(
       io_,
@@ -153,9 +153,9 @@
 }
 
 // Whoever sent the newest weight order, told by its ip.
-Daemon* Site::newestOrderer() {
+Daemon* LocalDeployment::newestOrderer() {
   std::string ip;
-  ledger_.with([&](Ledger& ledger) {
+  ledger_.withLock([&](Ledger& ledger) {
     if (!ledger.orders.empty()) ip = ledger.orders.back().from;
   });
   for (Daemon& daemon : daemons_) {
@@ -164,7 +164,7 @@
   return nullptr;
 }
 
-awaitable<void> Site::atMany(std::string what, std::size_t number) {
+awaitable<void> LocalDeployment::atMany(std::string what, std::size_t number) {
   const auto dash = what.find('-');
   const std::string action = what.substr(0, dash);
   const std::string object = what.substr(dash + 1);
--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -47,9 +47,9 @@
                         "--grace-ms=6000"};
     daemon.pair = plan.pair;
     if (core) {
-      daemon.dragFile = daemon.dataFolder + ".drag";
+      daemon.syncDelayFile = daemon.dataFolder + ".drag";
       daemon.arguments.push_back("--data-folder=" + daemon.dataFolder);
-      daemon.arguments.push_back("--disk-drag=" + daemon.dragFile);
+      daemon.arguments.push_back("--disk-drag=" + daemon.syncDelayFile);
     }
     daemons.push_back(std::move(daemon));
   }
--- a/src/fleet/daemons.h
+++ b/src/fleet/daemons.h
@@ -12,8 +12,8 @@
 struct Daemon {
   std::string name;
   Address peer, operators, callers;
-  std::string dataFolder;  // "" on edge machines
-  std::string dragFile;    // how long each sync of its disk lasts in addition
+  std::string dataFolder;     // "" on edge machines
+  std::string syncDelayFile;  // how long each sync of its disk lasts in addition
   std::string settingsFile, logFile;
   std::vector<Address> seeds;
   std::vector<std::string> arguments;
--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-awaitable<void> Site::atServer(std::string what, StandInServer& server) {
+awaitable<void> LocalDeployment::atServer(std::string what, StandInServer& server) {
   const std::string name = server.settings().address.value;
   note(what + " " + name);
   if (what == "crash-server") {
@@ -22,7 +22,7 @@
   }
   if (what == "leave-server") {
     platform_->showLeaving(name);
-    ledger_.with([&](Ledger& ledger) { ledger.leavingAt.try_emplace(name, BootClock::now()); });
+    ledger_.withLock([&](Ledger& ledger) { ledger.leavingAt.try_emplace(name, BootClock::now()); });
     co_return;
   }
   StandInFaults faults;
@@ -39,7 +39,7 @@
   server.setFaults({});
 }
 
-awaitable<void> Site::atOutside(std::string what, std::size_t number) {
+awaitable<void> LocalDeployment::atOutside(std::string what, std::size_t number) {
   note(what);
   if (what == "store-down") {
     store_->setDown(true);
@@ -72,14 +72,14 @@
   }
 }
 
-awaitable<void> Site::replaceServer(StandInServer& server) {
+awaitable<void> LocalDeployment::replaceServer(StandInServer& server) {
   const std::string name = server.settings().address.value;
   platform_->showLeaving(name);
   const Instant leavingAt = BootClock::now();
   // Four seconds: one more than may pass before work stops; then it ends what it has.
   co_await pauseFor(4s);
-  ledger_.with([&](Ledger& ledger) {
-    ledger.leftSpans.push_back({name, leavingAt, BootClock::now()});
+  ledger_.withLock([&](Ledger& ledger) {
+    ledger.leavingSpans.push_back({name, leavingAt, BootClock::now()});
   });
   while (server.isUp() && server.isBusy()) co_await pauseFor(20ms);
   if (server.isUp()) server.crash();
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -34,7 +34,7 @@
   bool complete = false;  // HTTP says that the body is whole
   bool endMark = false;
   bool accepted = false;    // the daemon took the connection and the whole request
-  bool piecesRight = true;  // in order, none lost or twice, one run, mine
+  bool piecesValid = true;  // in order, none lost or twice, one run, mine
   std::string error;
   std::string requestId;
 };
@@ -46,7 +46,7 @@
 };
 
 // From the warning of a planned restart until the daemon serves again.
-struct PlannedRow {
+struct PlannedRestartRow {
   std::string daemon;
   Instant begun, ended;
 };
@@ -61,13 +61,13 @@
 };
 
 // A time in which a daemon can't be asked to serve: killed, frozen or cut off. "" is all of them.
-struct HinderedRow {
+struct DisruptionRow {
   std::string daemon;
   Instant begun, ended;
 };
 
 // One operator's change that adds one way, and what the operator was told.
-struct OperatorRow {
+struct ConfigurationChangeRow {
   std::string way, daemon;
   int status = 0;  // 0: no answer
   std::uint64_t version = 0;
@@ -75,7 +75,7 @@
 };
 
 // What a ready daemon said that it serves by, asked at `at`.
-struct ServedRow {
+struct ServedVersionRow {
   std::string daemon;
   std::uint64_t version = 0;
   Instant at;
@@ -87,27 +87,27 @@
   std::vector<CallRow> calls;
   std::vector<OrderRow> orders;
   std::vector<ArrivalRow> arrivals;
-  std::vector<PlannedRow> planned;
-  std::set<std::string> brokenByServer;  // nonces of runs that a server broke off
-  std::vector<HinderedRow> hindered;
-  std::vector<OperatorRow> operators;
-  std::vector<ServedRow> served;
-  std::set<std::string> daemons;    // all of the run, by callers' address
-  std::set<std::string> waysInEnd;  // of the settled configuration after the traffic
-  std::uint64_t versionInEnd = 0;   // 0: not read
+  std::vector<PlannedRestartRow> planned;
+  std::set<std::string> abortedByServer;  // nonces of runs that a server broke off
+  std::vector<DisruptionRow> disruptions;
+  std::vector<ConfigurationChangeRow> operators;
+  std::vector<ServedVersionRow> served;
+  std::set<std::string> daemons;     // all of the run, by callers' address
+  std::set<std::string> finalPaths;  // of the settled configuration after the traffic
+  std::uint64_t finalVersion = 0;    // 0: not read
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged;  // configuration versions
-  Instant trafficBegin{};
-  std::map<std::string, Instant> leavingAt;       // servers, by when they showed it
-  std::vector<HinderedRow> leftSpans;             // servers replaced in a release, while leaving
-  std::map<std::string, Instant> withdrawnAt;     // tenants whose key was withdrawn
-  std::map<std::string, Instant> weightsNamedAt;  // weights, by when they were acknowledged
-  std::map<std::string, std::map<std::string, Instant>> weightsReachedAt;  // weights, server
+  Instant trafficStart{};
+  std::map<std::string, Instant> leavingAt;     // servers, by when they showed it
+  std::vector<DisruptionRow> leavingSpans;      // servers replaced in a release, while leaving
+  std::map<std::string, Instant> keyRevokedAt;  // tenants whose key was withdrawn
+  std::map<std::string, Instant> weightsConfiguredAt;  // weights, by when they were acknowledged
+  std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // weights, server
   std::vector<std::pair<Instant, std::string>> notes;  // faults and operator steps
-  std::map<std::string, std::string> serversAtEnd;     // up, listed, not leaving: their weights
-  std::map<std::string, Instant> backAt;               // servers, by when they last came back
+  std::map<std::string, std::string> finalServers;     // up, listed, not leaving: their weights
+  std::map<std::string, Instant> restartedAt;          // servers, by when they last came back
 
   template <class Change>
-  void with(Change change) {
+  void withLock(Change change) {
     std::lock_guard lock(mutex);
     change(*this);
   }
@@ -121,20 +121,21 @@
 // Every broken rule, by name.
 std::vector<Finding> checkLedger(const Ledger& ledger, Instant trafficEnd);
 
-// Figures of a run: the share of prompt tokens served from cache, times to first piece, outcomes.
-struct Figures {
+// RunStatistics of a run: the share of prompt tokens served from cache, times to first piece,
+// outcomes.
+struct RunStatistics {
   std::size_t calls = 0, done = 0, turnedAway = 0, unknown = 0, cut = 0, noAnswer = 0, bad = 0;
   std::size_t runs = 0;
   double cachedShare = 0;
   double longestSilenceMs = 0;  // between one finished answer and the next
-  double firstPieceMedianMs = 0, firstPieceP95Ms = 0;
+  double firstPieceMedianMs = 0, firstPiece95thMs = 0;
   double longestDaemonSilenceMs = 0;  // of one daemon that nothing hinders
-  double slowestInForceMs = 0;        // a version served after a newer one was acknowledged
+  double longestStaleServingMs = 0;   // a version served after a newer one was acknowledged
 };
-Figures figuresOf(const Ledger& ledger, Instant trafficEnd);
+RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd);
 
 // The rules on what operators change, in checker_configuration.cpp.
-void checkOperators(const Ledger& ledger, std::vector<Finding>* findings);
-Duration slowestInForce(const Ledger& ledger);
+void checkConfigurationChanges(const Ledger& ledger, std::vector<Finding>* findings);
+Duration longestStaleServing(const Ledger& ledger);
 
 }  // namespace quayrill::fleet
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-Mix mixOf(const std::string& deployment) {
-  Mix mix;
+TrafficMix trafficMixOf(const std::string& deployment) {
+  TrafficMix mix;
   mix.name = deployment;
   if (deployment == "tejo") {
     mix.rate = 90;
@@ -27,9 +27,9 @@
   return mix;
 }
 
-std::string secretOf(const std::string& tenant) { return "secret-of-" + tenant; }
+std::string apiKeyOf(const std::string& tenant) { return "secret-of-" + tenant; }
 
-std::string configurationOf(const Mix& mix, const std::string& weights) {
+std::string configurationOf(const TrafficMix& mix, const std::string& weights) {
   Json configuration{{"tenants", Json::object()},
                      {"contracts", Json::object()},
                      {"ways", Json::object()},
@@ -37,33 +37,34 @@
   for (const auto& [tenant, share] : mix.tenants) {
     configuration["tenants"][tenant] = {{"isolated", tenant.rfind("iso-", 0) == 0},
                                         {"concurrency", 128},
-                                        {"keys", {keyDigest(secretOf(tenant))}}};
+                                        {"keys", {keyDigest(apiKeyOf(tenant))}}};
   }
-  for (const WayMix& way : mix.ways) {
+  for (const PathMix& way : mix.ways) {
     configuration["contracts"][way.way] = {{"model", "till"},
                                            {"repeatable", way.repeatable},
                                            {"due_ms", 8000},
                                            {"tries", 2},
-                                           {"class", way.rulesTokens > 1000  ? "long"
-                                                     : way.rulesTokens > 500 ? "medium"
-                                                                             : "short"}};
+                                           {"class", way.sharedTokens > 1000  ? "long"
+                                                     : way.sharedTokens > 500 ? "medium"
+                                                                              : "short"}};
     configuration["ways"][way.way] = way.way;
   }
   return configuration.dump();
 }
 
-Gateway::Gateway(asio::io_context& io, Mix mix, std::vector<Address> daemons, Ledger& ledger,
-                 std::uint64_t seed)
+LoadGenerator::LoadGenerator(asio::io_context& io, TrafficMix mix, std::vector<Address> daemons,
+                             Ledger& ledger, std::uint64_t seed)
     : io_(io), mix_(std::move(mix)), ledger_(ledger), random_(seed) {
   for (std::size_t i = 0; i < daemons.size(); ++i)
     daemons_.push_back({daemons[i], "zone" + std::to_string(i % 4), false});
 }
 
-void Gateway::start() {
-  for (std::size_t i = 0; i < daemons_.size(); ++i) asio::co_spawn(io_, watch(i), asio::detached);
+void LoadGenerator::start() {
+  for (std::size_t i = 0; i < daemons_.size(); ++i)
+    asio::co_spawn(io_, pollReadiness(i), asio::detached);
 }
 
-awaitable<void> Gateway::watch(std::size_t daemon) {
+awaitable<void> LoadGenerator::pollReadiness(std::size_t daemon) {
   for (;;) {
     HttpCall call;
     call.to = daemons_[daemon].callers;
@@ -74,7 +75,7 @@
     daemons_[daemon].ready = response.ok() && response->result_int() == 200;
     if (daemons_[daemon].ready) {
       const std::string version((*response)["Quayrill-Spec-Version"]);
-      ledger_.with([&](Ledger& ledger) {
+      ledger_.withLock([&](Ledger& ledger) {
         ledger.served.push_back(
             {daemons_[daemon].callers.value, std::stoull("0" + version), askedAt});
       });
@@ -83,10 +84,11 @@
   }
 }
 
-awaitable<void> Gateway::drive(Duration span, double rateFactor, std::string onlyTenant) {
+awaitable<void> LoadGenerator::sendTraffic(Duration span, double rateFactor,
+                                           std::string onlyTenant) {
   const Instant until = BootClock::now() + span;
-  ledger_.with([&](Ledger& ledger) {
-    if (ledger.trafficBegin == Instant{}) ledger.trafficBegin = BootClock::now();
+  ledger_.withLock([&](Ledger& ledger) {
+    if (ledger.trafficStart == Instant{}) ledger.trafficStart = BootClock::now();
     for (const DaemonTarget& daemon : daemons_) ledger.daemons.insert(daemon.callers.value);
   });
   const std::chrono::duration<double> every(1.0 / (mix_.rate * rateFactor));
@@ -97,10 +99,10 @@
   while (BootClock::now() < until) {
     next += std::chrono::duration_cast<Duration>(every);
     if (next > BootClock::now()) co_await pauseFor(next - BootClock::now());
-    if (open_ >= kOpenLimit) continue;
+    if (openCalls_ >= kMaxOpenCalls) continue;
     double point = draw(1.0);
-    const WayMix* way = &mix_.ways.back();
-    for (const WayMix& candidate : mix_.ways) {
+    const PathMix* way = &mix_.ways.back();
+    for (const PathMix& candidate : mix_.ways) {
       if ((point -= candidate.share) < 0) {
         way = &candidate;
         break;
@@ -134,26 +136,26 @@
     row.isolated = tenant.rfind("iso-", 0) == 0;
     HttpRequest request(http::verb::post, "/v1/" + way->way, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
-    request.set(http::field::authorization, "Bearer " + secretOf(tenant));
+    request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
     // Skewed towards low variants, as hot notices are.
     const double skew = draw(1.0);
     const auto variant = static_cast<std::size_t>(skew * skew * static_cast<double>(way->variants));
-    std::string prefix = way->way + ":" + std::to_string(way->rulesTokens);
+    std::string prefix = way->way + ":" + std::to_string(way->sharedTokens);
     if (way->tenantTokens > 0)
       prefix += "," + way->way + "-" + tenant + ":" + std::to_string(way->tenantTokens);
     prefix +=
         "," + way->way + "-v" + std::to_string(variant) + ":" + std::to_string(way->variantTokens);
-    prefix += ",own-" + row.nonce + ":" + std::to_string(way->ownTokens);
+    prefix += ",own-" + row.nonce + ":" + std::to_string(way->uniqueTokens);
     request.set(wire::kPrefix, prefix);
     request.body() = Json{{"nonce", row.nonce}, {"pieces", way->pieces}}.dump();
     request.prepare_payload();
-    ++open_;
+    ++openCalls_;
     asio::co_spawn(io_, call(std::move(row), std::move(request), chosenDaemon.callers),
                    asio::detached);
   }
 }
 
-bool Gateway::checkLines(const std::string& body, CallRow* row) {
+bool LoadGenerator::checkAnswerLines(const std::string& body, CallRow* row) {
   std::istringstream lines(body);
   std::string run;
   int expected = 0;
@@ -192,7 +194,7 @@
   return true;
 }
 
-awaitable<void> Gateway::call(CallRow row, HttpRequest request, Address to) {
+awaitable<void> LoadGenerator::call(CallRow row, HttpRequest request, Address to) {
   row.begun = BootClock::now();
   Connection connection(io_);
   connection.expires_after(20s);
@@ -219,12 +221,12 @@
     // What follows the last whole line of a cut answer is no piece.
     if (!row.complete)
       body.resize(body.rfind('\n') == std::string::npos ? 0 : body.rfind('\n') + 1);
-    row.piecesRight = checkLines(body, &row);
+    row.piecesValid = checkAnswerLines(body, &row);
   }
   if (row.status >= 400) row.error = parser.get().body();
   if (row.error.empty() && code) row.error = code.message();
-  --open_;
-  ledger_.with([&](Ledger& ledger) { ledger.calls.push_back(std::move(row)); });
+  --openCalls_;
+  ledger_.withLock([&](Ledger& ledger) { ledger.calls.push_back(std::move(row)); });
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -9,24 +9,24 @@
 namespace quayrill::fleet {
 
 // One kind of request in a mix.
-struct WayMix {
+struct PathMix {
   std::string way;
   bool repeatable = false;
   double share = 0;
-  std::size_t rulesTokens = 0, tenantTokens = 0, variantTokens = 0, variants = 1, ownTokens = 0;
+  std::size_t sharedTokens = 0, tenantTokens = 0, variantTokens = 0, variants = 1, uniqueTokens = 0;
   int pieces = 4;
 };
 
 // A deployment's traffic as settings of the stand-ins.
-struct Mix {
+struct TrafficMix {
   std::string name;
   double rate = 60;  // requests a second
-  std::vector<WayMix> ways;
+  std::vector<PathMix> ways;
   std::vector<std::pair<std::string, double>> tenants;  // name and share; "iso-" are isolated
 };
-Mix mixOf(const std::string& deployment);
-std::string configurationOf(const Mix& mix, const std::string& weights);
-std::string secretOf(const std::string& tenant);
+TrafficMix trafficMixOf(const std::string& deployment);
+std::string configurationOf(const TrafficMix& mix, const std::string& weights);
+std::string apiKeyOf(const std::string& tenant);
 
 struct DaemonTarget {
   Address callers;
@@ -34,29 +34,29 @@
   bool ready = false;
 };
 
-class Gateway {
+class LoadGenerator {
  public:
-  Gateway(asio::io_context& io, Mix mix, std::vector<Address> daemons, Ledger& ledger,
-          std::uint64_t seed);
+  LoadGenerator(asio::io_context& io, TrafficMix mix, std::vector<Address> daemons, Ledger& ledger,
+                std::uint64_t seed);
   void start();
   // Sends at the mix's rate until then, for all tenants or for one.
-  awaitable<void> drive(Duration span, double rateFactor, std::string onlyTenant = "");
-  std::size_t open() const { return open_; }
+  awaitable<void> sendTraffic(Duration span, double rateFactor, std::string onlyTenant = "");
+  std::size_t open() const { return openCalls_; }
   std::vector<DaemonTarget>& daemons() { return daemons_; }
 
  private:
-  awaitable<void> watch(std::size_t daemon);
+  awaitable<void> pollReadiness(std::size_t daemon);
   awaitable<void> call(CallRow row, HttpRequest request, Address to);
-  bool checkLines(const std::string& body, CallRow* row);
+  bool checkAnswerLines(const std::string& body, CallRow* row);
 
   asio::io_context& io_;
-  Mix mix_;
+  TrafficMix mix_;
   std::vector<DaemonTarget> daemons_;
   Ledger& ledger_;
   std::mt19937_64 random_;
   std::uint64_t counter_ = 0;
-  std::size_t open_ = 0;
-  static constexpr std::size_t kOpenLimit = 2000;
+  std::size_t openCalls_ = 0;
+  static constexpr std::size_t kMaxOpenCalls = 2000;
 };
 
 }  // namespace quayrill::fleet
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -8,7 +8,8 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-Site::Site(asio::io_context& io, SiteSettings settings) : io_(io), settings_(std::move(settings)) {
+LocalDeployment::LocalDeployment(asio::io_context& io, LocalDeploymentSettings settings)
+    : io_(io), settings_(std::move(settings)) {
   const std::string stem = "127." + std::to_string(settings_.plan.net) + ".";
   settings_.plan.platform = Address{stem + "4.1:7200"};
   settings_.plan.store = Address{stem + "4.2:7200"};
@@ -16,15 +17,16 @@
   daemons_ = planDaemons(settings_.plan);
   std::vector<Address> callers;
   for (const Daemon& daemon : daemons_) callers.push_back(daemon.callers);
-  gateway_ = std::make_unique<Gateway>(io_, settings_.mix, callers, ledger_, settings_.seed);
+  loadGenerator_ =
+      std::make_unique<LoadGenerator>(io_, settings_.mix, callers, ledger_, settings_.seed);
 }
 
-void Site::note(const std::string& text) {
-  ledger_.with([&](Ledger& ledger) { ledger.notes.emplace_back(BootClock::now(), text); });
+void LocalDeployment::note(const std::string& text) {
+  ledger_.withLock([&](Ledger& ledger) { ledger.notes.emplace_back(BootClock::now(), text); });
   std::cout << "  " << text << std::endl;
 }
 
-absl::Status Site::start() {
+absl::Status LocalDeployment::start() {
   const std::string stem = "127." + std::to_string(settings_.plan.net) + ".";
   platform_ = std::make_unique<StandInPlatform>(io_, settings_.plan.platform);
   store_ = std::make_unique<StandInStore>(io_, settings_.plan.store, 16);
@@ -45,12 +47,12 @@
   for (Daemon& daemon : daemons_) {
     if (!startDaemon(&daemon, settings_.plan)) return absl::InternalError("fork failed");
   }
-  gateway_->start();
+  loadGenerator_->start();
   return absl::OkStatus();
 }
 
-awaitable<absl::StatusOr<Json>> Site::ask(Address daemon, http::verb verb, std::string target,
-                                          std::string body) {
+awaitable<absl::StatusOr<Json>> LocalDeployment::ask(Address daemon, http::verb verb,
+                                                     std::string target, std::string body) {
   HttpCall call;
   call.to = daemon;
   call.verb = verb;
@@ -65,7 +67,7 @@
   co_return Json::parse(response->body(), nullptr, false);
 }
 
-awaitable<bool> Site::found(Duration limit) {
+awaitable<bool> LocalDeployment::found(Duration limit) {
   const Instant until = BootClock::now() + limit;
   bool put = false;
   while (BootClock::now() < until) {
@@ -83,32 +85,33 @@
       put = done.ok();
       if (!put) std::cout << "  first spec: " << done.status() << std::endl;
     }
-    for (const DaemonTarget& target : gateway_->daemons()) ready += target.ready ? 1 : 0;
+    for (const DaemonTarget& target : loadGenerator_->daemons()) ready += target.ready ? 1 : 0;
     if (put && ready == daemons_.size()) co_return true;
     co_await pauseFor(100ms);
   }
   co_return false;
 }
 
-awaitable<void> Site::traffic(Duration span, std::vector<Step> steps) {
+awaitable<void> LocalDeployment::traffic(Duration span, std::vector<Step> steps) {
   for (Step& step : steps) {
     ++stepsOpen_;
     asio::co_spawn(io_, perform(std::move(step)), asio::detached);
   }
-  co_await gateway_->drive(span, settings_.rateFactor);
+  co_await loadGenerator_->sendTraffic(span, settings_.rateFactor);
   const Instant patience = BootClock::now() + 60s;
-  while ((gateway_->open() > 0 || stepsOpen_ > 0) && BootClock::now() < patience)
+  while ((loadGenerator_->open() > 0 || stepsOpen_ > 0) && BootClock::now() < patience)
     co_await pauseFor(20ms);
   trafficEnd_ = BootClock::now();
-  co_await readInEnd();
+  co_await readFinalConfiguration();
   for (const auto& server : servers_) {
     const std::string name = server->settings().address.value;
     const bool stays = server->isUp() && platform_->isStaying(name);
-    if (stays) ledger_.with([&](Ledger& ledger) { ledger.serversAtEnd[name] = server->weights(); });
+    if (stays)
+      ledger_.withLock([&](Ledger& ledger) { ledger.finalServers[name] = server->weights(); });
   }
 }
 
-void Site::end() {
+void LocalDeployment::end() {
   for (const Daemon& daemon : daemons_) {
     signalDaemon(daemon, SIGCONT);
     signalDaemon(daemon, SIGTERM);
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -9,25 +9,25 @@
 
 namespace quayrill::fleet {
 
-struct SiteSettings {
+struct LocalDeploymentSettings {
   FleetPlan plan;
-  Mix mix;
+  TrafficMix mix;
   std::size_t servers = 18;
   std::size_t cacheTokens = 16000;  // of each model server
   double rateFactor = 1.0;
   std::uint64_t seed = 1;
 };
 
-struct ChangeSeen {
+struct ChangeResult {
   std::uint64_t version = 0;
   Duration everywhereAfter{};  // from the acknowledgement to the last reachable daemon
   bool everywhere = false;     // no daemon serves by an older configuration
   bool closed = false;         // some daemon serves nobody
 };
 
-class Site {
+class LocalDeployment {
  public:
-  Site(asio::io_context& io, SiteSettings settings);
+  LocalDeployment(asio::io_context& io, LocalDeploymentSettings settings);
   absl::Status start();
   // Waits until every daemon is ready under a full replica set, having put the first configuration.
   awaitable<bool> found(Duration limit);
@@ -35,7 +35,7 @@
   void end();
 
   Ledger& ledger() { return ledger_; }
-  const std::vector<ChangeSeen>& changes() const { return changes_; }
+  const std::vector<ChangeResult>& changes() const { return changes_; }
   void showPrices();
   void showTenants();
   Instant trafficEnd() const { return trafficEnd_; }
@@ -56,7 +56,7 @@
   awaitable<void> operate(std::string what, std::string argument);
   awaitable<void> race(std::size_t changes);
   awaitable<void> raceAs(std::string name, std::size_t through, std::size_t changes);
-  awaitable<void> readInEnd();
+  awaitable<void> readFinalConfiguration();
   awaitable<void> recover(Daemon& daemon);
   // Performs a daemon's fault beside others.
   void spawnAt(const std::string& what, Daemon& daemon);
@@ -64,7 +64,7 @@
   void hinder(const std::string& daemon, Instant begun);
   Daemon* newestOrderer();
   awaitable<void> replaceServer(StandInServer& server);
-  awaitable<std::optional<std::uint64_t>> inForceAt(Address callers);
+  awaitable<std::optional<std::uint64_t>> servedVersion(Address callers);
   awaitable<void> change(std::string patch, std::function<void(Instant)> onAcknowledged);
   awaitable<absl::StatusOr<nlohmann::json>> ask(Address daemon, http::verb verb, std::string target,
                                                 std::string body);
@@ -74,15 +74,15 @@
   }
 
   asio::io_context& io_;
-  SiteSettings settings_;
+  LocalDeploymentSettings settings_;
   Ledger ledger_;
   std::vector<Daemon> daemons_;
   std::vector<std::unique_ptr<StandInServer>> servers_;
   std::unique_ptr<StandInStore> store_;
   std::unique_ptr<StandInPlatform> platform_;
   std::unique_ptr<Relay> relay_;
-  std::unique_ptr<Gateway> gateway_;
-  std::vector<ChangeSeen> changes_;
+  std::unique_ptr<LoadGenerator> loadGenerator_;
+  std::vector<ChangeResult> changes_;
   Instant trafficEnd_{};
   int plannedExitErrors_ = 0;
   std::vector<std::string> settingsMissed_;
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -10,11 +10,11 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Duration kInForceBound = 2s;
+constexpr Duration kPropagationBound = 2s;
 }  // namespace
 
 // The configuration that a proxy serves by, or nothing where it serves nobody.
-awaitable<std::optional<std::uint64_t>> Site::inForceAt(Address callers) {
+awaitable<std::optional<std::uint64_t>> LocalDeployment::servedVersion(Address callers) {
   HttpCall call;
   call.to = callers;
   call.target = "/readyz";
@@ -26,7 +26,8 @@
 }
 
 // Any live daemon takes the change; then each is asked until it has it in force.
-awaitable<void> Site::change(std::string patch, std::function<void(Instant)> onAcknowledged) {
+awaitable<void> LocalDeployment::change(std::string patch,
+                                        std::function<void(Instant)> onAcknowledged) {
   for (std::size_t attempt = 0; attempt < daemons_.size() * 2; ++attempt) {
     const Daemon& taker = daemons_[(attempt * 5 + 2) % daemons_.size()];
     if (taker.pid == 0) continue;
@@ -40,18 +41,18 @@
     }
     const Instant acknowledgedAt = BootClock::now();
     onAcknowledged(acknowledgedAt);
-    ChangeSeen seen;
+    ChangeResult seen;
     seen.version = (*done)["version"].get<std::uint64_t>();
-    ledger_.with(
+    ledger_.withLock(
         [&](Ledger& ledger) { ledger.acknowledged.emplace_back(acknowledgedAt, seen.version); });
     std::set<std::string> waiting;
     for (const Daemon& daemon : daemons_) waiting.insert(daemon.name);
     std::string closed;
-    while (!waiting.empty() && BootClock::now() < acknowledgedAt + kInForceBound) {
+    while (!waiting.empty() && BootClock::now() < acknowledgedAt + kPropagationBound) {
       closed.clear();
       for (const Daemon& daemon : daemons_) {
         if (!waiting.contains(daemon.name)) continue;
-        const auto state = co_await inForceAt(daemon.callers);
+        const auto state = co_await servedVersion(daemon.callers);
         if (!state) {
           closed += " " + daemon.name;
         } else if (*state >= seen.version) {
@@ -65,7 +66,7 @@
     std::string late;
     for (const Daemon& daemon : daemons_) {
       if (!waiting.contains(daemon.name)) continue;
-      const auto state = co_await inForceAt(daemon.callers);
+      const auto state = co_await servedVersion(daemon.callers);
       if (state && *state < seen.version) late += " " + daemon.name;
     }
     seen.everywhere = late.empty();
@@ -81,7 +82,7 @@
   note("the change was taken by nobody");
 }
 
-awaitable<void> Site::operate(std::string what, std::string argument) {
+awaitable<void> LocalDeployment::operate(std::string what, std::string argument) {
   if (what == "race") {
     note("two operators race, " + argument + " changes each");
     co_await race(std::strtoul(argument.c_str(), nullptr, 10));
@@ -89,7 +90,7 @@
   }
   if (what == "flood") {
     note("flood of " + argument);
-    co_await gateway_->drive(10s, 2 * settings_.rateFactor, argument);
+    co_await loadGenerator_->sendTraffic(10s, 2 * settings_.rateFactor, argument);
     co_return;
   }
   Json patch;
@@ -97,12 +98,12 @@
   if (what == "weights") {
     patch = {{"models", {{"till", {{"weights", argument}}}}}};
     onAcknowledged = [this, argument](Instant at) {
-      ledger_.with([&](Ledger& ledger) { ledger.weightsNamedAt[argument] = at; });
+      ledger_.withLock([&](Ledger& ledger) { ledger.weightsConfiguredAt[argument] = at; });
     };
   } else if (what == "withdraw") {
     patch = {{"tenants", {{argument, {{"keys", Json::array()}}}}}};
     onAcknowledged = [this, argument](Instant at) {
-      ledger_.with([&](Ledger& ledger) { ledger.withdrawnAt[argument] = at; });
+      ledger_.withLock([&](Ledger& ledger) { ledger.keyRevokedAt[argument] = at; });
     };
   } else if (what == "ways") {
     for (int i = 0; i < std::atoi(argument.c_str()); ++i)
@@ -114,7 +115,7 @@
   co_await change(patch.dump(), onAcknowledged);
 }
 
-awaitable<void> Site::race(std::size_t changes) {
+awaitable<void> LocalDeployment::race(std::size_t changes) {
   const std::size_t before = stepsOpen_;
   for (const char* name : {"left", "right"}) {
     ++stepsOpen_;
@@ -126,12 +127,13 @@
 
 // Each change adds one way, on top of what the operator's own daemon says is in force; it is tried
 // once. Now and then one is wrong on purpose.
-awaitable<void> Site::raceAs(std::string name, std::size_t through, std::size_t changes) {
+awaitable<void> LocalDeployment::raceAs(std::string name, std::size_t through,
+                                        std::size_t changes) {
   for (std::size_t i = 0; i < changes; ++i) {
     const Daemon& daemon = daemons_[(through + i) % daemons_.size()];
     const auto known = co_await ask(daemon.operators, http::verb::get, "/q/spec", "");
     if (!known.ok()) continue;
-    OperatorRow row;
+    ConfigurationChangeRow row;
     row.way = name + "-" + std::to_string(i);
     row.daemon = daemon.name;
     const std::string policy = i % 5 == 4 ? "no-contract" : settings_.mix.ways.front().way;
@@ -151,7 +153,7 @@
       if (row.status == 200)
         row.version = Json::parse(response->body())["version"].get<std::uint64_t>();
     }
-    ledger_.with([&](Ledger& ledger) {
+    ledger_.withLock([&](Ledger& ledger) {
       ledger.operators.push_back(row);
       if (row.status == 200) ledger.acknowledged.emplace_back(row.ended, row.version);
     });
@@ -159,7 +161,7 @@
   --stepsOpen_;
 }
 
-awaitable<void> Site::recover(Daemon& daemon) {
+awaitable<void> LocalDeployment::recover(Daemon& daemon) {
   const auto members = co_await ask(daemon.operators, http::verb::get, "/q/members", "");
   if (!members.ok()) co_return note("refound: " + std::string(members.status().message()));
   const std::string target = "/q/refound?confirm=" + (*members)["copies"]["fleet"].dump();
@@ -169,15 +171,15 @@
 }
 
 // What stands in the register after all of it.
-awaitable<void> Site::readInEnd() {
+awaitable<void> LocalDeployment::readFinalConfiguration() {
   for (int attempt = 0; attempt < 40; ++attempt) {
     const Daemon& daemon = daemons_[static_cast<std::size_t>(attempt) % daemons_.size()];
     const auto settled = co_await ask(daemon.operators, http::verb::get, "/q/spec?settled=1", "");
     if (settled.ok()) {
-      ledger_.with([&](Ledger& ledger) {
-        ledger.versionInEnd = (*settled)["version"].get<std::uint64_t>();
+      ledger_.withLock([&](Ledger& ledger) {
+        ledger.finalVersion = (*settled)["version"].get<std::uint64_t>();
         for (const auto& [way, policy] : (*settled)["spec"]["ways"].items())
-          ledger.waysInEnd.insert(way);
+          ledger.finalPaths.insert(way);
       });
       co_return;
     }
@@ -186,8 +188,8 @@
 }
 
 // How each tenant fared, for runs in which one asks for too much.
-void Site::showTenants() {
-  ledger_.with([&](Ledger& ledger) {
+void LocalDeployment::showTenants() {
+  ledger_.withLock([&](Ledger& ledger) {
     struct Row {
       std::size_t calls = 0, done = 0;
       std::vector<Duration> firstPieces;
@@ -212,21 +214,21 @@
 }
 
 // For each fault and change: what became of the calls begun in the eight seconds after it.
-void Site::showPrices() {
-  ledger_.with([&](Ledger& ledger) {
+void LocalDeployment::showPrices() {
+  ledger_.withLock([&](Ledger& ledger) {
     for (const auto& [at, text] : ledger.notes) {
-      std::size_t calls = 0, turnedAway = 0, undone = 0;
+      std::size_t calls = 0, turnedAway = 0, failed = 0;
       for (const CallRow& call : ledger.calls) {
         if (call.begun < at || call.begun > at + 8s) continue;
         ++calls;
         turnedAway += call.status == 429 || call.status == 503 ? 1 : 0;
-        undone += call.status == 0 || call.status == 502 || call.status == 504 ||
+        failed += call.status == 0 || call.status == 502 || call.status == 504 ||
                           (call.status == 200 && !call.complete)
                       ? 1
                       : 0;
       }
-      if (turnedAway + undone > 0)
-        std::cout << "after '" << text << "': " << turnedAway << " turned away and " << undone
+      if (turnedAway + failed > 0)
+        std::cout << "after '" << text << "': " << turnedAway << " turned away and " << failed
                   << " unknown, cut or unanswered of " << calls << " calls in 8 s\n";
     }
   });
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -44,13 +44,13 @@
 Exit codes: 0 nothing broken, 1 a rule was broken or the fleet did not found, 2 bad usage.
 )";
 
-int report(quayrill::fleet::Site& site, bool asJson) {
+int report(quayrill::fleet::LocalDeployment& site, bool asJson) {
   using namespace std::chrono_literals;
   std::vector<quayrill::fleet::Finding> findings;
-  quayrill::fleet::Figures figures;
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
+  quayrill::fleet::RunStatistics statistics;
+  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     findings = quayrill::fleet::checkLedger(ledger, site.trafficEnd());
-    figures = quayrill::fleet::figuresOf(ledger, site.trafficEnd());
+    statistics = quayrill::fleet::statisticsOf(ledger, site.trafficEnd());
   });
   quayrill::Duration slowest{};
   for (const auto& change : site.changes()) {
@@ -63,38 +63,39 @@
     findings.push_back({"planned-restart", "a SIGTERM did not end well"});
   for (const std::string& missed : site.settingsMissed()) findings.push_back({"settings", missed});
   std::cout << std::fixed << std::setprecision(3);
-  std::cout << "calls " << figures.calls << " done " << figures.done << " turned-away "
-            << figures.turnedAway << " unknown " << figures.unknown << " cut " << figures.cut
-            << " no-answer " << figures.noAnswer << " bad-input " << figures.bad << " runs "
-            << figures.runs << "\n"
-            << "cached share of prompt tokens " << figures.cachedShare << ", first piece median "
-            << figures.firstPieceMedianMs << " ms, p95 " << figures.firstPieceP95Ms << " ms\n"
-            << "longest time with no answer finished " << figures.longestSilenceMs << " ms\n"
+  std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
+            << statistics.turnedAway << " unknown " << statistics.unknown << " cut "
+            << statistics.cut << " no-answer " << statistics.noAnswer << " bad-input "
+            << statistics.bad << " runs " << statistics.runs << "\n"
+            << "cached share of prompt tokens " << statistics.cachedShare << ", first piece median "
+            << statistics.firstPieceMedianMs << " ms, p95 " << statistics.firstPiece95thMs
+            << " ms\n"
+            << "longest time with no answer finished " << statistics.longestSilenceMs << " ms\n"
             << "longest time a daemon that nothing hindered finished no answer "
-            << figures.longestDaemonSilenceMs << " ms\n"
+            << statistics.longestDaemonSilenceMs << " ms\n"
             << "longest that a configuration was served after a newer one was acknowledged "
-            << figures.slowestInForceMs << " ms\n"
+            << statistics.longestStaleServingMs << " ms\n"
             << "changes " << site.changes().size() << ", slowest everywhere after " << slowest / 1ms
             << " ms\n";
   for (std::size_t i = 0; i < std::min<std::size_t>(10, findings.size()); ++i)
     std::cout << "BROKEN " << findings[i].rule << ": " << findings[i].what << "\n";
   std::cout << "broken rules " << findings.size() << "\n";
   site.showPrices();
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
-    for (const auto& [weights, named] : ledger.weightsNamedAt) {
+  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+    for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
       std::size_t reached = 0;
       quayrill::Duration last{};
-      for (const auto& [server, at] : ledger.weightsReachedAt[weights]) {
-        reached += ledger.serversAtEnd.contains(server) ? 1 : 0;
+      for (const auto& [server, at] : ledger.weightsLoadedAt[weights]) {
+        reached += ledger.finalServers.contains(server) ? 1 : 0;
         last = std::max(last, at - named);
       }
       std::cout << "weights " << weights << " taken by " << reached << " of "
-                << ledger.serversAtEnd.size() << " servers, the last after " << last / 1ms
+                << ledger.finalServers.size() << " servers, the last after " << last / 1ms
                 << " ms\n";
     }
   });
   std::map<std::string, int> errors;
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
+  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& call : ledger.calls) {
       if (!call.error.empty()) ++errors[std::to_string(call.status) + " " + call.error];
     }
@@ -104,16 +105,16 @@
     if (++shown <= 12) std::cout << count << " x " << error << (error.back() == '\n' ? "" : "\n");
   }
   if (asJson)
-    std::cout << nlohmann::json{{"calls", figures.calls},
-                                {"done", figures.done},
-                                {"turned_away", figures.turnedAway},
-                                {"unknown", figures.unknown},
-                                {"cut", figures.cut},
-                                {"no_answer", figures.noAnswer},
-                                {"cached_share", figures.cachedShare},
-                                {"first_piece_median_ms", figures.firstPieceMedianMs},
-                                {"first_piece_p95_ms", figures.firstPieceP95Ms},
-                                {"longest_silence_ms", figures.longestSilenceMs},
+    std::cout << nlohmann::json{{"calls", statistics.calls},
+                                {"done", statistics.done},
+                                {"turned_away", statistics.turnedAway},
+                                {"unknown", statistics.unknown},
+                                {"cut", statistics.cut},
+                                {"no_answer", statistics.noAnswer},
+                                {"cached_share", statistics.cachedShare},
+                                {"first_piece_median_ms", statistics.firstPieceMedianMs},
+                                {"first_piece_p95_ms", statistics.firstPiece95thMs},
+                                {"longest_silence_ms", statistics.longestSilenceMs},
                                 {"slowest_change_ms", slowest / 1ms},
                                 {"broken", findings.size()}}
                      .dump()
@@ -128,7 +129,7 @@
   auto flags =
       docopt::docopt(kUsage, {argv + 1, argv + argc}, true, "quayrill-local " QUAYRILL_VERSION);
   std::signal(SIGPIPE, SIG_IGN);
-  fleet::SiteSettings settings;
+  fleet::LocalDeploymentSettings settings;
   std::vector<fleet::Step> steps;
   std::chrono::milliseconds span{};
   try {
@@ -145,7 +146,7 @@
           (std::filesystem::canonical("/proc/self/exe").parent_path() / "quayrilld").string();
     settings.servers = static_cast<std::size_t>(std::stoul(flags["--servers"].asString()));
     settings.cacheTokens = std::stoul(flags["--cache-tokens"].asString());
-    settings.mix = fleet::mixOf(flags["--deployment"].asString());
+    settings.mix = fleet::trafficMixOf(flags["--deployment"].asString());
     settings.rateFactor = std::stod(flags["--rate"].asString());
     settings.seed = std::stoull(flags["--seed"].asString());
     span = std::chrono::milliseconds(std::stol(flags["--seconds"].asString()) * 1000);
@@ -164,7 +165,7 @@
   }
   std::filesystem::remove_all(settings.plan.workFolder);
   asio::io_context io(1);
-  fleet::Site site(io, settings);
+  fleet::LocalDeployment site(io, settings);
   if (const auto status = site.start(); !status.ok()) {
     std::cerr << "quayrill-local: " << status.message() << "\n";
     site.end();
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -65,7 +65,8 @@
   if (!down_) return;
   weights_ = settings_.weights;
   (void)start();
-  ledger_.with([&](Ledger& ledger) { ledger.backAt[settings_.address.value] = BootClock::now(); });
+  ledger_.withLock(
+      [&](Ledger& ledger) { ledger.restartedAt[settings_.address.value] = BootClock::now(); });
 }
 
 HttpResponse StandInServer::notRun(const std::string& why) {
@@ -135,7 +136,7 @@
     asio::co_spawn(io_, load(weights, life_), asio::detached);
   }
   co_await pauseFor(kOrderSpan);
-  ledger_.with([&](Ledger& ledger) {
+  ledger_.withLock([&](Ledger& ledger) {
     ledger.orders.push_back(
         {settings_.address.value, weights, fence, taken, begun, BootClock::now(), from.value});
   });
@@ -155,8 +156,8 @@
   cache_.clear();
   uses_.clear();
   loading_ = false;
-  ledger_.with([&](Ledger& ledger) {
-    ledger.weightsReachedAt[weights][settings_.address.value] = BootClock::now();
+  ledger_.withLock([&](Ledger& ledger) {
+    ledger.weightsLoadedAt[weights][settings_.address.value] = BootClock::now();
   });
 }
 
@@ -273,7 +274,7 @@
   const Json body = Json::parse(request.body(), nullptr, false);
   const std::string wanted(request[wire::kWeights]);
   if (!body.is_object()) co_return textResponse(400, "no JSON\n");
-  ledger_.with([&](Ledger& ledger) {
+  ledger_.withLock([&](Ledger& ledger) {
     ledger.arrivals.push_back({body.value("nonce", ""), BootClock::now()});
   });
   if (wanted != weights_) co_return notRun("other weights");
@@ -301,7 +302,7 @@
   run.promptTokens = chain.size() * settings_.blockTokens;
   run.cachedTokens = held * settings_.blockTokens;
   const std::size_t missing = run.promptTokens - run.cachedTokens;
-  ledger_.with([&](Ledger& ledger) { ledger.runs.push_back(run); });
+  ledger_.withLock([&](Ledger& ledger) { ledger.runs.push_back(run); });
   co_await pauseFor(settings_.prefillPerToken * static_cast<int>(missing));
   if (life != life_) co_return std::nullopt;
   if (weights_ == run.weights)
@@ -311,7 +312,7 @@
     asio::co_spawn(io_, keep(run.salt, run.weights, prefixText), asio::detached);
   ErrorCode code;
   const auto breakOff = [&] {
-    ledger_.with([&](Ledger& ledger) { ledger.brokenByServer.insert(run.nonce); });
+    ledger_.withLock([&](Ledger& ledger) { ledger.abortedByServer.insert(run.nonce); });
   };
   if (faults_.dropBeforeFirst) {
     --running_;
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -48,7 +48,7 @@
   return text.str();
 }
 
-awaitable<void> Site::perform(Step step) {
+awaitable<void> LocalDeployment::perform(Step step) {
   co_await pauseFor(std::chrono::milliseconds(static_cast<long>(step.atSecond * 1000)));
   const auto number = static_cast<std::size_t>(std::atoi(step.argument.c_str()));
   StepTarget target = StepTarget::Operator;
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -39,7 +39,7 @@
     ledger.arrivals.push_back({nonce, kStart + std::chrono::milliseconds(50 * i)});
   }
   // A quiet rest of the run, in which daemon and way go on serving.
-  ledger.trafficBegin = kStart;
+  ledger.trafficStart = kStart;
   ledger.daemons = {"d"};
   for (int second = 5; second < 60; second += 5) {
     const std::string nonce = "rest" + std::to_string(second);
@@ -86,7 +86,7 @@
   CHECK(unknown(true, false) == "retry-after");
   CHECK(unknown(false, false).empty());
   CHECK(unknown(true, true).empty());
-  CHECK(rulesBroken([](Ledger& l) { l.calls[1].piecesRight = false; }) == "stream");
+  CHECK(rulesBroken([](Ledger& l) { l.calls[1].piecesValid = false; }) == "stream");
   CHECK(rulesBroken([](Ledger& l) { l.calls[1].endMark = false; }) == "cut-looks-complete");
   CHECK(rulesBroken([](Ledger& l) { l.calls.push_back(call("ghost")); }) == "stream");
   CHECK(rulesBroken([](Ledger& l) { l.runs[5].foreignWeights = true; }) == "weights");
@@ -95,7 +95,7 @@
 
 TEST_CASE("checker: bounds in time are tripped just past them and not before") {
   const auto withdrawn = [](Duration before) {
-    return rulesBroken([=](Ledger& l) { l.withdrawnAt["north"] = kStart - before; });
+    return rulesBroken([=](Ledger& l) { l.keyRevokedAt["north"] = kStart - before; });
   };
   CHECK(withdrawn(4900ms).empty());
   CHECK(withdrawn(5100ms) == "withdrawn-key");
@@ -106,9 +106,9 @@
   CHECK(leaving(3100ms) == "leaving-server");
   const auto weights = [](Duration after) {
     return rulesBroken([=](Ledger& l) {
-      l.serversAtEnd = {{"s", after > 0s ? "w1" : "w0"}};
-      l.weightsNamedAt["w1"] = kStart;
-      if (after > 0s) l.weightsReachedAt["w1"]["s"] = kStart + after;
+      l.finalServers = {{"s", after > 0s ? "w1" : "w0"}};
+      l.weightsConfiguredAt["w1"] = kStart;
+      if (after > 0s) l.weightsLoadedAt["w1"]["s"] = kStart + after;
     });
   };
   CHECK(weights(24s).empty());
@@ -117,12 +117,12 @@
 }
 
 TEST_CASE("checker: each naming has its own bound, whatever is named within it") {
-  const auto named = [](Duration reached, const std::string& inEnd) {
+  const auto named = [](Duration reached, const std::string& finalWeights) {
     return rulesBroken([=](Ledger& l) {
-      l.serversAtEnd = {{"s", inEnd}};
-      l.weightsNamedAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
-      l.weightsReachedAt["w2"]["s"] = kStart + reached;
-      if (inEnd == "w3") l.weightsReachedAt["w3"]["s"] = kStart + 44s;
+      l.finalServers = {{"s", finalWeights}};
+      l.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
+      l.weightsLoadedAt["w2"]["s"] = kStart + reached;
+      if (finalWeights == "w3") l.weightsLoadedAt["w3"]["s"] = kStart + 44s;
     });
   };
   CHECK(named(24s, "w3").empty());  // w1 was passed over for w2
@@ -130,7 +130,7 @@
   CHECK(named(24s, "w2") == "weights-bound");  // w3 never came
   const auto ran = [](const std::string& weights, Duration after) {
     return rulesBroken([=](Ledger& l) {
-      l.weightsNamedAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
+      l.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
       for (RunRow& row : l.runs) row.weights = "w3";
       l.runs.back().weights = weights;
       l.runs.back().at = kStart + after;
@@ -161,20 +161,24 @@
     });
   };
   CHECK(silent([](Ledger&) {}) == "recovery");
-  CHECK(silent([](Ledger& l) { l.hindered = {{"e", kStart + 25s, kStart + 50s}}; }).empty());
-  CHECK(silent([](Ledger& l) { l.hindered = {{"", kStart + 25s, kStart + 50s}}; }).empty());
-  CHECK(silent([](Ledger& l) { l.hindered = {{"d", kStart + 25s, kStart + 50s}}; }) == "recovery");
-  CHECK(silent([](Ledger& l) { l.hindered = {{"e", kStart + 25s, kStart + 40s}}; }) == "recovery");
+  CHECK(silent([](Ledger& l) { l.disruptions = {{"e", kStart + 25s, kStart + 50s}}; }).empty());
+  CHECK(silent([](Ledger& l) { l.disruptions = {{"", kStart + 25s, kStart + 50s}}; }).empty());
+  CHECK(silent([](Ledger& l) {
+          l.disruptions = {{"d", kStart + 25s, kStart + 50s}};
+        }) == "recovery");
+  CHECK(silent([](Ledger& l) {
+          l.disruptions = {{"e", kStart + 25s, kStart + 40s}};
+        }) == "recovery");
   CHECK(rulesBroken([](Ledger& l) {
           l.calls[0].way = "audit";  // answered once and never again
         }) == "recovery");
 }
 
 TEST_CASE("checker: what operators were told is held against what stood and was served") {
-  const auto told = [](int status, bool stands) {
+  const auto told = [](int status, bool tookEffect) {
     return rulesBroken([=](Ledger& l) {
-      l.versionInEnd = 9;
-      if (stands) l.waysInEnd = {"added"};
+      l.finalVersion = 9;
+      if (tookEffect) l.finalPaths = {"added"};
       l.operators = {{"added", "d", status, 7, kStart, kStart + 1s}};
     });
   };
@@ -189,12 +193,12 @@
     CHECK(told(status, false).empty());
   }
   CHECK(rulesBroken([](Ledger& l) {
-          l.versionInEnd = 9;
-          l.waysInEnd = {"a", "b"};
+          l.finalVersion = 9;
+          l.finalPaths = {"a", "b"};
           l.operators = {{"a", "d", 200, 7, kStart, kStart}, {"b", "d", 200, 7, kStart, kStart}};
         }) == "acknowledged-lost");
   CHECK(rulesBroken([](Ledger& l) {
-          l.versionInEnd = 9;
+          l.finalVersion = 9;
           l.acknowledged = {{kStart, 10}};
         }) == "slipped-back");
   const auto served = [](std::uint64_t version, Duration after) {
@@ -264,6 +268,6 @@
           l.calls.push_back(call("dropped"));
           l.calls.back().complete = false;
           l.runs.push_back(run("dropped"));
-          l.brokenByServer = {"dropped"};
+          l.abortedByServer = {"dropped"};
         }).empty());
 }
