--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -30,14 +30,14 @@
 }
 }  // namespace
 
-void LocalDeployment::hinder(const std::string& daemon, Instant begun) {
+void LocalDeployment::recordDisruption(const std::string& daemon, Instant begun) {
   ledger_.withLock([&](Ledger& ledger) {
     ledger.disruptions.push_back({daemon, begun, BootClock::now()});
   });
 }
 
-void LocalDeployment::cutFrom(const std::string& ip, const std::set<std::string>& others,
-                              bool inward, bool cut) {
+void LocalDeployment::setPartition(const std::string& ip, const std::set<std::string>& others,
+                                   bool inward, bool cut) {
   for (const std::string& other : others) {
     if (other == ip) continue;
     relay_->cut(ip, other, cut);
@@ -52,7 +52,7 @@
   if (wipe) std::filesystem::remove_all(daemon.dataFolder);
   co_await pauseFor(backAfter);
   startDaemon(&daemon, settings_.plan);
-  hinder(daemon.callers.value, begun);
+  recordDisruption(daemon.callers.value, begun);
 }
 
 awaitable<void> LocalDeployment::restart(Daemon& daemon) {
@@ -63,12 +63,12 @@
     status = waitDaemon(&daemon, 0);
     co_await pauseFor(10ms);
   }
-  if (status != 0) ++plannedExitErrors_;
+  if (status != 0) ++shutdownErrors_;
   ledger_.withLock([&](Ledger& ledger) {
     ledger.planned.push_back({daemon.callers.value, begun, BootClock::now()});
   });
   startDaemon(&daemon, settings_.plan);
-  hinder(daemon.callers.value, begun);
+  recordDisruption(daemon.callers.value, begun);
 }
 
 // Nothing is dropped for it: the daemon counts as not hindered.
@@ -92,10 +92,10 @@
     if (log.find(text) != std::string::npos) co_return;
     co_await pauseFor(100ms);
   }
-  settingsMissed_.push_back(daemon.name + " did not log '" + text + "' within 4 s");
+  settingsErrors_.push_back(daemon.name + " did not log '" + text + "' within 4 s");
 }
 
-awaitable<void> LocalDeployment::atDaemon(std::string what, Daemon& daemon) {
+awaitable<void> LocalDeployment::applyDaemonFault(std::string what, Daemon& daemon) {
   if (!busyDaemons_.insert(daemon.name).second) co_return;  // one fault at a time for each
   note(what + " " + daemon.name);
   const std::string ip = ipOf(daemon);
@@ -112,7 +112,7 @@
     signalDaemon(daemon, SIGSTOP);
     co_await pauseFor(6s);
     signalDaemon(daemon, SIGCONT);
-    hinder(daemon.callers.value, begun);
+    recordDisruption(daemon.callers.value, begun);
   } else if (what == "full") {
     setFull(daemon, true);
     co_await pauseFor(6s);
@@ -123,7 +123,7 @@
     setSyncDelay(daemon, 0);
     co_await pauseFor(5s);
   } else if (what == "refound") {
-    co_await recover(daemon);
+    co_await refoundRegister(daemon);
   } else if (what == "platform") {
     platform_->cut(ip, true);
     co_await pauseFor(8s);
@@ -133,27 +133,27 @@
     co_await pauseFor(8s);
     store_->cut(ip, false);
   } else {
-    cutFrom(ip, all, what == "cut", true);
+    setPartition(ip, all, what == "cut", true);
     co_await pauseFor(8s);
-    cutFrom(ip, all, true, false);
-    hinder(daemon.callers.value, begun);
+    setPartition(ip, all, true, false);
+    recordDisruption(daemon.callers.value, begun);
   }
   busyDaemons_.erase(daemon.name);
 }
 
-void LocalDeployment::spawnAt(const std::string& what, Daemon& daemon) {
-  ++stepsOpen_;
+void LocalDeployment::spawnDaemonFault(const std::string& what, Daemon& daemon) {
+  ++openSteps_;
   asio::co_spawn(
       io_,
       [this, what, &daemon]() -> awaitable<void> {
-        co_await atDaemon(what, daemon);
-        --stepsOpen_;
+        co_await applyDaemonFault(what, daemon);
+        --openSteps_;
       },
       asio::detached);
 }
 
 // Whoever sent the newest weight order, told by its ip.
-Daemon* LocalDeployment::newestOrderer() {
+Daemon* LocalDeployment::latestOrderSender() {
   std::string ip;
   ledger_.withLock([&](Ledger& ledger) {
     if (!ledger.orders.empty()) ip = ledger.orders.back().from;
@@ -164,21 +164,21 @@
   return nullptr;
 }
 
-awaitable<void> LocalDeployment::atMany(std::string what, std::size_t number) {
+awaitable<void> LocalDeployment::applyGroupFault(std::string what, std::size_t number) {
   const auto dash = what.find('-');
   const std::string action = what.substr(0, dash);
   const std::string object = what.substr(dash + 1);
   if (object == "cores" && action != "split") {
     const std::size_t count = std::min(number, settings_.plan.cores);
     // With a majority of disks lost, the rules close the fleet until an operator founds again.
-    if (action == "wipe" && count > settings_.plan.cores / 2) lostAt_ = BootClock::now();
-    for (std::size_t i = 1; i <= count; ++i) spawnAt(action, daemonAt(i, true));
+    if (action == "wipe" && count > settings_.plan.cores / 2) majorityLostAt_ = BootClock::now();
+    for (std::size_t i = 1; i <= count; ++i) spawnDaemonFault(action, daemonAt(i, true));
     co_return;
   }
   if (object == "orderer") {
-    if (Daemon* orderer = newestOrderer()) spawnAt(action, *orderer);
+    if (Daemon* orderer = latestOrderSender()) spawnDaemonFault(action, *orderer);
     for (std::size_t i = 1; action == "kill" && i <= std::min(number, settings_.plan.cores); ++i)
-      spawnAt("kill", daemonAt(i, true));
+      spawnDaemonFault("kill", daemonAt(i, true));
     co_return;
   }
   // Zones are dealt out in turn, so a zone's daemons are every fourth.
@@ -186,17 +186,19 @@
   for (std::size_t i = 0; i < daemons_.size(); ++i) {
     const bool inSide = object == "zone" ? i % 4 == number : i % 2 == 0;
     (inSide ? side : rest).insert(ipOf(daemons_[i]));
-    if (inSide && action == "kill") spawnAt("kill", daemons_[i]);
+    if (inSide && action == "kill") spawnDaemonFault("kill", daemons_[i]);
   }
   if (action == "kill") co_return;
   note(what + " " + std::to_string(number));
   const Instant begun = BootClock::now();
-  for (const std::string& ip : side) cutFrom(ip, rest, true, true);
+  for (const std::string& ip : side) setPartition(ip, rest, true, true);
   co_await pauseFor(8s);
-  for (const std::string& ip : side) cutFrom(ip, rest, true, false);
-  if (object == "cores") hinder("", begun);  // no half has a majority: the rules close them all
+  for (const std::string& ip : side) setPartition(ip, rest, true, false);
+  if (object == "cores")
+    recordDisruption("", begun);  // no half has a majority: the rules close them all
   for (const Daemon& daemon : daemons_) {
-    if (object == "zone" && side.contains(ipOf(daemon))) hinder(daemon.callers.value, begun);
+    if (object == "zone" && side.contains(ipOf(daemon)))
+      recordDisruption(daemon.callers.value, begun);
   }
 }
 
--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-awaitable<void> LocalDeployment::atServer(std::string what, StandInServer& server) {
+awaitable<void> LocalDeployment::applyServerFault(std::string what, StandInServer& server) {
   const std::string name = server.settings().address.value;
   note(what + " " + name);
   if (what == "crash-server") {
@@ -21,7 +21,7 @@
     co_return;
   }
   if (what == "leave-server") {
-    platform_->showLeaving(name);
+    platform_->markLeaving(name);
     ledger_.withLock([&](Ledger& ledger) { ledger.leavingAt.try_emplace(name, BootClock::now()); });
     co_return;
   }
@@ -39,7 +39,7 @@
   server.setFaults({});
 }
 
-awaitable<void> LocalDeployment::atOutside(std::string what, std::size_t number) {
+awaitable<void> LocalDeployment::applyExternalFault(std::string what, std::size_t number) {
   note(what);
   if (what == "store-down") {
     store_->setDown(true);
@@ -55,7 +55,7 @@
     platform_->setDown(true);
     co_await pauseFor(std::chrono::seconds(number));
     platform_->setDown(false);
-    hinder("", begun);
+    recordDisruption("", begun);
   } else if (what == "slow-links") {
     for (auto& server : servers_) server->slowLinks(true);
     co_await pauseFor(6s);
@@ -64,8 +64,8 @@
     // A release: each server in turn shows as leaving, ends, and comes back empty and new.
     for (auto& server : servers_) {
       const std::string name = server->settings().address.value;
-      if (!platform_->isStaying(name)) continue;
-      ++stepsOpen_;
+      if (!platform_->isLive(name)) continue;
+      ++openSteps_;
       asio::co_spawn(io_, replaceServer(*server), asio::detached);
       co_await pauseFor(std::chrono::milliseconds(number));
     }
@@ -74,7 +74,7 @@
 
 awaitable<void> LocalDeployment::replaceServer(StandInServer& server) {
   const std::string name = server.settings().address.value;
-  platform_->showLeaving(name);
+  platform_->markLeaving(name);
   const Instant leavingAt = BootClock::now();
   // Four seconds: one more than may pass before work stops; then it ends what it has.
   co_await pauseFor(4s);
@@ -87,7 +87,7 @@
   co_await pauseFor(1s);
   server.restart();
   platform_->list(name, server.settings().zone);
-  --stepsOpen_;
+  --openSteps_;
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -35,7 +35,7 @@
     if (!status.ok()) return status;
   }
   for (std::size_t i = 0; i < settings_.servers; ++i) {
-    StandInSettings server;
+    StandInServerSettings server;
     server.address = Address{stem + "3." + std::to_string(i + 1) + ":7300"};
     server.zone = "zone" + std::to_string(i % 4);
     server.store = settings_.plan.store;
@@ -51,8 +51,9 @@
   return absl::OkStatus();
 }
 
-awaitable<absl::StatusOr<Json>> LocalDeployment::ask(Address daemon, http::verb verb,
-                                                     std::string target, std::string body) {
+awaitable<absl::StatusOr<Json>> LocalDeployment::callOperatorApi(Address daemon, http::verb verb,
+                                                                 std::string target,
+                                                                 std::string body) {
   HttpCall call;
   call.to = daemon;
   call.verb = verb;
@@ -73,15 +74,16 @@
   while (BootClock::now() < until) {
     std::size_t full = 0, ready = 0;
     for (const Daemon& daemon : daemons_) {
-      const auto members = co_await ask(daemon.operators, http::verb::get, "/q/members", "");
+      const auto members =
+          co_await callOperatorApi(daemon.operators, http::verb::get, "/q/members", "");
       if (!members.ok()) continue;
       const Json& replicas = (*members)["copies"];
       if (replicas["settled"] == true && replicas["members"].size() == settings_.plan.cores) ++full;
     }
     if (full == daemons_.size() && !put) {
       const std::string configuration = configurationOf(settings_.mix, "w0");
-      const auto done = co_await ask(daemons_.back().operators, http::verb::put, "/q/spec?expect=0",
-                                     configuration);
+      const auto done = co_await callOperatorApi(daemons_.back().operators, http::verb::put,
+                                                 "/q/spec?expect=0", configuration);
       put = done.ok();
       if (!put) std::cout << "  first spec: " << done.status() << std::endl;
     }
@@ -94,18 +96,18 @@
 
 awaitable<void> LocalDeployment::traffic(Duration span, std::vector<Step> steps) {
   for (Step& step : steps) {
-    ++stepsOpen_;
+    ++openSteps_;
     asio::co_spawn(io_, perform(std::move(step)), asio::detached);
   }
   co_await loadGenerator_->sendTraffic(span, settings_.rateFactor);
   const Instant patience = BootClock::now() + 60s;
-  while ((loadGenerator_->open() > 0 || stepsOpen_ > 0) && BootClock::now() < patience)
+  while ((loadGenerator_->open() > 0 || openSteps_ > 0) && BootClock::now() < patience)
     co_await pauseFor(20ms);
   trafficEnd_ = BootClock::now();
   co_await readFinalConfiguration();
   for (const auto& server : servers_) {
     const std::string name = server->settings().address.value;
-    const bool stays = server->isUp() && platform_->isStaying(name);
+    const bool stays = server->isUp() && platform_->isLive(name);
     if (stays)
       ledger_.withLock([&](Ledger& ledger) { ledger.finalServers[name] = server->weights(); });
   }
@@ -120,7 +122,7 @@
     if (daemon.pid == 0) continue;
     const int status = waitDaemon(&daemon, 10000);
     if (status == 0) continue;
-    ++plannedExitErrors_;
+    ++shutdownErrors_;
     std::cout << "  " << daemon.name << " ended with " << status << " on SIGTERM" << std::endl;
     signalDaemon(daemon, SIGKILL);
     waitDaemon(&daemon, 2000);
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -20,9 +20,9 @@
 
 struct ChangeResult {
   std::uint64_t version = 0;
-  Duration everywhereAfter{};  // from the acknowledgement to the last reachable daemon
-  bool everywhere = false;     // no daemon serves by an older configuration
-  bool closed = false;         // some daemon serves nobody
+  Duration propagationTime{};      // from the acknowledgement to the last reachable daemon
+  bool inForceEverywhere = false;  // no daemon serves by an older configuration
+  bool notServing = false;         // some daemon serves nobody
 };
 
 class LocalDeployment {
@@ -36,38 +36,39 @@
 
   Ledger& ledger() { return ledger_; }
   const std::vector<ChangeResult>& changes() const { return changes_; }
-  void showPrices();
-  void showTenants();
+  void printFaultCosts();
+  void printTenants();
   Instant trafficEnd() const { return trafficEnd_; }
-  int plannedExitErrors() const { return plannedExitErrors_; }
+  int shutdownErrors() const { return shutdownErrors_; }
   // What a daemon did not say of its changed settings file.
-  const std::vector<std::string>& settingsMissed() const { return settingsMissed_; }
+  const std::vector<std::string>& settingsErrors() const { return settingsErrors_; }
 
  private:
   awaitable<void> perform(Step step);
-  awaitable<void> atDaemon(std::string what, Daemon& daemon);
+  awaitable<void> applyDaemonFault(std::string what, Daemon& daemon);
   awaitable<void> kill(Daemon& daemon, Duration backAfter, bool wipe);
   awaitable<void> restart(Daemon& daemon);
   awaitable<void> changeSettings(Daemon& daemon);
   awaitable<void> awaitLog(const Daemon& daemon, std::string text);
-  awaitable<void> atMany(std::string what, std::size_t number);
-  awaitable<void> atServer(std::string what, StandInServer& server);
-  awaitable<void> atOutside(std::string what, std::size_t number);
-  awaitable<void> operate(std::string what, std::string argument);
-  awaitable<void> race(std::size_t changes);
-  awaitable<void> raceAs(std::string name, std::size_t through, std::size_t changes);
+  awaitable<void> applyGroupFault(std::string what, std::size_t number);
+  awaitable<void> applyServerFault(std::string what, StandInServer& server);
+  awaitable<void> applyExternalFault(std::string what, std::size_t number);
+  awaitable<void> runOperatorStep(std::string what, std::string argument);
+  awaitable<void> raceOperators(std::size_t changes);
+  awaitable<void> runRacingOperator(std::string name, std::size_t through, std::size_t changes);
   awaitable<void> readFinalConfiguration();
-  awaitable<void> recover(Daemon& daemon);
+  awaitable<void> refoundRegister(Daemon& daemon);
   // Performs a daemon's fault beside others.
-  void spawnAt(const std::string& what, Daemon& daemon);
-  void cutFrom(const std::string& ip, const std::set<std::string>& others, bool inward, bool cut);
-  void hinder(const std::string& daemon, Instant begun);
-  Daemon* newestOrderer();
+  void spawnDaemonFault(const std::string& what, Daemon& daemon);
+  void setPartition(const std::string& ip, const std::set<std::string>& others, bool inward,
+                    bool cut);
+  void recordDisruption(const std::string& daemon, Instant begun);
+  Daemon* latestOrderSender();
   awaitable<void> replaceServer(StandInServer& server);
   awaitable<std::optional<std::uint64_t>> servedVersion(Address callers);
   awaitable<void> change(std::string patch, std::function<void(Instant)> onAcknowledged);
-  awaitable<absl::StatusOr<nlohmann::json>> ask(Address daemon, http::verb verb, std::string target,
-                                                std::string body);
+  awaitable<absl::StatusOr<nlohmann::json>> callOperatorApi(Address daemon, http::verb verb,
+                                                            std::string target, std::string body);
   void note(const std::string& text);
   Daemon& daemonAt(std::size_t index, bool core) {
     return daemons_.at(core ? index - 1 : settings_.plan.cores + index - 1);
@@ -84,10 +85,10 @@
   std::unique_ptr<LoadGenerator> loadGenerator_;
   std::vector<ChangeResult> changes_;
   Instant trafficEnd_{};
-  int plannedExitErrors_ = 0;
-  std::vector<std::string> settingsMissed_;
-  std::size_t stepsOpen_ = 0;
-  Instant lostAt_{};                   // when a majority of disks was emptied
+  int shutdownErrors_ = 0;
+  std::vector<std::string> settingsErrors_;
+  std::size_t openSteps_ = 0;
+  Instant majorityLostAt_{};           // when a majority of disks was emptied
   std::set<std::string> busyDaemons_;  // names of those with a fault under way
 };
 
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -29,14 +29,16 @@
 awaitable<void> LocalDeployment::change(std::string patch,
                                         std::function<void(Instant)> onAcknowledged) {
   for (std::size_t attempt = 0; attempt < daemons_.size() * 2; ++attempt) {
-    const Daemon& taker = daemons_[(attempt * 5 + 2) % daemons_.size()];
-    if (taker.pid == 0) continue;
-    const auto before = co_await ask(taker.operators, http::verb::get, "/q/spec?settled=1", "");
+    const Daemon& entryDaemon = daemons_[(attempt * 5 + 2) % daemons_.size()];
+    if (entryDaemon.pid == 0) continue;
+    const auto before =
+        co_await callOperatorApi(entryDaemon.operators, http::verb::get, "/q/spec?settled=1", "");
     if (!before.ok()) continue;
     const std::string target = "/q/spec?expect=" + (*before)["version"].dump();
-    const auto done = co_await ask(taker.operators, http::verb::patch, target, patch);
+    const auto done =
+        co_await callOperatorApi(entryDaemon.operators, http::verb::patch, target, patch);
     if (!done.ok()) {
-      note("change through " + taker.name + ": " + std::string(done.status().message()));
+      note("change through " + entryDaemon.name + ": " + std::string(done.status().message()));
       continue;
     }
     const Instant acknowledgedAt = BootClock::now();
@@ -47,21 +49,21 @@
         [&](Ledger& ledger) { ledger.acknowledged.emplace_back(acknowledgedAt, seen.version); });
     std::set<std::string> waiting;
     for (const Daemon& daemon : daemons_) waiting.insert(daemon.name);
-    std::string closed;
+    std::string notServing;
     while (!waiting.empty() && BootClock::now() < acknowledgedAt + kPropagationBound) {
-      closed.clear();
+      notServing.clear();
       for (const Daemon& daemon : daemons_) {
         if (!waiting.contains(daemon.name)) continue;
         const auto state = co_await servedVersion(daemon.callers);
         if (!state) {
-          closed += " " + daemon.name;
+          notServing += " " + daemon.name;
         } else if (*state >= seen.version) {
           waiting.erase(daemon.name);
         }
       }
       co_await pauseFor(10ms);
     }
-    seen.everywhereAfter = BootClock::now() - acknowledgedAt;
+    seen.propagationTime = BootClock::now() - acknowledgedAt;
     // A daemon that serves nobody breaks no rule by not having heard.
     std::string late;
     for (const Daemon& daemon : daemons_) {
@@ -69,23 +71,23 @@
       const auto state = co_await servedVersion(daemon.callers);
       if (state && *state < seen.version) late += " " + daemon.name;
     }
-    seen.everywhere = late.empty();
-    seen.closed = !waiting.empty();
+    seen.inForceEverywhere = late.empty();
+    seen.notServing = !waiting.empty();
     changes_.push_back(seen);
-    note("configuration " + std::to_string(seen.version) + " through " + taker.name + ", " +
+    note("configuration " + std::to_string(seen.version) + " through " + entryDaemon.name + ", " +
          (!late.empty() ? "SERVED WITHOUT IT by" + late
           : !waiting.empty()
-              ? "in force wherever served; not serving:" + closed
-              : "in force everywhere after " + std::to_string(seen.everywhereAfter / 1ms) + " ms"));
+              ? "in force wherever served; not serving:" + notServing
+              : "in force everywhere after " + std::to_string(seen.propagationTime / 1ms) + " ms"));
     co_return;
   }
   note("the change was taken by nobody");
 }
 
-awaitable<void> LocalDeployment::operate(std::string what, std::string argument) {
+awaitable<void> LocalDeployment::runOperatorStep(std::string what, std::string argument) {
   if (what == "race") {
     note("two operators race, " + argument + " changes each");
-    co_await race(std::strtoul(argument.c_str(), nullptr, 10));
+    co_await raceOperators(std::strtoul(argument.c_str(), nullptr, 10));
     co_return;
   }
   if (what == "flood") {
@@ -115,23 +117,24 @@
   co_await change(patch.dump(), onAcknowledged);
 }
 
-awaitable<void> LocalDeployment::race(std::size_t changes) {
-  const std::size_t before = stepsOpen_;
+awaitable<void> LocalDeployment::raceOperators(std::size_t changes) {
+  const std::size_t before = openSteps_;
   for (const char* name : {"left", "right"}) {
-    ++stepsOpen_;
+    ++openSteps_;
     const std::size_t through = name[0] == 'l' ? 0 : daemons_.size() / 2;
-    asio::co_spawn(io_, raceAs(name + std::to_string(before), through, changes), asio::detached);
+    asio::co_spawn(io_, runRacingOperator(name + std::to_string(before), through, changes),
+                   asio::detached);
   }
   co_return;
 }
 
 // Each change adds one way, on top of what the operator's own daemon says is in force; it is tried
 // once. Now and then one is wrong on purpose.
-awaitable<void> LocalDeployment::raceAs(std::string name, std::size_t through,
-                                        std::size_t changes) {
+awaitable<void> LocalDeployment::runRacingOperator(std::string name, std::size_t through,
+                                                   std::size_t changes) {
   for (std::size_t i = 0; i < changes; ++i) {
     const Daemon& daemon = daemons_[(through + i) % daemons_.size()];
-    const auto known = co_await ask(daemon.operators, http::verb::get, "/q/spec", "");
+    const auto known = co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec", "");
     if (!known.ok()) continue;
     ConfigurationChangeRow row;
     row.way = name + "-" + std::to_string(i);
@@ -158,23 +161,25 @@
       if (row.status == 200) ledger.acknowledged.emplace_back(row.ended, row.version);
     });
   }
-  --stepsOpen_;
+  --openSteps_;
 }
 
-awaitable<void> LocalDeployment::recover(Daemon& daemon) {
-  const auto members = co_await ask(daemon.operators, http::verb::get, "/q/members", "");
+awaitable<void> LocalDeployment::refoundRegister(Daemon& daemon) {
+  const auto members =
+      co_await callOperatorApi(daemon.operators, http::verb::get, "/q/members", "");
   if (!members.ok()) co_return note("refound: " + std::string(members.status().message()));
   const std::string target = "/q/refound?confirm=" + (*members)["copies"]["fleet"].dump();
-  const auto made = co_await ask(daemon.operators, http::verb::post, target, "");
+  const auto made = co_await callOperatorApi(daemon.operators, http::verb::post, target, "");
   note("refound: " + (made.ok() ? made->dump() : std::string(made.status().message())));
-  if (made.ok()) hinder("", lostAt_);
+  if (made.ok()) recordDisruption("", majorityLostAt_);
 }
 
 // What stands in the register after all of it.
 awaitable<void> LocalDeployment::readFinalConfiguration() {
   for (int attempt = 0; attempt < 40; ++attempt) {
     const Daemon& daemon = daemons_[static_cast<std::size_t>(attempt) % daemons_.size()];
-    const auto settled = co_await ask(daemon.operators, http::verb::get, "/q/spec?settled=1", "");
+    const auto settled =
+        co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec?settled=1", "");
     if (settled.ok()) {
       ledger_.withLock([&](Ledger& ledger) {
         ledger.finalVersion = (*settled)["version"].get<std::uint64_t>();
@@ -188,7 +193,7 @@
 }
 
 // How each tenant fared, for runs in which one asks for too much.
-void LocalDeployment::showTenants() {
+void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
       std::size_t calls = 0, done = 0;
@@ -214,7 +219,7 @@
 }
 
 // For each fault and change: what became of the calls begun in the eight seconds after it.
-void LocalDeployment::showPrices() {
+void LocalDeployment::printFaultCosts() {
   ledger_.withLock([&](Ledger& ledger) {
     for (const auto& [at, text] : ledger.notes) {
       std::size_t calls = 0, turnedAway = 0, failed = 0;
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -54,14 +54,14 @@
   });
   quayrill::Duration slowest{};
   for (const auto& change : site.changes()) {
-    if (!change.closed) slowest = std::max(slowest, change.everywhereAfter);
-    if (!change.everywhere)
+    if (!change.notServing) slowest = std::max(slowest, change.propagationTime);
+    if (!change.inForceEverywhere)
       findings.push_back({"in-force", "configuration " + std::to_string(change.version) +
                                           " was served without 2 s after its acknowledgement"});
   }
-  if (site.plannedExitErrors() > 0)
+  if (site.shutdownErrors() > 0)
     findings.push_back({"planned-restart", "a SIGTERM did not end well"});
-  for (const std::string& missed : site.settingsMissed()) findings.push_back({"settings", missed});
+  for (const std::string& missed : site.settingsErrors()) findings.push_back({"settings", missed});
   std::cout << std::fixed << std::setprecision(3);
   std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
             << statistics.turnedAway << " unknown " << statistics.unknown << " cut "
@@ -80,7 +80,7 @@
   for (std::size_t i = 0; i < std::min<std::size_t>(10, findings.size()); ++i)
     std::cout << "BROKEN " << findings[i].rule << ": " << findings[i].what << "\n";
   std::cout << "broken rules " << findings.size() << "\n";
-  site.showPrices();
+  site.printFaultCosts();
   site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
       std::size_t reached = 0;
@@ -189,7 +189,7 @@
   });
   io.run();
   site.end();
-  if (flags["--tenants"].asBool()) site.showTenants();
+  if (flags["--tenants"].asBool()) site.printTenants();
   const int result = report(site, flags["--json"].asBool());
   std::cout.flush();
   std::_Exit(founded ? result : 1);
--- a/src/fleet/random_steps.cpp
+++ b/src/fleet/random_steps.cpp
@@ -8,7 +8,7 @@
 namespace {
 // Never drawn: planted errors, and what leaves the fleet with fewer servers for good too often.
 // What is not drawn has runs of its own; a new step would also make another run of every seed.
-bool isDrawable(const std::string& what) {
+bool isDrawnAtRandom(const std::string& what) {
   return what != "repeat-piece" && what != "vanish-server" && what != "leave-server" &&
          what != "withdraw" && what != "ways" && what != "flood" && what != "wipe-cores" &&
          what != "refound" && what != "hup-edge";
@@ -23,7 +23,7 @@
   };
   std::vector<Row> rows;
 #define QUAYRILL_ROW(name, kind, help) \
-  if (isDrawable(name)) rows.push_back({name, StepTarget::kind});
+  if (isDrawnAtRandom(name)) rows.push_back({name, StepTarget::kind});
   QUAYRILL_STEPS(QUAYRILL_ROW)
 #undef QUAYRILL_ROW
   std::mt19937_64 random(seed);
@@ -53,10 +53,10 @@
       case StepTarget::Server:
         step.argument = std::to_string(1 + random() % servers);
         break;
-      case StepTarget::Many:
+      case StepTarget::Group:
         step.argument = std::to_string(step.what.ends_with("zone") ? random() % 4 : random() % 3);
         break;
-      case StepTarget::Outside:
+      case StepTarget::External:
         step.argument = step.what == "release-servers" ? "900" : std::to_string(random() % 5);
         break;
       case StepTarget::Operator:
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -8,7 +8,7 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Duration kOrderSpan = 120ms;
+constexpr Duration kOrderDuration = 120ms;
 
 Address callerOf(Connection& connection) {
   ErrorCode code;
@@ -16,9 +16,9 @@
 }
 }  // namespace
 
-std::vector<BlockName> chainOf(const std::string& salt, const PromptPrefix& prefix,
-                               std::size_t blockTokens) {
-  std::vector<BlockName> chain;
+std::vector<BlockHash> blockChainOf(const std::string& salt, const PromptPrefix& prefix,
+                                    std::size_t blockTokens) {
+  std::vector<BlockHash> chain;
   std::string text = salt + "|";
   std::size_t filled = 0;
   for (const PromptPart& part : prefix.parts) {
@@ -33,12 +33,12 @@
   return chain;
 }
 
-StandInServer::StandInServer(asio::io_context& io, StandInSettings settings, Ledger& ledger)
+StandInServer::StandInServer(asio::io_context& io, StandInServerSettings settings, Ledger& ledger)
     : io_(io), settings_(std::move(settings)), ledger_(ledger), weights_(settings_.weights) {}
 
 absl::Status StandInServer::start() {
   down_ = false;
-  identity_ = settings_.address.value + "#" + std::to_string(++life_);
+  identity_ = settings_.address.value + "#" + std::to_string(++incarnation_);
   HttpServerSettings serverSettings;
   serverSettings.listen = settings_.address;
   server_ = std::make_unique<HttpServer>(
@@ -51,11 +51,11 @@
   down_ = true;
   server_->stopAccepting();
   retired_.push_back(std::move(server_));
-  ++life_;
+  ++incarnation_;
   cache_.clear();
-  uses_.clear();
-  dropped_.clear();
-  eventNext_ = 1;
+  lruOrder_.clear();
+  evictionEvents_.clear();
+  nextEvent_ = 1;
   running_ = queued_ = 0;
   highestFence_ = 0;
   loading_ = false;
@@ -83,7 +83,7 @@
     co_await pauseFor(30s);
     co_return std::nullopt;
   }
-  co_await thaw();
+  co_await waitWhileFrozen();
   if (path == wire::kGenerate) co_return co_await generate(connection, request);
   if (path == "/burden") co_return load();
   if (path == "/kv-events")
@@ -108,12 +108,14 @@
 
 HttpResponse StandInServer::events(std::uint64_t since) {
   const auto lag = static_cast<std::uint64_t>(faults_.eventsLate ? 40 : 0);
-  if (faults_.eventsLost) dropped_.erase(dropped_.begin(), dropped_.begin() + dropped_.size() / 2);
-  const std::uint64_t oldest = eventNext_ - dropped_.size();
-  const std::uint64_t next = std::max(oldest, eventNext_ - std::min(eventNext_ - 1, lag));
+  if (faults_.eventsLost)
+    evictionEvents_.erase(evictionEvents_.begin(),
+                          evictionEvents_.begin() + evictionEvents_.size() / 2);
+  const std::uint64_t oldest = nextEvent_ - evictionEvents_.size();
+  const std::uint64_t next = std::max(oldest, nextEvent_ - std::min(nextEvent_ - 1, lag));
   const std::uint64_t first = std::min(std::max(since, oldest), next);
   Json rows = Json::array();
-  for (std::uint64_t at = first; at < next; ++at) rows.push_back(dropped_[at - oldest]);
+  for (std::uint64_t at = first; at < next; ++at) rows.push_back(evictionEvents_[at - oldest]);
   if (faults_.eventsDoubled) {
     for (std::size_t i = rows.size(); i-- > 0;) rows.push_back(rows[i]);
     std::reverse(rows.begin(), rows.end());
@@ -133,9 +135,9 @@
   if (taken) highestFence_ = fence;
   if (taken && weights != weights_ && !loading_) {
     loading_ = true;
-    asio::co_spawn(io_, load(weights, life_), asio::detached);
+    asio::co_spawn(io_, load(weights, incarnation_), asio::detached);
   }
-  co_await pauseFor(kOrderSpan);
+  co_await pauseFor(kOrderDuration);
   ledger_.withLock([&](Ledger& ledger) {
     ledger.orders.push_back(
         {settings_.address.value, weights, fence, taken, begun, BootClock::now(), from.value});
@@ -145,25 +147,25 @@
 }
 
 // Returns when the server is not frozen any more.
-awaitable<void> StandInServer::thaw() {
+awaitable<void> StandInServer::waitWhileFrozen() {
   while (faults_.frozen) co_await pauseFor(20ms);
 }
 
-awaitable<void> StandInServer::load(std::string weights, std::uint64_t life) {
-  co_await pauseFor(settings_.loadSpan);
-  if (life != life_) co_return;
+awaitable<void> StandInServer::load(std::string weights, std::uint64_t incarnation) {
+  co_await pauseFor(settings_.loadDuration);
+  if (incarnation != incarnation_) co_return;
   weights_ = weights;
   cache_.clear();
-  uses_.clear();
+  lruOrder_.clear();
   loading_ = false;
   ledger_.withLock([&](Ledger& ledger) {
     ledger.weightsLoadedAt[weights][settings_.address.value] = BootClock::now();
   });
 }
 
-std::size_t StandInServer::cachedBlocks(const std::vector<BlockName>& chain, RunRow* run) {
+std::size_t StandInServer::cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run) {
   std::size_t held = 0;
-  for (const BlockName name : chain) {
+  for (const BlockHash name : chain) {
     const auto block = cache_.find(name);
     if (block == cache_.end()) break;
     ++held;
@@ -171,23 +173,24 @@
     run->foreignSalt = run->foreignSalt || block->second.salt != run->salt;
   }
   // Last block first, so that a chain is evicted from its end.
-  for (std::size_t i = held; i-- > 0;) uses_.splice(uses_.end(), uses_, cache_.at(chain[i]).use);
+  for (std::size_t i = held; i-- > 0;)
+    lruOrder_.splice(lruOrder_.end(), lruOrder_, cache_.at(chain[i]).use);
   return held;
 }
 
-void StandInServer::store(const std::vector<BlockName>& chain, const std::string& salt,
+void StandInServer::store(const std::vector<BlockHash>& chain, const std::string& salt,
                           const std::vector<std::string>& weights, const PromptPrefix& prefix) {
   const auto shared = std::make_shared<const PromptPrefix>(prefix);
   for (std::size_t i = std::min(chain.size(), weights.size()); i-- > 0;) {
     if (cache_.contains(chain[i])) continue;
-    uses_.push_back(chain[i]);
-    cache_[chain[i]] = {weights[i], salt, shared, i, std::prev(uses_.end())};
+    lruOrder_.push_back(chain[i]);
+    cache_[chain[i]] = {weights[i], salt, shared, i, std::prev(lruOrder_.end())};
   }
-  while (cache_.size() > settings_.cacheTokens / settings_.blockTokens) evictOldest();
+  while (cache_.size() > settings_.cacheTokens / settings_.blockTokens) evictLeastRecentlyUsed();
 }
 
-void StandInServer::evictOldest() {
-  const Block& block = cache_.at(uses_.front());
+void StandInServer::evictLeastRecentlyUsed() {
+  const Block& block = cache_.at(lruOrder_.front());
   PromptPrefix upTo;
   std::size_t left = (block.index + 1) * settings_.blockTokens;
   for (const PromptPart& part : block.prefix->parts) {
@@ -195,23 +198,24 @@
     if (take > 0) upTo.parts.push_back({part.id, take});
     left -= take;
   }
-  dropped_.push_back({{"position", eventNext_++},
-                      {"kind", "dropped"},
-                      {"salt", block.salt},
-                      {"prefix", formatPrefix(upTo)}});
-  if (dropped_.size() > kEventLimit) dropped_.pop_front();
-  cache_.erase(uses_.front());
-  uses_.pop_front();
+  evictionEvents_.push_back({{"position", nextEvent_++},
+                             {"kind", "dropped"},
+                             {"salt", block.salt},
+                             {"prefix", formatPrefix(upTo)}});
+  if (evictionEvents_.size() > kEventLimit) evictionEvents_.pop_front();
+  cache_.erase(lruOrder_.front());
+  lruOrder_.pop_front();
 }
 
 HttpResponse StandInServer::drop(HttpRequest& request) {
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) return textResponse(400, "bad prefix\n");
-  for (const BlockName name : chainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
+  for (const BlockHash name :
+       blockChainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
     const auto block = cache_.find(name);
     if (block == cache_.end()) continue;
-    uses_.erase(block->second.use);
+    lruOrder_.erase(block->second.use);
     cache_.erase(block);
   }
   return jsonResponse(200, Json::object());
@@ -222,7 +226,8 @@
   const auto prefix = parsePrefix(json.value("prefix", ""));
   Json weights = Json::array();
   if (prefix.ok()) {
-    for (const BlockName name : chainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
+    for (const BlockHash name :
+         blockChainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
       const auto block = cache_.find(name);
       if (block == cache_.end()) break;
       weights.push_back(block->second.weights);
@@ -236,7 +241,7 @@
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) co_return textResponse(400, "bad prefix\n");
-  const std::uint64_t life = life_;
+  const std::uint64_t incarnation = incarnation_;
   const Instant due = BootClock::now() + std::chrono::milliseconds(json.value("due_ms", 300));
   HttpCall call;
   call.to = Address{json.value("source", "")};
@@ -253,9 +258,10 @@
   const int slower = slowLinks_ ? 20 : 1;
   co_await pauseFor(settings_.fetchPerToken *
                     static_cast<int>(weights.size() * settings_.blockTokens) * slower);
-  if (BootClock::now() > due || life != life_) co_return textResponse(504, "the due passed\n");
+  if (BootClock::now() > due || incarnation != incarnation_)
+    co_return textResponse(504, "the due passed\n");
   const std::string salt = json.value("salt", "");
-  store(chainOf(salt, *prefix, settings_.blockTokens), salt, weights, *prefix);
+  store(blockChainOf(salt, *prefix, settings_.blockTokens), salt, weights, *prefix);
   co_return jsonResponse(200, {{"tokens", weights.size() * settings_.blockTokens}});
 }
 
@@ -280,10 +286,10 @@
   if (wanted != weights_) co_return notRun("other weights");
   if (loading_) co_return notRun("loading weights");
   if (queued_ >= settings_.queueLimit) co_return notRun("the queue is full");
-  const std::uint64_t life = life_;
+  const std::uint64_t incarnation = incarnation_;
   ++queued_;
-  while (running_ >= settings_.slots && life == life_) co_await pauseFor(2ms);
-  if (life != life_) co_return std::nullopt;
+  while (running_ >= settings_.slots && incarnation == incarnation_) co_await pauseFor(2ms);
+  if (incarnation != incarnation_) co_return std::nullopt;
   --queued_;
   if (weights_ != wanted || loading_) co_return notRun("weights changed while it waited");
   ++running_;
@@ -296,15 +302,15 @@
   run.at = BootClock::now();
   const std::string prefixText(request[wire::kPrefix]);
   const auto prefix = parsePrefix(prefixText);
-  std::vector<BlockName> chain;
-  if (prefix.ok()) chain = chainOf(run.salt, *prefix, settings_.blockTokens);
+  std::vector<BlockHash> chain;
+  if (prefix.ok()) chain = blockChainOf(run.salt, *prefix, settings_.blockTokens);
   const std::size_t held = cachedBlocks(chain, &run);
   run.promptTokens = chain.size() * settings_.blockTokens;
   run.cachedTokens = held * settings_.blockTokens;
   const std::size_t missing = run.promptTokens - run.cachedTokens;
   ledger_.withLock([&](Ledger& ledger) { ledger.runs.push_back(run); });
   co_await pauseFor(settings_.prefillPerToken * static_cast<int>(missing));
-  if (life != life_) co_return std::nullopt;
+  if (incarnation != incarnation_) co_return std::nullopt;
   if (weights_ == run.weights)
     store(chain, run.salt, std::vector<std::string>(chain.size(), run.weights),
           prefix.ok() ? *prefix : PromptPrefix{});
@@ -327,7 +333,7 @@
   connection.expires_after(10s);
   co_await http::async_write_header(connection, serializer, into(code));
   const int pieces = body.value("pieces", 4);
-  for (int piece = 0; piece < pieces && !code && life == life_; ++piece) {
+  for (int piece = 0; piece < pieces && !code && incarnation == incarnation_; ++piece) {
     if (faults_.dropMidStream && piece == pieces / 2) code = asio::error::connection_reset;
     const std::string line =
         Json{{"nonce", run.nonce}, {"run", run.run}, {"piece", piece}}.dump() + "\n";
@@ -336,11 +342,11 @@
       connection.expires_after(10s);
       co_await asio::async_write(connection, http::make_chunk(asio::buffer(line)), into(code));
     }
-    co_await pauseFor(settings_.pieceEvery);
-    co_await thaw();
+    co_await pauseFor(settings_.pieceInterval);
+    co_await waitWhileFrozen();
   }
-  if (code || life != life_) breakOff();
-  if (life != life_) co_return std::nullopt;
+  if (code || incarnation != incarnation_) breakOff();
+  if (incarnation != incarnation_) co_return std::nullopt;
   --running_;
   if (code) co_return std::nullopt;
   const int marked = pieces + (faults_.repeatPiece ? 1 : 0);
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -12,13 +12,13 @@
 
 namespace quayrill::fleet {
 
-struct StandInSettings {
+struct StandInServerSettings {
   Address address;
   std::string zone, model = "till", weights = "w0";
   std::size_t slots = 8, queueLimit = 24;
   std::size_t cacheTokens = 40000, blockTokens = 16;
   std::chrono::microseconds prefillPerToken{25}, fetchPerToken{4};
-  std::chrono::milliseconds pieceEvery{4}, loadSpan{800};
+  std::chrono::milliseconds pieceInterval{4}, loadDuration{800};
   Address store;
 };
 
@@ -34,14 +34,14 @@
   bool eventsDoubled = false;    // events come twice and in reverse order
 };
 
-using BlockName = std::uint64_t;
+using BlockHash = std::uint64_t;
 // The chain of block names of a prefix under a salt; a stand-in's own reckoning.
-std::vector<BlockName> chainOf(const std::string& salt, const PromptPrefix& prefix,
-                               std::size_t blockTokens);
+std::vector<BlockHash> blockChainOf(const std::string& salt, const PromptPrefix& prefix,
+                                    std::size_t blockTokens);
 
 class StandInServer {
  public:
-  StandInServer(asio::io_context& io, StandInSettings settings, Ledger& ledger);
+  StandInServer(asio::io_context& io, StandInServerSettings settings, Ledger& ledger);
   absl::Status start();
   void crash();    // drops every connection and the listener, forgets all
   void restart();  // comes back empty, under a new identity
@@ -50,48 +50,49 @@
   const std::string& weights() const { return weights_; }
   bool isUp() const { return !down_; }
   bool isBusy() const { return running_ + queued_ > 0; }
-  const StandInSettings& settings() const { return settings_; }
+  const StandInServerSettings& settings() const { return settings_; }
 
  private:
   struct Block {
     std::string weights, salt;
     std::shared_ptr<const PromptPrefix> prefix;  // it ends block number `index` of this prefix
     std::size_t index = 0;
-    std::list<BlockName>::iterator use;
+    std::list<BlockHash>::iterator use;
   };
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
   awaitable<HttpResponse> pull(HttpRequest& request);
-  awaitable<void> load(std::string weights, std::uint64_t life);
+  awaitable<void> load(std::string weights, std::uint64_t incarnation);
   awaitable<void> keep(std::string salt, std::string weights, std::string prefix);
   HttpResponse load();
   HttpResponse events(std::uint64_t since);
   awaitable<HttpResponse> order(HttpRequest& request, Address from);
   HttpResponse drop(HttpRequest& request);
   HttpResponse readBlocks(HttpRequest& request);
-  std::size_t cachedBlocks(const std::vector<BlockName>& chain, RunRow* run);
-  void store(const std::vector<BlockName>& chain, const std::string& salt,
+  std::size_t cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run);
+  void store(const std::vector<BlockHash>& chain, const std::string& salt,
              const std::vector<std::string>& weights, const PromptPrefix& prefix);
-  void evictOldest();
-  awaitable<void> thaw();
+  void evictLeastRecentlyUsed();
+  awaitable<void> waitWhileFrozen();
   HttpResponse notRun(const std::string& why);
 
   asio::io_context& io_;
-  StandInSettings settings_;
+  StandInServerSettings settings_;
   Ledger& ledger_;
   std::unique_ptr<HttpServer> server_;
   std::vector<std::unique_ptr<HttpServer>> retired_;  // coroutines of a crashed life still name it
   StandInFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
   // All below is of this life, touched on io_'s single thread.
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::string identity_, weights_;
   bool loading_ = false, down_ = false;
   std::size_t running_ = 0, queued_ = 0;
-  std::uint64_t highestFence_ = 0, runs_ = 0, eventNext_ = 1;
-  std::unordered_map<BlockName, Block> cache_;
-  std::list<BlockName> uses_;           // oldest first; holds exactly the names in cache_
-  std::deque<nlohmann::json> dropped_;  // events from eventNext_ - size() on, at most kEventLimit
+  std::uint64_t highestFence_ = 0, runs_ = 0, nextEvent_ = 1;
+  std::unordered_map<BlockHash, Block> cache_;
+  std::list<BlockHash> lruOrder_;  // oldest first; holds exactly the names in cache_
+  std::deque<nlohmann::json>
+      evictionEvents_;  // events from nextEvent_ - size() on, at most kEventLimit
   static constexpr std::size_t kEventLimit = 4000;
 };
 
--- a/src/fleet/stand_in_services.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -48,27 +48,27 @@
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.is_object() ? json.value("prefix", "") : "?");
   if (!prefix.ok()) co_return textResponse(400, "bad call\n");
-  const auto chain = chainOf(json.value("salt", ""), *prefix, blockTokens_);
+  const auto chain = blockChainOf(json.value("salt", ""), *prefix, blockTokens_);
   const std::string path = pathOf(request);
   const std::string weights = json.value("weights", "");
   if (path == "/keep") {
-    if (kept_.size() > 200000) kept_.clear();
-    for (const BlockName name : chain) kept_[name] = weights;
+    if (storedWeights_.size() > 200000) storedWeights_.clear();
+    for (const BlockHash name : chain) storedWeights_[name] = weights;
     co_return jsonResponse(200, Json::object());
   }
   if (path == "/kept") {
     std::size_t held = 0;
-    for (const BlockName name : chain) {
-      const auto row = kept_.find(name);
-      if (row == kept_.end() || row->second != weights) break;
+    for (const BlockHash name : chain) {
+      const auto row = storedWeights_.find(name);
+      if (row == storedWeights_.end() || row->second != weights) break;
       ++held;
     }
     co_return jsonResponse(200, {{"tokens", held * blockTokens_}});
   }
   Json made = Json::array();  // /kv-read: gives whatever it has
-  for (const BlockName name : chain) {
-    const auto row = kept_.find(name);
-    if (row == kept_.end()) break;
+  for (const BlockHash name : chain) {
+    const auto row = storedWeights_.find(name);
+    if (row == storedWeights_.end()) break;
     made.push_back(row->second);
   }
   co_return jsonResponse(200, {{"weights", made}});
@@ -109,11 +109,11 @@
     ErrorCode code;
     Tcp::socket socket(io_);
     co_await acceptor_.async_accept(socket, into(code));
-    if (!code) asio::co_spawn(io_, carry(std::move(socket)), asio::detached);
+    if (!code) asio::co_spawn(io_, relayConnection(std::move(socket)), asio::detached);
   }
 }
 
-awaitable<void> Relay::carry(Tcp::socket socket) {
+awaitable<void> Relay::relayConnection(Tcp::socket socket) {
   Connection inward(std::move(socket));
   ErrorCode code;
   std::string line;
--- a/src/fleet/stand_in_services.h
+++ b/src/fleet/stand_in_services.h
@@ -14,7 +14,7 @@
   absl::Status start() { return server_->start(); }
   void setDown(bool down) { down_ = down; }
   void setDelay(Duration delay) { delay_ = delay; }
-  void empty() { kept_.clear(); }
+  void empty() { storedWeights_.clear(); }
   void cut(const std::string& ip, bool cut);
 
  private:
@@ -22,8 +22,8 @@
   std::size_t blockTokens_;
   bool down_ = false;
   Duration delay_{};
-  std::set<std::string> cuts_;             // callers that get no answer, by ip
-  std::map<BlockName, std::string> kept_;  // block to the weights that made it last
+  std::set<std::string> cuts_;                      // callers that get no answer, by ip
+  std::map<BlockHash, std::string> storedWeights_;  // block to the weights that made it last
   std::unique_ptr<HttpServer> server_;
 };
 
@@ -32,12 +32,12 @@
   StandInPlatform(asio::io_context& io, Address address);
   absl::Status start() { return server_->start(); }
   void list(const std::string& server, const std::string& zone) { rows_[server] = {zone, false}; }
-  void showLeaving(const std::string& server) { rows_[server].second = true; }
+  void markLeaving(const std::string& server) { rows_[server].second = true; }
   void remove(const std::string& server) { rows_.erase(server); }
   void setDown(bool down) { down_ = down; }
   void cut(const std::string& ip, bool cut);
   bool isListed(const std::string& server) const { return rows_.contains(server); }
-  bool isStaying(const std::string& server) const {
+  bool isLive(const std::string& server) const {
     const auto row = rows_.find(server);
     return row != rows_.end() && !row->second.second;
   }
@@ -60,7 +60,7 @@
 
  private:
   awaitable<void> accept();
-  awaitable<void> carry(Tcp::socket socket);
+  awaitable<void> relayConnection(Tcp::socket socket);
   bool isCut(const std::string& from, const std::string& to) const;
   asio::io_context& io_;
   Address address_;
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -59,27 +59,29 @@
   switch (target) {
     case StepTarget::Core:
       if (number >= 1 && number <= settings_.plan.cores)
-        co_await atDaemon(step.what.substr(0, step.what.rfind('-')), daemonAt(number, true));
+        co_await applyDaemonFault(step.what.substr(0, step.what.rfind('-')),
+                                  daemonAt(number, true));
       break;
     case StepTarget::Edge:
       if (number >= 1 && number <= settings_.plan.edges)
-        co_await atDaemon(step.what.substr(0, step.what.rfind('-')), daemonAt(number, false));
+        co_await applyDaemonFault(step.what.substr(0, step.what.rfind('-')),
+                                  daemonAt(number, false));
       break;
-    case StepTarget::Many:
-      co_await atMany(step.what, number);
+    case StepTarget::Group:
+      co_await applyGroupFault(step.what, number);
       break;
     case StepTarget::Server:
       if (number >= 1 && number <= servers_.size())
-        co_await atServer(step.what, *servers_[number - 1]);
+        co_await applyServerFault(step.what, *servers_[number - 1]);
       break;
-    case StepTarget::Outside:
-      co_await atOutside(step.what, number);
+    case StepTarget::External:
+      co_await applyExternalFault(step.what, number);
       break;
     case StepTarget::Operator:
-      co_await operate(step.what, step.argument);
+      co_await runOperatorStep(step.what, step.argument);
       break;
   }
-  --stepsOpen_;
+  --openSteps_;
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/steps.h
+++ b/src/fleet/steps.h
@@ -6,7 +6,7 @@
 namespace quayrill::fleet {
 
 // What a step's argument names.
-enum class StepTarget { Core, Edge, Many, Server, Outside, Operator };
+enum class StepTarget { Core, Edge, Group, Server, External, Operator };
 
 // step, target, what its argument is and what happens
 // clang-format off
@@ -27,16 +27,16 @@
   X("full-core", Core, "core number: its disk is full for 6 s")                                    \
   X("slow-core", Core, "core number: each sync lasts 300 ms longer for 6 s")                       \
   X("stall-core", Core, "core number: the disk stalls for 5 s")                                    \
-  X("kill-cores", Many, "how many cores to kill -9 at once, back after 3 s")                       \
-  X("full-cores", Many, "on how many cores the disks are full for 6 s")                            \
-  X("wipe-cores", Many, "how many cores to kill -9 at once, their disks emptied, back after 1 s") \
+  X("kill-cores", Group, "how many cores to kill -9 at once, back after 3 s")                       \
+  X("full-cores", Group, "on how many cores the disks are full for 6 s")                            \
+  X("wipe-cores", Group, "how many cores to kill -9 at once, their disks emptied, back after 1 s") \
   X("refound", Core, "core number: the operator founds the register again on its disk")            \
-  X("kill-zone", Many, "zone 0 to 3: all its daemons killed -9 at once, back after 3 s")           \
-  X("cut-zone", Many, "zone 0 to 3: its daemons cut from all others for 8 s")                      \
-  X("split-cores", Many, "0: two cores and half the edges cut from the others for 8 s")            \
-  X("kill-orderer", Many, "how many cores to kill -9 with whoever sent the newest weight order")   \
-  X("freeze-orderer", Many, "0: whoever sent the newest weight order is frozen for 6 s")           \
-  X("cut-orderer", Many, "0: whoever sent the newest weight order is cut off for 8 s")             \
+  X("kill-zone", Group, "zone 0 to 3: all its daemons killed -9 at once, back after 3 s")           \
+  X("cut-zone", Group, "zone 0 to 3: its daemons cut from all others for 8 s")                      \
+  X("split-cores", Group, "0: two cores and half the edges cut from the others for 8 s")            \
+  X("kill-orderer", Group, "how many cores to kill -9 with whoever sent the newest weight order")   \
+  X("freeze-orderer", Group, "0: whoever sent the newest weight order is frozen for 6 s")           \
+  X("cut-orderer", Group, "0: whoever sent the newest weight order is cut off for 8 s")             \
   X("crash-server", Server, "server number: back empty after 3 s")                                 \
   X("vanish-server", Server, "server number: gone for good, its list row after 4 s")               \
   X("leave-server", Server, "server number: shown as leaving")                                     \
@@ -48,11 +48,11 @@
   X("lost-events", Server, "server number: half of its cache events are lost for 6 s")             \
   X("doubled-events", Server, "server number: its cache events come twice, reversed, for 6 s")     \
   X("repeat-piece", Server, "server number: a planted error that the checker must find")          \
-  X("release-servers", Outside, "milliseconds between one server's replacement and the next")      \
-  X("slow-links", Outside, "0: pulls between servers take twenty times as long for 6 s")           \
-  X("store-down", Outside, "0: the store is down for 6 s and comes back empty")                    \
-  X("store-slow", Outside, "0: the store answers after 400 ms for 6 s")                            \
-  X("platform-down", Outside, "seconds for which the platform answers nobody")                     \
+  X("release-servers", External, "milliseconds between one server's replacement and the next")      \
+  X("slow-links", External, "0: pulls between servers take twenty times as long for 6 s")           \
+  X("store-down", External, "0: the store is down for 6 s and comes back empty")                    \
+  X("store-slow", External, "0: the store answers after 400 ms for 6 s")                            \
+  X("platform-down", External, "seconds for which the platform answers nobody")                     \
   X("weights", Operator, "new weights' name")                                                      \
   X("withdraw", Operator, "tenant whose key is withdrawn")                                         \
   X("change", Operator, "name of a way to add")                                                    \
