--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -66,7 +66,7 @@
   Daemon* latestOrderSender();
   awaitable<void> replaceServer(StandInServer& server);
   awaitable<std::optional<std::uint64_t>> servedVersion(Address callers);
-  awaitable<void> change(std::string patch, std::function<void(Instant)> onAcknowledged);
+  awaitable<void> applyChange(std::string patch, std::function<void(Instant)> onAcknowledged);
   awaitable<absl::StatusOr<nlohmann::json>> callOperatorApi(Address daemon, http::verb verb,
                                                             std::string target, std::string body);
   void note(const std::string& text);
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -26,8 +26,8 @@
 }
 
 // Any live daemon takes the change; then each is asked until it has it in force.
-awaitable<void> LocalDeployment::change(std::string patch,
-                                        std::function<void(Instant)> onAcknowledged) {
+awaitable<void> LocalDeployment::applyChange(std::string patch,
+                                             std::function<void(Instant)> onAcknowledged) {
   for (std::size_t attempt = 0; attempt < daemons_.size() * 2; ++attempt) {
     const Daemon& entryDaemon = daemons_[(attempt * 5 + 2) % daemons_.size()];
     if (entryDaemon.pid == 0) continue;
@@ -114,7 +114,7 @@
     patch = {{"ways", {{argument, settings_.mix.ways.front().way}}}};
   }
   note(what + " " + argument);
-  co_await change(patch.dump(), onAcknowledged);
+  co_await applyChange(patch.dump(), onAcknowledged);
 }
 
 awaitable<void> LocalDeployment::raceOperators(std::size_t changes) {
