--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -68,7 +68,7 @@
   co_return Json::parse(response->body(), nullptr, false);
 }
 
-awaitable<bool> LocalDeployment::found(Duration limit) {
+awaitable<bool> LocalDeployment::waitUntilReady(Duration limit) {
   const Instant until = BootClock::now() + limit;
   bool put = false;
   while (BootClock::now() < until) {
@@ -94,7 +94,7 @@
   co_return false;
 }
 
-awaitable<void> LocalDeployment::traffic(Duration span, std::vector<Step> steps) {
+awaitable<void> LocalDeployment::runTraffic(Duration span, std::vector<Step> steps) {
   for (Step& step : steps) {
     ++openSteps_;
     asio::co_spawn(io_, perform(std::move(step)), asio::detached);
@@ -113,7 +113,7 @@
   }
 }
 
-void LocalDeployment::end() {
+void LocalDeployment::shutDown() {
   for (const Daemon& daemon : daemons_) {
     signalDaemon(daemon, SIGCONT);
     signalDaemon(daemon, SIGTERM);
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -30,9 +30,9 @@
   LocalDeployment(asio::io_context& io, LocalDeploymentSettings settings);
   absl::Status start();
   // Waits until every daemon is ready under a full replica set, having put the first configuration.
-  awaitable<bool> found(Duration limit);
-  awaitable<void> traffic(Duration span, std::vector<Step> steps);
-  void end();
+  awaitable<bool> waitUntilReady(Duration limit);
+  awaitable<void> runTraffic(Duration span, std::vector<Step> steps);
+  void shutDown();
 
   Ledger& ledger() { return ledger_; }
   const std::vector<ChangeResult>& changes() const { return changes_; }
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -44,24 +44,25 @@
 Exit codes: 0 nothing broken, 1 a rule was broken or the fleet did not found, 2 bad usage.
 )";
 
-int report(quayrill::fleet::LocalDeployment& site, bool asJson) {
+int report(quayrill::fleet::LocalDeployment& deployment, bool asJson) {
   using namespace std::chrono_literals;
   std::vector<quayrill::fleet::Finding> findings;
   quayrill::fleet::RunStatistics statistics;
-  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
-    findings = quayrill::fleet::checkLedger(ledger, site.trafficEnd());
-    statistics = quayrill::fleet::statisticsOf(ledger, site.trafficEnd());
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+    findings = quayrill::fleet::checkLedger(ledger, deployment.trafficEnd());
+    statistics = quayrill::fleet::statisticsOf(ledger, deployment.trafficEnd());
   });
   quayrill::Duration slowest{};
-  for (const auto& change : site.changes()) {
+  for (const auto& change : deployment.changes()) {
     if (!change.notServing) slowest = std::max(slowest, change.propagationTime);
     if (!change.inForceEverywhere)
       findings.push_back({"in-force", "configuration " + std::to_string(change.version) +
                                           " was served without 2 s after its acknowledgement"});
   }
-  if (site.shutdownErrors() > 0)
+  if (deployment.shutdownErrors() > 0)
     findings.push_back({"planned-restart", "a SIGTERM did not end well"});
-  for (const std::string& missed : site.settingsErrors()) findings.push_back({"settings", missed});
+  for (const std::string& missed : deployment.settingsErrors())
+    findings.push_back({"settings", missed});
   std::cout << std::fixed << std::setprecision(3);
   std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
             << statistics.turnedAway << " unknown " << statistics.unknown << " cut "
@@ -75,13 +76,13 @@
             << statistics.longestDaemonSilenceMs << " ms\n"
             << "longest that a configuration was served after a newer one was acknowledged "
             << statistics.longestStaleServingMs << " ms\n"
-            << "changes " << site.changes().size() << ", slowest everywhere after " << slowest / 1ms
-            << " ms\n";
+            << "changes " << deployment.changes().size() << ", slowest everywhere after "
+            << slowest / 1ms << " ms\n";
   for (std::size_t i = 0; i < std::min<std::size_t>(10, findings.size()); ++i)
     std::cout << "BROKEN " << findings[i].rule << ": " << findings[i].what << "\n";
   std::cout << "broken rules " << findings.size() << "\n";
-  site.printFaultCosts();
-  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+  deployment.printFaultCosts();
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
       std::size_t reached = 0;
       quayrill::Duration last{};
@@ -95,7 +96,7 @@
     }
   });
   std::map<std::string, int> errors;
-  site.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& call : ledger.calls) {
       if (!call.error.empty()) ++errors[std::to_string(call.status) + " " + call.error];
     }
@@ -165,10 +166,10 @@
   }
   std::filesystem::remove_all(settings.plan.workFolder);
   asio::io_context io(1);
-  fleet::LocalDeployment site(io, settings);
-  if (const auto status = site.start(); !status.ok()) {
+  fleet::LocalDeployment deployment(io, settings);
+  if (const auto status = deployment.start(); !status.ok()) {
     std::cerr << "quayrill-local: " << status.message() << "\n";
-    site.end();
+    deployment.shutDown();
     return 1;
   }
   bool founded = false;
@@ -176,10 +177,10 @@
       io,
       [&]() -> awaitable<void> {
         const Instant begun = BootClock::now();
-        founded = co_await site.found(60s);
+        founded = co_await deployment.waitUntilReady(60s);
         std::cout << (founded ? "founded after " : "NOT founded after ")
                   << (BootClock::now() - begun) / 1ms << " ms" << std::endl;
-        if (founded) co_await site.traffic(span, steps);
+        if (founded) co_await deployment.runTraffic(span, steps);
         if (!flags["--keep-open"].asBool()) io.stop();
       },
       asio::detached);
@@ -188,9 +189,9 @@
     if (!code) io.stop();
   });
   io.run();
-  site.end();
-  if (flags["--tenants"].asBool()) site.printTenants();
-  const int result = report(site, flags["--json"].asBool());
+  deployment.shutDown();
+  if (flags["--tenants"].asBool()) deployment.printTenants();
+  const int result = report(deployment, flags["--json"].asBool());
   std::cout.flush();
   std::_Exit(founded ? result : 1);
 }
