--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -45,7 +45,7 @@
                         "--copies-wanted=" + std::to_string(plan.cores),
                         "--traffic-threads=1",
                         "--grace-ms=6000"};
-    daemon.pair = plan.pair;
+    daemon.splitRoles = plan.splitRoles;
     if (core) {
       daemon.syncDelayFile = daemon.dataFolder + ".drag";
       daemon.arguments.push_back("--data-folder=" + daemon.dataFolder);
@@ -96,9 +96,9 @@
   std::filesystem::create_directories(plan.workFolder);
   writeSettings(*daemon, daemon->seeds);
   std::vector<std::string> arguments = daemon->arguments;
-  if (daemon->pair) arguments.push_back("--role=agent");
+  if (daemon->splitRoles) arguments.push_back("--role=agent");
   daemon->pid = startProcess(arguments, daemon->logFile);
-  if (!daemon->pair) return daemon->pid > 0;
+  if (!daemon->splitRoles) return daemon->pid > 0;
   arguments.back() = "--role=proxy";
   daemon->proxyPid = startProcess(arguments, daemon->logFile);
   return daemon->pid > 0 && daemon->proxyPid > 0;
--- a/src/fleet/daemons.h
+++ b/src/fleet/daemons.h
@@ -17,9 +17,9 @@
   std::string settingsFile, logFile;
   std::vector<Address> seeds;
   std::vector<std::string> arguments;
-  bool pair = false;   // agent and proxy as two processes
-  pid_t pid = 0;       // 0: not running
-  pid_t proxyPid = 0;  // of a pair's proxy
+  bool splitRoles = false;  // agent and proxy as two processes
+  pid_t pid = 0;            // 0: not running
+  pid_t proxyPid = 0;       // of a pair's proxy
 };
 
 struct FleetPlan {
@@ -27,7 +27,7 @@
   std::string workFolder;
   int net = 40;  // all addresses are 127.<net>.x.y
   std::size_t cores = 4, edges = 9;
-  bool pair = false;
+  bool splitRoles = false;
   std::string placement = "prefix", fetch = "on";
   Address platform, store, relay;
 };
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -136,7 +136,7 @@
   try {
     settings.plan.cores = static_cast<std::size_t>(std::stoul(flags["--cores"].asString()));
     settings.plan.edges = static_cast<std::size_t>(std::stoul(flags["--edges"].asString()));
-    settings.plan.pair = flags["--pair"].asBool();
+    settings.plan.splitRoles = flags["--pair"].asBool();
     settings.plan.net = std::stoi(flags["--net"].asString());
     settings.plan.placement = flags["--placement"].asString();
     settings.plan.fetch = flags["--fetch"].asString();
