--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -57,9 +57,9 @@
 }
 
 namespace {
-pid_t startProcess(std::vector<std::string> texts, const std::string& logFile) {
+pid_t startProcess(std::vector<std::string> commandLine, const std::string& logFile) {
   std::vector<char*> arguments;
-  for (std::string& text : texts) arguments.push_back(text.data());
+  for (std::string& text : commandLine) arguments.push_back(text.data());
   arguments.push_back(nullptr);
   const pid_t pid = ::fork();
   if (pid != 0) return pid;
@@ -111,12 +111,12 @@
 }
 
 int waitDaemon(Daemon* daemon, int milliseconds) {
-  int worst = daemon->pid > 0 ? waitProcess(&daemon->pid, milliseconds) : 0;
+  int failure = daemon->pid > 0 ? waitProcess(&daemon->pid, milliseconds) : 0;
   if (daemon->proxyPid > 0) {
     const int status = waitProcess(&daemon->proxyPid, milliseconds);
-    if (status != 0) worst = status;
+    if (status != 0) failure = status;
   }
-  return worst;
+  return failure;
 }
 
 }  // namespace quayrill::fleet
