--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -41,7 +41,7 @@
   void start();
   // Sends at the mix's rate until then, for all tenants or for one.
   awaitable<void> sendTraffic(Duration span, double rateFactor, std::string onlyTenant = "");
-  std::size_t open() const { return openCalls_; }
+  std::size_t openCalls() const { return openCalls_; }
   std::vector<DaemonTarget>& daemons() { return daemons_; }
 
  private:
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -101,7 +101,7 @@
   }
   co_await loadGenerator_->sendTraffic(span, settings_.rateFactor);
   const Instant patience = BootClock::now() + 60s;
-  while ((loadGenerator_->open() > 0 || openSteps_ > 0) && BootClock::now() < patience)
+  while ((loadGenerator_->openCalls() > 0 || openSteps_ > 0) && BootClock::now() < patience)
     co_await pauseFor(20ms);
   trafficEnd_ = BootClock::now();
   co_await readFinalConfiguration();
