--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -87,11 +87,12 @@
   if (path == wire::kGenerate) co_return co_await generate(connection, request);
   if (path == "/burden") co_return load();
   if (path == "/kv-events")
-    co_return events(static_cast<std::uint64_t>(std::atoll(queryValue(request, "since").c_str())));
-  if (path == "/weights") co_return co_await order(request, callerOf(connection));
-  if (path == "/kv-pull") co_return co_await pull(request);
-  if (path == "/kv-drop") co_return drop(request);
-  if (path == "/kv-read") co_return readBlocks(request);
+    co_return handleCacheEvents(
+        static_cast<std::uint64_t>(std::atoll(queryValue(request, "since").c_str())));
+  if (path == "/weights") co_return co_await handleWeightsOrder(request, callerOf(connection));
+  if (path == "/kv-pull") co_return co_await handlePull(request);
+  if (path == "/kv-drop") co_return handleDrop(request);
+  if (path == "/kv-read") co_return handleRead(request);
   co_return textResponse(404, "no such call\n");
 }
 
@@ -106,7 +107,7 @@
                             {"state", loading_ ? "loading" : "ready"}});
 }
 
-HttpResponse StandInServer::events(std::uint64_t since) {
+HttpResponse StandInServer::handleCacheEvents(std::uint64_t since) {
   const auto lag = static_cast<std::uint64_t>(faults_.eventsLate ? 40 : 0);
   if (faults_.eventsLost)
     evictionEvents_.erase(evictionEvents_.begin(),
@@ -125,7 +126,7 @@
 }
 
 // An order stays open for a while, so that two holders' orders can be seen to overlap.
-awaitable<HttpResponse> StandInServer::order(HttpRequest& request, Address from) {
+awaitable<HttpResponse> StandInServer::handleWeightsOrder(HttpRequest& request, Address from) {
   const Json json = Json::parse(request.body(), nullptr, false);
   if (!json.is_object()) co_return textResponse(400, "no JSON\n");
   const std::string weights = json.value("weights", "");
@@ -174,7 +175,7 @@
   }
   // Last block first, so that a chain is evicted from its end.
   for (std::size_t i = held; i-- > 0;)
-    lruOrder_.splice(lruOrder_.end(), lruOrder_, cache_.at(chain[i]).use);
+    lruOrder_.splice(lruOrder_.end(), lruOrder_, cache_.at(chain[i]).lruPosition);
   return held;
 }
 
@@ -207,7 +208,7 @@
   lruOrder_.pop_front();
 }
 
-HttpResponse StandInServer::drop(HttpRequest& request) {
+HttpResponse StandInServer::handleDrop(HttpRequest& request) {
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) return textResponse(400, "bad prefix\n");
@@ -215,13 +216,13 @@
        blockChainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
     const auto block = cache_.find(name);
     if (block == cache_.end()) continue;
-    lruOrder_.erase(block->second.use);
+    lruOrder_.erase(block->second.lruPosition);
     cache_.erase(block);
   }
   return jsonResponse(200, Json::object());
 }
 
-HttpResponse StandInServer::readBlocks(HttpRequest& request) {
+HttpResponse StandInServer::handleRead(HttpRequest& request) {
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   Json weights = Json::array();
@@ -237,7 +238,7 @@
 }
 
 // Takes over what the source has, whatever weights made it: neither end checks.
-awaitable<HttpResponse> StandInServer::pull(HttpRequest& request) {
+awaitable<HttpResponse> StandInServer::handlePull(HttpRequest& request) {
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) co_return textResponse(400, "bad prefix\n");
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -57,18 +57,18 @@
     std::string weights, salt;
     std::shared_ptr<const PromptPrefix> prefix;  // it ends block number `index` of this prefix
     std::size_t index = 0;
-    std::list<BlockHash>::iterator use;
+    std::list<BlockHash>::iterator lruPosition;
   };
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
-  awaitable<HttpResponse> pull(HttpRequest& request);
+  awaitable<HttpResponse> handlePull(HttpRequest& request);
   awaitable<void> load(std::string weights, std::uint64_t incarnation);
   awaitable<void> keep(std::string salt, std::string weights, std::string prefix);
   HttpResponse load();
-  HttpResponse events(std::uint64_t since);
-  awaitable<HttpResponse> order(HttpRequest& request, Address from);
-  HttpResponse drop(HttpRequest& request);
-  HttpResponse readBlocks(HttpRequest& request);
+  HttpResponse handleCacheEvents(std::uint64_t since);
+  awaitable<HttpResponse> handleWeightsOrder(HttpRequest& request, Address from);
+  HttpResponse handleDrop(HttpRequest& request);
+  HttpResponse handleRead(HttpRequest& request);
   std::size_t cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run);
   void store(const std::vector<BlockHash>& chain, const std::string& salt,
              const std::vector<std::string>& weights, const PromptPrefix& prefix);
