--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -57,14 +57,15 @@
 }
 
 // Whether the server had weights by `due` that were named at `named` or later.
-bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant named, Instant due) {
+bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant named,
+                     Instant deadline) {
   const std::string& finalWeights = ledger.finalServers.at(server);
   for (const auto& [weights, namedAt] : ledger.weightsConfiguredAt) {
     if (namedAt < named) continue;
     const auto row = ledger.weightsLoadedAt.find(weights);
     const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
     // One that had these weights all along need not switch.
-    if (switched ? row->second.at(server) <= due : finalWeights == weights) return true;
+    if (switched ? row->second.at(server) <= deadline : finalWeights == weights) return true;
   }
   return false;
 }
@@ -74,11 +75,11 @@
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
     for (const auto& [server, finalWeights] : ledger.finalServers) {
-      Instant due = named + kWeightsBound;
+      Instant deadline = named + kWeightsBound;
       // One that came back since has the time from then.
       if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
-        due = std::max(due, back->second + kWeightsBound);
-      if (due > trafficEnd || hadWeightsSince(ledger, server, named, due)) continue;
+        deadline = std::max(deadline, back->second + kWeightsBound);
+      if (deadline > trafficEnd || hadWeightsSince(ledger, server, named, deadline)) continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
                                                 millis(kWeightsBound)});
     }
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -243,13 +243,13 @@
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) co_return textResponse(400, "bad prefix\n");
   const std::uint64_t incarnation = incarnation_;
-  const Instant due = BootClock::now() + std::chrono::milliseconds(json.value("due_ms", 300));
+  const Instant deadline = BootClock::now() + std::chrono::milliseconds(json.value("due_ms", 300));
   HttpCall call;
   call.to = Address{json.value("source", "")};
   call.verb = http::verb::post;
   call.target = "/kv-read";
   call.body = request.body();
-  call.timeout = due - BootClock::now();
+  call.timeout = deadline - BootClock::now();
   const auto response = co_await httpCall(std::move(call));
   if (!response.ok() || response->result_int() != 200) co_return textResponse(502, "no source\n");
   const Json blocks = Json::parse(response->body(), nullptr, false);
@@ -259,7 +259,7 @@
   const int slower = slowLinks_ ? 20 : 1;
   co_await pauseFor(settings_.fetchPerToken *
                     static_cast<int>(weights.size() * settings_.blockTokens) * slower);
-  if (BootClock::now() > due || incarnation != incarnation_)
+  if (BootClock::now() > deadline || incarnation != incarnation_)
     co_return textResponse(504, "the due passed\n");
   const std::string salt = json.value("salt", "");
   store(blockChainOf(salt, *prefix, settings_.blockTokens), salt, weights, *prefix);
