--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -42,7 +42,7 @@
     server.cacheTokens = settings_.cacheTokens;
     servers_.push_back(std::make_unique<StandInServer>(io_, server, ledger_));
     if (auto status = servers_.back()->start(); !status.ok()) return status;
-    platform_->list(server.address.value, server.zone);
+    platform_->addServer(server.address.value, server.zone);
   }
   for (Daemon& daemon : daemons_) {
     if (!startDaemon(&daemon, settings_.plan)) return absl::InternalError("fork failed");
--- a/src/fleet/stand_in_services.h
+++ b/src/fleet/stand_in_services.h
@@ -14,7 +14,7 @@
   absl::Status start() { return server_->start(); }
   void setDown(bool down) { down_ = down; }
   void setDelay(Duration delay) { delay_ = delay; }
-  void empty() { storedWeights_.clear(); }
+  void clear() { storedWeights_.clear(); }
   void cut(const std::string& ip, bool cut);
 
  private:
@@ -31,19 +31,21 @@
  public:
   StandInPlatform(asio::io_context& io, Address address);
   absl::Status start() { return server_->start(); }
-  void list(const std::string& server, const std::string& zone) { rows_[server] = {zone, false}; }
-  void markLeaving(const std::string& server) { rows_[server].second = true; }
-  void remove(const std::string& server) { rows_.erase(server); }
+  void addServer(const std::string& server, const std::string& zone) {
+    servers_[server] = {zone, false};
+  }
+  void markLeaving(const std::string& server) { servers_[server].second = true; }
+  void remove(const std::string& server) { servers_.erase(server); }
   void setDown(bool down) { down_ = down; }
   void cut(const std::string& ip, bool cut);
-  bool isListed(const std::string& server) const { return rows_.contains(server); }
+  bool isListed(const std::string& server) const { return servers_.contains(server); }
   bool isLive(const std::string& server) const {
-    const auto row = rows_.find(server);
-    return row != rows_.end() && !row->second.second;
+    const auto row = servers_.find(server);
+    return row != servers_.end() && !row->second.second;
   }
 
  private:
-  std::map<std::string, std::pair<std::string, bool>> rows_;  // server to zone and leaving
+  std::map<std::string, std::pair<std::string, bool>> servers_;  // server to zone and leaving
   bool down_ = false;
   std::set<std::string> cuts_;
   std::unique_ptr<HttpServer> server_;
