--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -26,12 +26,12 @@
     const std::size_t runs = runsOf[call.nonce].size();
     if (!call.repeatable && runs > 1)
       findings->push_back({"never-twice", call.nonce + " ran " + std::to_string(runs) + " times"});
-    const bool turnedAway = call.status == 429 || call.status == 503;
+    const bool rejected = call.status == 429 || call.status == 503;
     const bool badInput = call.status >= 400 && call.status < 429;
-    if ((turnedAway || badInput) && runs > 0)
+    if ((rejected || badInput) && runs > 0)
       findings->push_back({"refused-never-ran", call.nonce + " was turned away with " +
                                                     std::to_string(call.status) + " and ran"});
-    if (turnedAway && !call.hasRetryAfter)
+    if (rejected && !call.hasRetryAfter)
       findings->push_back({"retry-after", call.nonce + " was turned away without Retry-After"});
     // Only what may be repeated is told when; for the rest an invitation would be a second run.
     if ((call.status == 502 || call.status == 504) && call.hasRetryAfter != call.repeatable)
@@ -279,13 +279,13 @@
     } else if (call.status == 200) {
       ++statistics.cut;
     } else if (call.status == 429 || call.status == 503) {
-      ++statistics.turnedAway;
+      ++statistics.rejected;
     } else if (call.status == 502 || call.status == 504) {
       ++statistics.unknown;
     } else if (call.status == 0) {
       ++statistics.noAnswer;
     } else {
-      ++statistics.bad;
+      ++statistics.badRequests;
     }
   }
   std::size_t prompt = 0, cached = 0;
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -124,7 +124,8 @@
 // RunStatistics of a run: the share of prompt tokens served from cache, times to first piece,
 // outcomes.
 struct RunStatistics {
-  std::size_t calls = 0, done = 0, turnedAway = 0, unknown = 0, cut = 0, noAnswer = 0, bad = 0;
+  std::size_t calls = 0, done = 0, rejected = 0, unknown = 0, cut = 0, noAnswer = 0,
+              badRequests = 0;
   std::size_t runs = 0;
   double cachedShare = 0;
   double longestSilenceMs = 0;  // between one finished answer and the next
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -222,18 +222,18 @@
 void LocalDeployment::printFaultCosts() {
   ledger_.withLock([&](Ledger& ledger) {
     for (const auto& [at, text] : ledger.notes) {
-      std::size_t calls = 0, turnedAway = 0, failed = 0;
+      std::size_t calls = 0, rejected = 0, failed = 0;
       for (const CallRow& call : ledger.calls) {
         if (call.begun < at || call.begun > at + 8s) continue;
         ++calls;
-        turnedAway += call.status == 429 || call.status == 503 ? 1 : 0;
+        rejected += call.status == 429 || call.status == 503 ? 1 : 0;
         failed += call.status == 0 || call.status == 502 || call.status == 504 ||
                           (call.status == 200 && !call.complete)
                       ? 1
                       : 0;
       }
-      if (turnedAway + failed > 0)
-        std::cout << "after '" << text << "': " << turnedAway << " turned away and " << failed
+      if (rejected + failed > 0)
+        std::cout << "after '" << text << "': " << rejected << " turned away and " << failed
                   << " unknown, cut or unanswered of " << calls << " calls in 8 s\n";
     }
   });
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -65,9 +65,9 @@
     findings.push_back({"settings", missed});
   std::cout << std::fixed << std::setprecision(3);
   std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
-            << statistics.turnedAway << " unknown " << statistics.unknown << " cut "
-            << statistics.cut << " no-answer " << statistics.noAnswer << " bad-input "
-            << statistics.bad << " runs " << statistics.runs << "\n"
+            << statistics.rejected << " unknown " << statistics.unknown << " cut " << statistics.cut
+            << " no-answer " << statistics.noAnswer << " bad-input " << statistics.badRequests
+            << " runs " << statistics.runs << "\n"
             << "cached share of prompt tokens " << statistics.cachedShare << ", first piece median "
             << statistics.firstPieceMedianMs << " ms, p95 " << statistics.firstPiece95thMs
             << " ms\n"
@@ -108,7 +108,7 @@
   if (asJson)
     std::cout << nlohmann::json{{"calls", statistics.calls},
                                 {"done", statistics.done},
-                                {"turned_away", statistics.turnedAway},
+                                {"turned_away", statistics.rejected},
                                 {"unknown", statistics.unknown},
                                 {"cut", statistics.cut},
                                 {"no_answer", statistics.noAnswer},
