--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -130,9 +130,9 @@
               [](const OrderRow& a, const OrderRow& b) { return a.at < b.at; });
     std::uint64_t top = 0;
     for (std::size_t i = 0; i < orders.size(); ++i) {
-      if (orders[i].taken && orders[i].fence < top)
+      if (orders[i].accepted && orders[i].fence < top)
         findings->push_back({"one-orderer", server + " took an order with an old fence"});
-      if (orders[i].taken) top = std::max(top, orders[i].fence);
+      if (orders[i].accepted) top = std::max(top, orders[i].fence);
       for (std::size_t j = i + 1; j < orders.size() && orders[j].at < orders[i].ended; ++j) {
         if (orders[j].fence != orders[i].fence)
           findings->push_back({"one-orderer", server + " had orders of two holders open at once"});
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -55,7 +55,7 @@
 struct OrderRow {
   std::string server, weights;
   std::uint64_t fence = 0;
-  bool taken = false;
+  bool accepted = false;
   Instant at, ended;
   std::string from{};  // the ordering daemon's ip
 };
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -131,19 +131,19 @@
   if (!json.is_object()) co_return textResponse(400, "no JSON\n");
   const std::string weights = json.value("weights", "");
   const std::uint64_t fence = json.value("fence", std::uint64_t{0});
-  const bool taken = fence >= highestFence_;
+  const bool accepted = fence >= highestFence_;
   const Instant begun = BootClock::now();
-  if (taken) highestFence_ = fence;
-  if (taken && weights != weights_ && !loading_) {
+  if (accepted) highestFence_ = fence;
+  if (accepted && weights != weights_ && !loading_) {
     loading_ = true;
     asio::co_spawn(io_, load(weights, incarnation_), asio::detached);
   }
   co_await pauseFor(kOrderDuration);
   ledger_.withLock([&](Ledger& ledger) {
     ledger.orders.push_back(
-        {settings_.address.value, weights, fence, taken, begun, BootClock::now(), from.value});
+        {settings_.address.value, weights, fence, accepted, begun, BootClock::now(), from.value});
   });
-  if (!taken) co_return textResponse(409, "an order with a higher fence came before\n");
+  if (!accepted) co_return textResponse(409, "an order with a higher fence came before\n");
   co_return jsonResponse(200, Json::object());
 }
 
