--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -95,45 +95,45 @@
   settingsErrors_.push_back(daemon.name + " did not log '" + text + "' within 4 s");
 }
 
-awaitable<void> LocalDeployment::applyDaemonFault(std::string what, Daemon& daemon) {
+awaitable<void> LocalDeployment::applyDaemonFault(std::string type, Daemon& daemon) {
   if (!busyDaemons_.insert(daemon.name).second) co_return;  // one fault at a time for each
-  note(what + " " + daemon.name);
+  note(type + " " + daemon.name);
   const std::string ip = ipOf(daemon);
   const Instant begun = BootClock::now();
   std::set<std::string> all;
   for (const Daemon& other : daemons_) all.insert(ipOf(other));
-  if (what == "kill" || what == "wipe") {
-    co_await kill(daemon, what == "wipe" ? 1s : 3s, what == "wipe");
-  } else if (what == "restart") {
+  if (type == "kill" || type == "wipe") {
+    co_await kill(daemon, type == "wipe" ? 1s : 3s, type == "wipe");
+  } else if (type == "restart") {
     co_await restart(daemon);
-  } else if (what == "hup") {
+  } else if (type == "hup") {
     co_await changeSettings(daemon);
-  } else if (what == "freeze") {
+  } else if (type == "freeze") {
     signalDaemon(daemon, SIGSTOP);
     co_await pauseFor(6s);
     signalDaemon(daemon, SIGCONT);
     recordDisruption(daemon.callers.value, begun);
-  } else if (what == "full") {
+  } else if (type == "full") {
     setFull(daemon, true);
     co_await pauseFor(6s);
     setFull(daemon, false);
-  } else if (what == "slow" || what == "stall") {
-    setSyncDelay(daemon, what == "slow" ? 300 : 5000);
-    co_await pauseFor(what == "slow" ? 6s : 500ms);
+  } else if (type == "slow" || type == "stall") {
+    setSyncDelay(daemon, type == "slow" ? 300 : 5000);
+    co_await pauseFor(type == "slow" ? 6s : 500ms);
     setSyncDelay(daemon, 0);
     co_await pauseFor(5s);
-  } else if (what == "refound") {
+  } else if (type == "refound") {
     co_await refoundRegister(daemon);
-  } else if (what == "platform") {
+  } else if (type == "platform") {
     platform_->cut(ip, true);
     co_await pauseFor(8s);
     platform_->cut(ip, false);
-  } else if (what == "store") {
+  } else if (type == "store") {
     store_->cut(ip, true);
     co_await pauseFor(8s);
     store_->cut(ip, false);
   } else {
-    setPartition(ip, all, what == "cut", true);
+    setPartition(ip, all, type == "cut", true);
     co_await pauseFor(8s);
     setPartition(ip, all, true, false);
     recordDisruption(daemon.callers.value, begun);
@@ -141,12 +141,12 @@
   busyDaemons_.erase(daemon.name);
 }
 
-void LocalDeployment::spawnDaemonFault(const std::string& what, Daemon& daemon) {
+void LocalDeployment::spawnDaemonFault(const std::string& type, Daemon& daemon) {
   ++openSteps_;
   asio::co_spawn(
       io_,
-      [this, what, &daemon]() -> awaitable<void> {
-        co_await applyDaemonFault(what, daemon);
+      [this, type, &daemon]() -> awaitable<void> {
+        co_await applyDaemonFault(type, daemon);
         --openSteps_;
       },
       asio::detached);
@@ -164,10 +164,10 @@
   return nullptr;
 }
 
-awaitable<void> LocalDeployment::applyGroupFault(std::string what, std::size_t number) {
-  const auto dash = what.find('-');
-  const std::string action = what.substr(0, dash);
-  const std::string object = what.substr(dash + 1);
+awaitable<void> LocalDeployment::applyGroupFault(std::string type, std::size_t number) {
+  const auto dash = type.find('-');
+  const std::string action = type.substr(0, dash);
+  const std::string object = type.substr(dash + 1);
   if (object == "cores" && action != "split") {
     const std::size_t count = std::min(number, settings_.plan.cores);
     // With a majority of disks lost, the rules close the fleet until an operator founds again.
@@ -189,7 +189,7 @@
     if (inSide && action == "kill") spawnDaemonFault("kill", daemons_[i]);
   }
   if (action == "kill") co_return;
-  note(what + " " + std::to_string(number));
+  note(type + " " + std::to_string(number));
   const Instant begun = BootClock::now();
   for (const std::string& ip : side) setPartition(ip, rest, true, true);
   co_await pauseFor(8s);
--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -5,58 +5,58 @@
 
 using namespace std::chrono_literals;
 
-awaitable<void> LocalDeployment::applyServerFault(std::string what, StandInServer& server) {
+awaitable<void> LocalDeployment::applyServerFault(std::string type, StandInServer& server) {
   const std::string name = server.settings().address.value;
-  note(what + " " + name);
-  if (what == "crash-server") {
+  note(type + " " + name);
+  if (type == "crash-server") {
     if (server.isUp()) server.crash();
     co_await pauseFor(3s);
     if (platform_->isListed(name)) server.restart();
     co_return;
   }
-  if (what == "vanish-server") {
+  if (type == "vanish-server") {
     if (server.isUp()) server.crash();
     co_await pauseFor(4s);
     platform_->remove(name);
     co_return;
   }
-  if (what == "leave-server") {
+  if (type == "leave-server") {
     platform_->markLeaving(name);
     ledger_.withLock([&](Ledger& ledger) { ledger.leavingAt.try_emplace(name, BootClock::now()); });
     co_return;
   }
   StandInFaults faults;
-  faults.silent = what == "silent-server";
-  faults.frozen = what == "freeze-server";
-  faults.dropMidStream = what == "drop-stream";
-  faults.dropBeforeFirst = what == "drop-first";
-  faults.eventsLate = what == "late-events";
-  faults.eventsLost = what == "lost-events";
-  faults.eventsDoubled = what == "doubled-events";
-  faults.repeatPiece = what == "repeat-piece";
+  faults.silent = type == "silent-server";
+  faults.frozen = type == "freeze-server";
+  faults.dropMidStream = type == "drop-stream";
+  faults.dropBeforeFirst = type == "drop-first";
+  faults.eventsLate = type == "late-events";
+  faults.eventsLost = type == "lost-events";
+  faults.eventsDoubled = type == "doubled-events";
+  faults.repeatPiece = type == "repeat-piece";
   server.setFaults(faults);
   co_await pauseFor(6s);
   server.setFaults({});
 }
 
-awaitable<void> LocalDeployment::applyExternalFault(std::string what, std::size_t number) {
-  note(what);
-  if (what == "store-down") {
+awaitable<void> LocalDeployment::applyExternalFault(std::string type, std::size_t number) {
+  note(type);
+  if (type == "store-down") {
     store_->setDown(true);
     co_await pauseFor(6s);
     store_->empty();
     store_->setDown(false);
-  } else if (what == "store-slow") {
+  } else if (type == "store-slow") {
     store_->setDelay(400ms);
     co_await pauseFor(6s);
     store_->setDelay(0ms);
-  } else if (what == "platform-down") {
+  } else if (type == "platform-down") {
     const Instant begun = BootClock::now();
     platform_->setDown(true);
     co_await pauseFor(std::chrono::seconds(number));
     platform_->setDown(false);
     recordDisruption("", begun);
-  } else if (what == "slow-links") {
+  } else if (type == "slow-links") {
     for (auto& server : servers_) server->slowLinks(true);
     co_await pauseFor(6s);
     for (auto& server : servers_) server->slowLinks(false);
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -45,21 +45,21 @@
 
  private:
   awaitable<void> perform(Step step);
-  awaitable<void> applyDaemonFault(std::string what, Daemon& daemon);
+  awaitable<void> applyDaemonFault(std::string type, Daemon& daemon);
   awaitable<void> kill(Daemon& daemon, Duration backAfter, bool wipe);
   awaitable<void> restart(Daemon& daemon);
   awaitable<void> changeSettings(Daemon& daemon);
   awaitable<void> awaitLog(const Daemon& daemon, std::string text);
-  awaitable<void> applyGroupFault(std::string what, std::size_t number);
-  awaitable<void> applyServerFault(std::string what, StandInServer& server);
-  awaitable<void> applyExternalFault(std::string what, std::size_t number);
-  awaitable<void> runOperatorStep(std::string what, std::string argument);
+  awaitable<void> applyGroupFault(std::string type, std::size_t number);
+  awaitable<void> applyServerFault(std::string type, StandInServer& server);
+  awaitable<void> applyExternalFault(std::string type, std::size_t number);
+  awaitable<void> runOperatorStep(std::string type, std::string argument);
   awaitable<void> raceOperators(std::size_t changes);
   awaitable<void> runRacingOperator(std::string name, std::size_t through, std::size_t changes);
   awaitable<void> readFinalConfiguration();
   awaitable<void> refoundRegister(Daemon& daemon);
   // Performs a daemon's fault beside others.
-  void spawnDaemonFault(const std::string& what, Daemon& daemon);
+  void spawnDaemonFault(const std::string& type, Daemon& daemon);
   void setPartition(const std::string& ip, const std::set<std::string>& others, bool inward,
                     bool cut);
   void recordDisruption(const std::string& daemon, Instant begun);
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -84,36 +84,36 @@
   note("the change was taken by nobody");
 }
 
-awaitable<void> LocalDeployment::runOperatorStep(std::string what, std::string argument) {
-  if (what == "race") {
+awaitable<void> LocalDeployment::runOperatorStep(std::string type, std::string argument) {
+  if (type == "race") {
     note("two operators race, " + argument + " changes each");
     co_await raceOperators(std::strtoul(argument.c_str(), nullptr, 10));
     co_return;
   }
-  if (what == "flood") {
+  if (type == "flood") {
     note("flood of " + argument);
     co_await loadGenerator_->sendTraffic(10s, 2 * settings_.rateFactor, argument);
     co_return;
   }
   Json patch;
   std::function<void(Instant)> onAcknowledged = [](Instant) {};
-  if (what == "weights") {
+  if (type == "weights") {
     patch = {{"models", {{"till", {{"weights", argument}}}}}};
     onAcknowledged = [this, argument](Instant at) {
       ledger_.withLock([&](Ledger& ledger) { ledger.weightsConfiguredAt[argument] = at; });
     };
-  } else if (what == "withdraw") {
+  } else if (type == "withdraw") {
     patch = {{"tenants", {{argument, {{"keys", Json::array()}}}}}};
     onAcknowledged = [this, argument](Instant at) {
       ledger_.withLock([&](Ledger& ledger) { ledger.keyRevokedAt[argument] = at; });
     };
-  } else if (what == "ways") {
+  } else if (type == "ways") {
     for (int i = 0; i < std::atoi(argument.c_str()); ++i)
       patch["ways"]["way-" + argument + "-" + std::to_string(i)] = settings_.mix.ways.front().way;
   } else {
     patch = {{"ways", {{argument, settings_.mix.ways.front().way}}}};
   }
-  note(what + " " + argument);
+  note(type + " " + argument);
   co_await applyChange(patch.dump(), onAcknowledged);
 }
 
--- a/src/fleet/random_steps.cpp
+++ b/src/fleet/random_steps.cpp
@@ -8,17 +8,17 @@
 namespace {
 // Never drawn: planted errors, and what leaves the fleet with fewer servers for good too often.
 // What is not drawn has runs of its own; a new step would also make another run of every seed.
-bool isDrawnAtRandom(const std::string& what) {
-  return what != "repeat-piece" && what != "vanish-server" && what != "leave-server" &&
-         what != "withdraw" && what != "ways" && what != "flood" && what != "wipe-cores" &&
-         what != "refound" && what != "hup-edge";
+bool isDrawnAtRandom(const std::string& type) {
+  return type != "repeat-piece" && type != "vanish-server" && type != "leave-server" &&
+         type != "withdraw" && type != "ways" && type != "flood" && type != "wipe-cores" &&
+         type != "refound" && type != "hup-edge";
 }
 }  // namespace
 
 std::vector<Step> drawSteps(std::uint64_t seed, double seconds, std::size_t cores,
                             std::size_t edges, std::size_t servers) {
   struct Row {
-    std::string what;
+    std::string type;
     StepTarget target;
   };
   std::vector<Row> rows;
@@ -33,13 +33,13 @@
   // The last quarter is quiet, so that every bound can run out within the run.
   for (double at = 1; at < seconds * 0.75; at += 0.3 + static_cast<double>(random() % 300) / 100) {
     const Row& row = rows[random() % rows.size()];
-    Step step{row.what, "", static_cast<double>(static_cast<int>(at * 10)) / 10};
+    Step step{row.type, "", static_cast<double>(static_cast<int>(at * 10)) / 10};
     // One disk at a time may be lost, and the replica set needs half a minute to be whole again.
-    if (step.what == "wipe-core") {
+    if (step.type == "wipe-core") {
       if (diskLost) continue;
       diskLost = true;
     }
-    if (step.what == "release-servers") {
+    if (step.type == "release-servers") {
       if (released) continue;
       released = true;
     }
@@ -54,14 +54,14 @@
         step.argument = std::to_string(1 + random() % servers);
         break;
       case StepTarget::Group:
-        step.argument = std::to_string(step.what.ends_with("zone") ? random() % 4 : random() % 3);
+        step.argument = std::to_string(step.type.ends_with("zone") ? random() % 4 : random() % 3);
         break;
       case StepTarget::External:
-        step.argument = step.what == "release-servers" ? "900" : std::to_string(random() % 5);
+        step.argument = step.type == "release-servers" ? "900" : std::to_string(random() % 5);
         break;
       case StepTarget::Operator:
-        step.argument = step.what == "race"      ? std::to_string(2 + random() % 8)
-                        : step.what == "weights" ? "w" + std::to_string(++weights)
+        step.argument = step.type == "race"      ? std::to_string(2 + random() % 8)
+                        : step.type == "weights" ? "w" + std::to_string(++weights)
                                                  : "added" + std::to_string(steps.size());
         break;
     }
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -43,7 +43,7 @@
 std::string formatSteps(const std::vector<Step>& steps) {
   std::ostringstream text;
   for (const Step& step : steps)
-    text << (text.tellp() > 0 ? "," : "") << step.what << ':' << step.argument << '@'
+    text << (text.tellp() > 0 ? "," : "") << step.type << ':' << step.argument << '@'
          << step.atSecond;
   return text.str();
 }
@@ -53,32 +53,32 @@
   const auto number = static_cast<std::size_t>(std::atoi(step.argument.c_str()));
   StepTarget target = StepTarget::Operator;
 #define QUAYRILL_TARGET(name, kind, help) \
-  if (step.what == name) target = StepTarget::kind;
+  if (step.type == name) target = StepTarget::kind;
   QUAYRILL_STEPS(QUAYRILL_TARGET)
 #undef QUAYRILL_TARGET
   switch (target) {
     case StepTarget::Core:
       if (number >= 1 && number <= settings_.plan.cores)
-        co_await applyDaemonFault(step.what.substr(0, step.what.rfind('-')),
+        co_await applyDaemonFault(step.type.substr(0, step.type.rfind('-')),
                                   daemonAt(number, true));
       break;
     case StepTarget::Edge:
       if (number >= 1 && number <= settings_.plan.edges)
-        co_await applyDaemonFault(step.what.substr(0, step.what.rfind('-')),
+        co_await applyDaemonFault(step.type.substr(0, step.type.rfind('-')),
                                   daemonAt(number, false));
       break;
     case StepTarget::Group:
-      co_await applyGroupFault(step.what, number);
+      co_await applyGroupFault(step.type, number);
       break;
     case StepTarget::Server:
       if (number >= 1 && number <= servers_.size())
-        co_await applyServerFault(step.what, *servers_[number - 1]);
+        co_await applyServerFault(step.type, *servers_[number - 1]);
       break;
     case StepTarget::External:
-      co_await applyExternalFault(step.what, number);
+      co_await applyExternalFault(step.type, number);
       break;
     case StepTarget::Operator:
-      co_await runOperatorStep(step.what, step.argument);
+      co_await runOperatorStep(step.type, step.argument);
       break;
   }
   --openSteps_;
--- a/src/fleet/steps.h
+++ b/src/fleet/steps.h
@@ -63,7 +63,7 @@
 
 // "kill-core:1@5": at second 5 of the traffic, kill core 1.
 struct Step {
-  std::string what;
+  std::string type;
   std::string argument;
   double atSecond = 0;
 };
