--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -31,7 +31,7 @@
   return row;
 }
 
-void plant(Ledger& ledger) {
+void addCleanRun(Ledger& ledger) {
   for (int i = 0; i < 20; ++i) {
     const std::string nonce = "n" + std::to_string(i);
     ledger.calls.push_back(call(nonce));
@@ -52,7 +52,7 @@
 
 std::string rulesBroken(const std::function<void(Ledger&)>& error) {
   Ledger ledger;
-  plant(ledger);
+  addCleanRun(ledger);
   error(ledger);
   std::set<std::string> rules;
   for (const Finding& finding : checkLedger(ledger, kStart + 60s)) rules.insert(finding.rule);
@@ -64,51 +64,54 @@
 
 TEST_CASE("checker: a clean ledger breaks nothing, each planted error its own rule") {
   CHECK(rulesBroken([](Ledger&) {}).empty());
-  CHECK(rulesBroken([](Ledger& l) { l.runs.push_back(run("n3")); }) == "never-twice");
-  CHECK(rulesBroken([](Ledger& l) {
-          l.calls[3].repeatable = true;
-          l.runs.push_back(run("n3"));
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.runs.push_back(run("n3")); }) == "never-twice");
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.calls[3].repeatable = true;
+          ledger.runs.push_back(run("n3"));
         }).empty());
-  CHECK(rulesBroken([](Ledger& l) { l.calls[2] = call("n2", 503); }) == "refused-never-ran");
-  CHECK(rulesBroken([](Ledger& l) { l.calls[2] = call("n2", 401); }) == "refused-never-ran");
-  CHECK(rulesBroken([](Ledger& l) {
-          l.calls.push_back(call("other", 503));
-          l.calls.back().hasRetryAfter = false;
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.calls[2] = call("n2", 503); }) ==
+        "refused-never-ran");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.calls[2] = call("n2", 401); }) ==
+        "refused-never-ran");
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.calls.push_back(call("other", 503));
+          ledger.calls.back().hasRetryAfter = false;
         }) == "retry-after");
   const auto unknown = [](bool repeatable, bool saysWhen) {
-    return rulesBroken([=](Ledger& l) {
-      l.calls.push_back(call("other", 502));
-      l.calls.back().repeatable = repeatable;
-      l.calls.back().hasRetryAfter = saysWhen;
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.calls.push_back(call("other", 502));
+      ledger.calls.back().repeatable = repeatable;
+      ledger.calls.back().hasRetryAfter = saysWhen;
     });
   };
   CHECK(unknown(false, true) == "retry-after");
   CHECK(unknown(true, false) == "retry-after");
   CHECK(unknown(false, false).empty());
   CHECK(unknown(true, true).empty());
-  CHECK(rulesBroken([](Ledger& l) { l.calls[1].piecesValid = false; }) == "stream");
-  CHECK(rulesBroken([](Ledger& l) { l.calls[1].endMark = false; }) == "cut-looks-complete");
-  CHECK(rulesBroken([](Ledger& l) { l.calls.push_back(call("ghost")); }) == "stream");
-  CHECK(rulesBroken([](Ledger& l) { l.runs[5].foreignWeights = true; }) == "weights");
-  CHECK(rulesBroken([](Ledger& l) { l.runs[5].foreignSalt = true; }) == "isolation");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.calls[1].piecesValid = false; }) == "stream");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.calls[1].endMark = false; }) ==
+        "cut-looks-complete");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.calls.push_back(call("ghost")); }) == "stream");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.runs[5].foreignWeights = true; }) == "weights");
+  CHECK(rulesBroken([](Ledger& ledger) { ledger.runs[5].foreignSalt = true; }) == "isolation");
 }
 
 TEST_CASE("checker: bounds in time are tripped just past them and not before") {
   const auto withdrawn = [](Duration before) {
-    return rulesBroken([=](Ledger& l) { l.keyRevokedAt["north"] = kStart - before; });
+    return rulesBroken([=](Ledger& ledger) { ledger.keyRevokedAt["north"] = kStart - before; });
   };
   CHECK(withdrawn(4900ms).empty());
   CHECK(withdrawn(5100ms) == "withdrawn-key");
   const auto leaving = [](Duration before) {
-    return rulesBroken([=](Ledger& l) { l.leavingAt["s"] = kStart - before; });
+    return rulesBroken([=](Ledger& ledger) { ledger.leavingAt["s"] = kStart - before; });
   };
   CHECK(leaving(2900ms).empty());
   CHECK(leaving(3100ms) == "leaving-server");
   const auto weights = [](Duration after) {
-    return rulesBroken([=](Ledger& l) {
-      l.finalServers = {{"s", after > 0s ? "w1" : "w0"}};
-      l.weightsConfiguredAt["w1"] = kStart;
-      if (after > 0s) l.weightsLoadedAt["w1"]["s"] = kStart + after;
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.finalServers = {{"s", after > 0s ? "w1" : "w0"}};
+      ledger.weightsConfiguredAt["w1"] = kStart;
+      if (after > 0s) ledger.weightsLoadedAt["w1"]["s"] = kStart + after;
     });
   };
   CHECK(weights(24s).empty());
@@ -118,22 +121,22 @@
 
 TEST_CASE("checker: each naming has its own bound, whatever is named within it") {
   const auto named = [](Duration reached, const std::string& finalWeights) {
-    return rulesBroken([=](Ledger& l) {
-      l.finalServers = {{"s", finalWeights}};
-      l.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
-      l.weightsLoadedAt["w2"]["s"] = kStart + reached;
-      if (finalWeights == "w3") l.weightsLoadedAt["w3"]["s"] = kStart + 44s;
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.finalServers = {{"s", finalWeights}};
+      ledger.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
+      ledger.weightsLoadedAt["w2"]["s"] = kStart + reached;
+      if (finalWeights == "w3") ledger.weightsLoadedAt["w3"]["s"] = kStart + 44s;
     });
   };
   CHECK(named(24s, "w3").empty());  // w1 was passed over for w2
   CHECK(named(26s, "w3") == "weights-bound");
   CHECK(named(24s, "w2") == "weights-bound");  // w3 never came
   const auto ran = [](const std::string& weights, Duration after) {
-    return rulesBroken([=](Ledger& l) {
-      l.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
-      for (RunRow& row : l.runs) row.weights = "w3";
-      l.runs.back().weights = weights;
-      l.runs.back().at = kStart + after;
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
+      for (RunRow& row : ledger.runs) row.weights = "w3";
+      ledger.runs.back().weights = weights;
+      ledger.runs.back().at = kStart + after;
     });
   };
   CHECK(ran("w0", 24s).empty());
@@ -147,96 +150,101 @@
 TEST_CASE(
     "checker: one daemon or one way that never serves again is found, a hindered one is not") {
   const auto silent = [](auto error) {
-    return rulesBroken([=](Ledger& l) {
+    return rulesBroken([=](Ledger& ledger) {
       // Daemon e serves until second 20 and then no more, though others do.
-      l.daemons.insert("e");
+      ledger.daemons.insert("e");
       for (int second = 0; second <= 20; second += 5) {
         const std::string nonce = "e" + std::to_string(second);
-        l.calls.push_back(call(nonce));
-        l.calls.back().daemon = "e";
-        l.calls.back().ended = kStart + std::chrono::seconds(second);
-        l.runs.push_back(run(nonce));
+        ledger.calls.push_back(call(nonce));
+        ledger.calls.back().daemon = "e";
+        ledger.calls.back().ended = kStart + std::chrono::seconds(second);
+        ledger.runs.push_back(run(nonce));
       }
-      error(l);
+      error(ledger);
     });
   };
   CHECK(silent([](Ledger&) {}) == "recovery");
-  CHECK(silent([](Ledger& l) { l.disruptions = {{"e", kStart + 25s, kStart + 50s}}; }).empty());
-  CHECK(silent([](Ledger& l) { l.disruptions = {{"", kStart + 25s, kStart + 50s}}; }).empty());
-  CHECK(silent([](Ledger& l) {
-          l.disruptions = {{"d", kStart + 25s, kStart + 50s}};
+  CHECK(silent([](Ledger& ledger) {
+          ledger.disruptions = {{"e", kStart + 25s, kStart + 50s}};
+        }).empty());
+  CHECK(silent([](Ledger& ledger) {
+          ledger.disruptions = {{"", kStart + 25s, kStart + 50s}};
+        }).empty());
+  CHECK(silent([](Ledger& ledger) {
+          ledger.disruptions = {{"d", kStart + 25s, kStart + 50s}};
         }) == "recovery");
-  CHECK(silent([](Ledger& l) {
-          l.disruptions = {{"e", kStart + 25s, kStart + 40s}};
+  CHECK(silent([](Ledger& ledger) {
+          ledger.disruptions = {{"e", kStart + 25s, kStart + 40s}};
         }) == "recovery");
-  CHECK(rulesBroken([](Ledger& l) {
-          l.calls[0].way = "audit";  // answered once and never again
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.calls[0].way = "audit";  // answered once and never again
         }) == "recovery");
 }
 
 TEST_CASE("checker: what operators were told is held against what stood and was served") {
-  const auto told = [](int status, bool tookEffect) {
-    return rulesBroken([=](Ledger& l) {
-      l.finalVersion = 9;
-      if (tookEffect) l.finalPaths = {"added"};
-      l.operators = {{"added", "d", status, 7, kStart, kStart + 1s}};
+  const auto reported = [](int status, bool tookEffect) {
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.finalVersion = 9;
+      if (tookEffect) ledger.finalPaths = {"added"};
+      ledger.operators = {{"added", "d", status, 7, kStart, kStart + 1s}};
     });
   };
-  CHECK(told(200, true).empty());
-  CHECK(told(200, false) == "acknowledged-lost");
+  CHECK(reported(200, true).empty());
+  CHECK(reported(200, false) == "acknowledged-lost");
   for (const int status : {409, 413, 422, 503}) {
-    CHECK(told(status, false).empty());
-    CHECK(told(status, true) == "refused-change");
+    CHECK(reported(status, false).empty());
+    CHECK(reported(status, true) == "refused-change");
   }
   for (const int status : {0, 504}) {
-    CHECK(told(status, true).empty());
-    CHECK(told(status, false).empty());
+    CHECK(reported(status, true).empty());
+    CHECK(reported(status, false).empty());
   }
-  CHECK(rulesBroken([](Ledger& l) {
-          l.finalVersion = 9;
-          l.finalPaths = {"a", "b"};
-          l.operators = {{"a", "d", 200, 7, kStart, kStart}, {"b", "d", 200, 7, kStart, kStart}};
-        }) == "acknowledged-lost");
-  CHECK(rulesBroken([](Ledger& l) {
-          l.finalVersion = 9;
-          l.acknowledged = {{kStart, 10}};
+  CHECK(
+      rulesBroken([](Ledger& ledger) {
+        ledger.finalVersion = 9;
+        ledger.finalPaths = {"a", "b"};
+        ledger.operators = {{"a", "d", 200, 7, kStart, kStart}, {"b", "d", 200, 7, kStart, kStart}};
+      }) == "acknowledged-lost");
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.finalVersion = 9;
+          ledger.acknowledged = {{kStart, 10}};
         }) == "slipped-back");
   const auto served = [](std::uint64_t version, Duration after) {
-    return rulesBroken([=](Ledger& l) {
-      l.acknowledged = {{kStart, 5}};
-      l.served = {{"d", version, kStart + after}};
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.acknowledged = {{kStart, 5}};
+      ledger.served = {{"d", version, kStart + after}};
     });
   };
   CHECK(served(4, 1900ms).empty());
   CHECK(served(4, 2100ms) == "in-force");
   CHECK(served(5, 2100ms).empty());
-  CHECK(rulesBroken([](Ledger& l) {
-          l.served = {{"d", 5, kStart}, {"e", 4, kStart}, {"d", 4, kStart + 1s}};
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.served = {{"d", 5, kStart}, {"e", 4, kStart}, {"d", 4, kStart + 1s}};
         }) == "slipped-back");
 }
 
 TEST_CASE("checker: old fences, too many tries and dropped requests are found") {
-  CHECK(rulesBroken([](Ledger& l) {
-          l.orders = {{"s", "w1", 4, true, kStart, kStart},
-                      {"s", "w1", 3, true, kStart + 1s, kStart + 1s}};
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.orders = {{"s", "w1", 4, true, kStart, kStart},
+                           {"s", "w1", 3, true, kStart + 1s, kStart + 1s}};
         }) == "one-orderer");
-  CHECK(rulesBroken([](Ledger& l) {
-          l.orders = {{"s", "w1", 4, true, kStart, kStart},
-                      {"s", "w1", 3, false, kStart + 1s, kStart + 1s}};
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.orders = {{"s", "w1", 4, true, kStart, kStart},
+                           {"s", "w1", 3, false, kStart + 1s, kStart + 1s}};
         }).empty());
   // Rising fences, but the older holder's order is still open when the newer one's comes.
   const auto overlapping = [](Duration open, std::uint64_t second) {
-    return rulesBroken([=](Ledger& l) {
-      l.orders = {{"s", "w1", 3, true, kStart, kStart + open},
-                  {"s", "w1", second, true, kStart + 1s, kStart + 2s}};
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.orders = {{"s", "w1", 3, true, kStart, kStart + open},
+                       {"s", "w1", second, true, kStart + 1s, kStart + 2s}};
     });
   };
   CHECK(overlapping(1100ms, 4) == "one-orderer");
   CHECK(overlapping(900ms, 4).empty());
   CHECK(overlapping(1100ms, 3).empty());
   const auto tries = [](int extras) {
-    return rulesBroken([=](Ledger& l) {
-      for (int i = 0; i < extras; ++i) l.arrivals.push_back({"n0", kStart + 475ms});
+    return rulesBroken([=](Ledger& ledger) {
+      for (int i = 0; i < extras; ++i) ledger.arrivals.push_back({"n0", kStart + 475ms});
     });
   };
   // Ten first sends before them, ten after: either alone must bear them.
@@ -245,29 +253,29 @@
   // A window that starts at an extra try sees none of the traffic that paid for it; one that would
   // end after the run is not whole.
   const auto late = [](Duration at) {
-    return rulesBroken([=](Ledger& l) { l.arrivals.push_back({"n1", kStart + at}); });
+    return rulesBroken([=](Ledger& ledger) { ledger.arrivals.push_back({"n1", kStart + at}); });
   };
   CHECK(late(30s) == "extra-tries");
   CHECK(late(55s).empty());
   const auto restart = [](int status, bool accepted) {
-    return rulesBroken([=](Ledger& l) {
-      l.planned = {{"d", kStart - 1s, kStart + 1s}};
-      l.calls.push_back(call("dropped", status));
-      l.calls.back().accepted = accepted;
+    return rulesBroken([=](Ledger& ledger) {
+      ledger.planned = {{"d", kStart - 1s, kStart + 1s}};
+      ledger.calls.push_back(call("dropped", status));
+      ledger.calls.back().accepted = accepted;
       if (status == 200) {
-        l.calls.back().complete = false;
-        l.runs.push_back(run("dropped"));
+        ledger.calls.back().complete = false;
+        ledger.runs.push_back(run("dropped"));
       }
     });
   };
   CHECK(restart(0, true) == "planned-restart");
   CHECK(restart(200, true) == "planned-restart");
   CHECK(restart(0, false).empty());
-  CHECK(rulesBroken([](Ledger& l) {
-          l.planned = {{"d", kStart - 1s, kStart + 1s}};
-          l.calls.push_back(call("dropped"));
-          l.calls.back().complete = false;
-          l.runs.push_back(run("dropped"));
-          l.abortedByServer = {"dropped"};
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.planned = {{"d", kStart - 1s, kStart + 1s}};
+          ledger.calls.push_back(call("dropped"));
+          ledger.calls.back().complete = false;
+          ledger.runs.push_back(run("dropped"));
+          ledger.abortedByServer = {"dropped"};
         }).empty());
 }
