--- a/src/fleet/stand_in_services.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -15,15 +15,15 @@
   ErrorCode code;
   return connection.socket().remote_endpoint(code).address().to_string();
 }
-awaitable<std::optional<HttpResponse>> noAnswer() {
+awaitable<std::optional<HttpResponse>> neverAnswer() {
   co_await pauseFor(5s);
   co_return std::nullopt;
 }
-void mark(std::set<std::string>* marks, const std::string& ip, bool marked) {
-  if (marked)
-    marks->insert(ip);
+void setMembership(std::set<std::string>* members, const std::string& ip, bool isMember) {
+  if (isMember)
+    members->insert(ip);
   else
-    marks->erase(ip);
+    members->erase(ip);
 }
 std::string ipOf(const std::string& address) { return address.substr(0, address.rfind(':')); }
 }  // namespace
@@ -35,13 +35,13 @@
       [this](Connection& connection,
              HttpRequest& request) -> awaitable<std::optional<HttpResponse>> {
         co_await pauseFor(delay_);
-        if (cuts_.contains(ipOfCaller(connection))) co_return co_await noAnswer();
+        if (cuts_.contains(ipOfCaller(connection))) co_return co_await neverAnswer();
         co_return co_await handle(request);
       });
 }
 
-void StandInStore::cut(const std::string& ip, bool cut) { mark(&cuts_, ip, cut); }
-void StandInPlatform::cut(const std::string& ip, bool cut) { mark(&cuts_, ip, cut); }
+void StandInStore::cut(const std::string& ip, bool cut) { setMembership(&cuts_, ip, cut); }
+void StandInPlatform::cut(const std::string& ip, bool cut) { setMembership(&cuts_, ip, cut); }
 
 awaitable<std::optional<HttpResponse>> StandInStore::handle(HttpRequest& request) {
   if (down_) co_return textResponse(503, "down\n");
@@ -65,20 +65,20 @@
     }
     co_return jsonResponse(200, {{"tokens", held * blockTokens_}});
   }
-  Json made = Json::array();  // /kv-read: gives whatever it has
+  Json blocks = Json::array();  // /kv-read: gives whatever it has
   for (const BlockHash name : chain) {
     const auto row = storedWeights_.find(name);
     if (row == storedWeights_.end()) break;
-    made.push_back(row->second);
+    blocks.push_back(row->second);
   }
-  co_return jsonResponse(200, {{"weights", made}});
+  co_return jsonResponse(200, {{"weights", blocks}});
 }
 
 StandInPlatform::StandInPlatform(asio::io_context& io, Address address) {
   server_ = std::make_unique<HttpServer>(
       io, listenOn(address),
       [this](Connection& connection, HttpRequest&) -> awaitable<std::optional<HttpResponse>> {
-        if (down_ || cuts_.contains(ipOfCaller(connection))) co_return co_await noAnswer();
+        if (down_ || cuts_.contains(ipOfCaller(connection))) co_return co_await neverAnswer();
         Json rows = Json::array();
         for (const auto& [name, row] : rows_)
           rows.push_back(
@@ -114,41 +114,41 @@
 }
 
 awaitable<void> Relay::relayConnection(Tcp::socket socket) {
-  Connection inward(std::move(socket));
+  Connection client(std::move(socket));
   ErrorCode code;
   std::string line;
-  inward.expires_after(2s);
-  co_await asio::async_read_until(inward, asio::dynamic_buffer(line, 256), '\n', into(code));
+  client.expires_after(2s);
+  co_await asio::async_read_until(client, asio::dynamic_buffer(line, 256), '\n', into(code));
   if (code) co_return;
   const auto end = line.find('\n');
   const auto blank = line.find(' ');
   if (blank == std::string::npos || blank > end) co_return;
   const std::string from = line.substr(0, blank);
   const std::string to = line.substr(blank + 1, end - blank - 1);
-  std::string waiting = line.substr(end + 1);
+  std::string pending = line.substr(end + 1);
   // A cut swallows: the sender's connection stays open and nothing arrives, as on a lost route.
-  Connection outward(io_);
+  Connection upstream(io_);
   const Tcp::endpoint endpoint = endpointOf(Address{to});
-  outward.expires_after(2s);
-  co_await outward.async_connect(endpoint, into(code));
+  upstream.expires_after(2s);
+  co_await upstream.async_connect(endpoint, into(code));
   char block[16384];
   while (!code) {
     if (isCut(from, to)) {
-      outward.close();
-      inward.expires_after(60s);
-      co_await inward.async_read_some(asio::buffer(block), into(code));
+      upstream.close();
+      client.expires_after(60s);
+      co_await client.async_read_some(asio::buffer(block), into(code));
       if (!isCut(from, to)) co_return;  // healed: the sender opens a fresh connection
       continue;
     }
-    if (!waiting.empty()) {
-      outward.expires_after(5s);
-      co_await asio::async_write(outward, asio::buffer(waiting), into(code));
-      waiting.clear();
+    if (!pending.empty()) {
+      upstream.expires_after(5s);
+      co_await asio::async_write(upstream, asio::buffer(pending), into(code));
+      pending.clear();
       continue;
     }
-    inward.expires_after(60s);
-    const std::size_t got = co_await inward.async_read_some(asio::buffer(block), into(code));
-    waiting.assign(block, got);
+    client.expires_after(60s);
+    const std::size_t received = co_await client.async_read_some(asio::buffer(block), into(code));
+    pending.assign(block, received);
   }
 }
 
