--- a/src/fleet/stand_in_services.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -80,7 +80,7 @@
       [this](Connection& connection, HttpRequest&) -> awaitable<std::optional<HttpResponse>> {
         if (down_ || cuts_.contains(ipOfCaller(connection))) co_return co_await neverAnswer();
         Json rows = Json::array();
-        for (const auto& [name, row] : rows_)
+        for (const auto& [name, row] : servers_)
           rows.push_back(
               {{"name", name}, {"zone", row.first}, {"state", row.second ? "leaving" : "live"}});
         co_return jsonResponse(200, {{"servers", rows}});
