--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -44,7 +44,7 @@
   if (type == "store-down") {
     store_->setDown(true);
     co_await pauseFor(6s);
-    store_->empty();
+    store_->clear();
     store_->setDown(false);
   } else if (type == "store-slow") {
     store_->setDelay(400ms);
@@ -86,7 +86,7 @@
   platform_->remove(name);
   co_await pauseFor(1s);
   server.restart();
-  platform_->list(name, server.settings().zone);
+  platform_->addServer(name, server.settings().zone);
   --openSteps_;
 }
 
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -85,7 +85,7 @@
   }
   co_await waitWhileFrozen();
   if (path == wire::kGenerate) co_return co_await generate(connection, request);
-  if (path == "/burden") co_return load();
+  if (path == "/burden") co_return reportLoad();
   if (path == "/kv-events")
     co_return handleCacheEvents(
         static_cast<std::uint64_t>(std::atoll(queryValue(request, "since").c_str())));
@@ -96,7 +96,7 @@
   co_return textResponse(404, "no such call\n");
 }
 
-HttpResponse StandInServer::load() {
+HttpResponse StandInServer::reportLoad() {
   return jsonResponse(200, {{"identity", identity_},
                             {"model", settings_.model},
                             {"weights", weights_},
@@ -136,7 +136,7 @@
   if (accepted) highestFence_ = fence;
   if (accepted && weights != weights_ && !loading_) {
     loading_ = true;
-    asio::co_spawn(io_, load(weights, incarnation_), asio::detached);
+    asio::co_spawn(io_, loadWeights(weights, incarnation_), asio::detached);
   }
   co_await pauseFor(kOrderDuration);
   ledger_.withLock([&](Ledger& ledger) {
@@ -152,7 +152,7 @@
   while (faults_.frozen) co_await pauseFor(20ms);
 }
 
-awaitable<void> StandInServer::load(std::string weights, std::uint64_t incarnation) {
+awaitable<void> StandInServer::loadWeights(std::string weights, std::uint64_t incarnation) {
   co_await pauseFor(settings_.loadDuration);
   if (incarnation != incarnation_) co_return;
   weights_ = weights;
@@ -266,7 +266,8 @@
   co_return jsonResponse(200, {{"tokens", weights.size() * settings_.blockTokens}});
 }
 
-awaitable<void> StandInServer::keep(std::string salt, std::string weights, std::string prefix) {
+awaitable<void> StandInServer::storePrefix(std::string salt, std::string weights,
+                                           std::string prefix) {
   HttpCall call;
   call.to = settings_.store;
   call.verb = http::verb::post;
@@ -316,7 +317,7 @@
     store(chain, run.salt, std::vector<std::string>(chain.size(), run.weights),
           prefix.ok() ? *prefix : PromptPrefix{});
   if (!settings_.store.value.empty() && missing > 512)
-    asio::co_spawn(io_, keep(run.salt, run.weights, prefixText), asio::detached);
+    asio::co_spawn(io_, storePrefix(run.salt, run.weights, prefixText), asio::detached);
   ErrorCode code;
   const auto breakOff = [&] {
     ledger_.withLock([&](Ledger& ledger) { ledger.abortedByServer.insert(run.nonce); });
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -62,9 +62,9 @@
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
   awaitable<HttpResponse> handlePull(HttpRequest& request);
-  awaitable<void> load(std::string weights, std::uint64_t incarnation);
-  awaitable<void> keep(std::string salt, std::string weights, std::string prefix);
-  HttpResponse load();
+  awaitable<void> loadWeights(std::string weights, std::uint64_t incarnation);
+  awaitable<void> storePrefix(std::string salt, std::string weights, std::string prefix);
+  HttpResponse reportLoad();
   HttpResponse handleCacheEvents(std::uint64_t since);
   awaitable<HttpResponse> handleWeightsOrder(HttpRequest& request, Address from);
   HttpResponse handleDrop(HttpRequest& request);
