--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -238,13 +238,13 @@
   }
   std::map<std::string, std::vector<Instant>> endsOfPath;
   for (const CallRow& call : ledger.calls) {
-    std::vector<Instant>& ends = endsOfPath[call.way];
+    std::vector<Instant>& ends = endsOfPath[call.path];
     if (call.status == 200 && call.complete) ends.push_back(call.ended);
   }
-  for (const auto& [way, ends] : endsOfPath) {
+  for (const auto& [path, ends] : endsOfPath) {
     const Duration gap = longestGap(ends, fleetDisruptions, ledger.trafficStart, trafficEnd);
     if (gap > kRecoveryBound)
-      findings->push_back({"recovery", "no answer of '" + way + "' finished for " + millis(gap)});
+      findings->push_back({"recovery", "no answer of '" + path + "' finished for " + millis(gap)});
   }
   for (const std::string& daemon : ledger.daemons) {
     const Duration gap = silenceOf(ledger, daemon, trafficEnd);
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -59,16 +59,16 @@
   if (ledger.finalVersion == 0) return;
   std::map<std::uint64_t, std::string> pathOfVersion;
   for (const ConfigurationChangeRow& row : ledger.operators) {
-    const bool tookEffect = ledger.finalPaths.contains(row.way);
+    const bool tookEffect = ledger.finalPaths.contains(row.path);
     if (row.status == 200 && !tookEffect)
-      findings->push_back({"acknowledged-lost", row.way + " was acknowledged and is gone"});
-    if (row.status == 200 && !pathOfVersion.try_emplace(row.version, row.way).second)
+      findings->push_back({"acknowledged-lost", row.path + " was acknowledged and is gone"});
+    if (row.status == 200 && !pathOfVersion.try_emplace(row.version, row.path).second)
       findings->push_back({"acknowledged-lost", "two changes were acknowledged as version " +
                                                     std::to_string(row.version)});
     const bool certainlyRejected =
         row.status == 409 || row.status == 422 || row.status == 413 || row.status == 503;
     if (certainlyRejected && tookEffect)
-      findings->push_back({"refused-change", row.way + " was answered with " +
+      findings->push_back({"refused-change", row.path + " was answered with " +
                                                  std::to_string(row.status) + " and took effect"});
   }
   for (const auto& [at, version] : ledger.acknowledged) {
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -25,7 +25,7 @@
 };
 
 struct CallRow {
-  std::string nonce, tenant, way, daemon;
+  std::string nonce, tenant, path, daemon;
   bool repeatable = false, isolated = false;
   Instant begun, ended, firstPiece{};
   int status = 0;  // 0: no answer at all
@@ -68,7 +68,7 @@
 
 // One operator's change that adds one way, and what the operator was told.
 struct ConfigurationChangeRow {
-  std::string way, daemon;
+  std::string path, daemon;
   int status = 0;  // 0: no answer
   std::uint64_t version = 0;
   Instant begun, ended;
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -13,14 +13,14 @@
   mix.name = deployment;
   if (deployment == "tejo") {
     mix.rate = 90;
-    mix.ways = {{"replan", false, 0.25, 1800, 400, 300, 40, 80, 6},
-                {"fare-check", true, 0.35, 900, 200, 160, 60, 40, 4},
-                {"stop-lookup", true, 0.40, 300, 0, 80, 90, 24, 3}};
+    mix.paths = {{"replan", false, 0.25, 1800, 400, 300, 40, 80, 6},
+                 {"fare-check", true, 0.35, 900, 200, 160, 60, 40, 4},
+                 {"stop-lookup", true, 0.40, 300, 0, 80, 90, 24, 3}};
   } else {
     mix.rate = 60;
-    mix.ways = {{"basket-audit", false, 0.30, 1600, 320, 240, 30, 64, 5},
-                {"price-lookup", true, 0.45, 320, 96, 64, 80, 16, 3},
-                {"shopper-help", true, 0.25, 800, 160, 128, 40, 40, 6}};
+    mix.paths = {{"basket-audit", false, 0.30, 1600, 320, 240, 30, 64, 5},
+                 {"price-lookup", true, 0.45, 320, 96, 64, 80, 16, 3},
+                 {"shopper-help", true, 0.25, 800, 160, 128, 40, 40, 6}};
   }
   mix.tenants = {{"north", 0.30},    {"south", 0.25},    {"east", 0.15}, {"west", 0.10},
                  {"iso-hill", 0.08}, {"iso-lake", 0.05}, {"quay", 0.04}, {"rill", 0.03}};
@@ -39,15 +39,15 @@
                                         {"concurrency", 128},
                                         {"keys", {keyDigest(apiKeyOf(tenant))}}};
   }
-  for (const PathMix& way : mix.ways) {
-    configuration["contracts"][way.way] = {{"model", "till"},
-                                           {"repeatable", way.repeatable},
-                                           {"due_ms", 8000},
-                                           {"tries", 2},
-                                           {"class", way.sharedTokens > 1000  ? "long"
-                                                     : way.sharedTokens > 500 ? "medium"
-                                                                              : "short"}};
-    configuration["ways"][way.way] = way.way;
+  for (const PathMix& path : mix.paths) {
+    configuration["contracts"][path.path] = {{"model", "till"},
+                                             {"repeatable", path.repeatable},
+                                             {"due_ms", 8000},
+                                             {"tries", 2},
+                                             {"class", path.sharedTokens > 1000  ? "long"
+                                                       : path.sharedTokens > 500 ? "medium"
+                                                                                 : "short"}};
+    configuration["ways"][path.path] = path.path;
   }
   return configuration.dump();
 }
@@ -101,10 +101,10 @@
     if (next > BootClock::now()) co_await pauseFor(next - BootClock::now());
     if (openCalls_ >= kMaxOpenCalls) continue;
     double point = draw(1.0);
-    const PathMix* way = &mix_.ways.back();
-    for (const PathMix& candidate : mix_.ways) {
+    const PathMix* path = &mix_.paths.back();
+    for (const PathMix& candidate : mix_.paths) {
       if ((point -= candidate.share) < 0) {
-        way = &candidate;
+        path = &candidate;
         break;
       }
     }
@@ -130,24 +130,25 @@
     CallRow row;
     row.nonce = "n" + std::to_string(++counter_);
     row.tenant = tenant;
-    row.way = way->way;
+    row.path = path->path;
     row.daemon = chosenDaemon.callers.value;
-    row.repeatable = way->repeatable;
+    row.repeatable = path->repeatable;
     row.isolated = tenant.rfind("iso-", 0) == 0;
-    HttpRequest request(http::verb::post, "/v1/" + way->way, 11);
+    HttpRequest request(http::verb::post, "/v1/" + path->path, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
     request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
     // Skewed towards low variants, as hot notices are.
     const double skew = draw(1.0);
-    const auto variant = static_cast<std::size_t>(skew * skew * static_cast<double>(way->variants));
-    std::string prefix = way->way + ":" + std::to_string(way->sharedTokens);
-    if (way->tenantTokens > 0)
-      prefix += "," + way->way + "-" + tenant + ":" + std::to_string(way->tenantTokens);
-    prefix +=
-        "," + way->way + "-v" + std::to_string(variant) + ":" + std::to_string(way->variantTokens);
-    prefix += ",own-" + row.nonce + ":" + std::to_string(way->uniqueTokens);
+    const auto variant =
+        static_cast<std::size_t>(skew * skew * static_cast<double>(path->variants));
+    std::string prefix = path->path + ":" + std::to_string(path->sharedTokens);
+    if (path->tenantTokens > 0)
+      prefix += "," + path->path + "-" + tenant + ":" + std::to_string(path->tenantTokens);
+    prefix += "," + path->path + "-v" + std::to_string(variant) + ":" +
+              std::to_string(path->variantTokens);
+    prefix += ",own-" + row.nonce + ":" + std::to_string(path->uniqueTokens);
     request.set(wire::kPrefix, prefix);
-    request.body() = Json{{"nonce", row.nonce}, {"pieces", way->pieces}}.dump();
+    request.body() = Json{{"nonce", row.nonce}, {"pieces", path->pieces}}.dump();
     request.prepare_payload();
     ++openCalls_;
     asio::co_spawn(io_, call(std::move(row), std::move(request), chosenDaemon.callers),
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -10,7 +10,7 @@
 
 // One kind of request in a mix.
 struct PathMix {
-  std::string way;
+  std::string path;
   bool repeatable = false;
   double share = 0;
   std::size_t sharedTokens = 0, tenantTokens = 0, variantTokens = 0, variants = 1, uniqueTokens = 0;
@@ -21,7 +21,7 @@
 struct TrafficMix {
   std::string name;
   double rate = 60;  // requests a second
-  std::vector<PathMix> ways;
+  std::vector<PathMix> paths;
   std::vector<std::pair<std::string, double>> tenants;  // name and share; "iso-" are isolated
 };
 TrafficMix trafficMixOf(const std::string& deployment);
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -109,9 +109,9 @@
     };
   } else if (type == "ways") {
     for (int i = 0; i < std::atoi(argument.c_str()); ++i)
-      patch["ways"]["way-" + argument + "-" + std::to_string(i)] = settings_.mix.ways.front().way;
+      patch["ways"]["way-" + argument + "-" + std::to_string(i)] = settings_.mix.paths.front().path;
   } else {
-    patch = {{"ways", {{argument, settings_.mix.ways.front().way}}}};
+    patch = {{"ways", {{argument, settings_.mix.paths.front().path}}}};
   }
   note(type + " " + argument);
   co_await applyChange(patch.dump(), onAcknowledged);
@@ -137,14 +137,14 @@
     const auto known = co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec", "");
     if (!known.ok()) continue;
     ConfigurationChangeRow row;
-    row.way = name + "-" + std::to_string(i);
+    row.path = name + "-" + std::to_string(i);
     row.daemon = daemon.name;
-    const std::string policy = i % 5 == 4 ? "no-contract" : settings_.mix.ways.front().way;
+    const std::string policy = i % 5 == 4 ? "no-contract" : settings_.mix.paths.front().path;
     HttpCall call;
     call.to = daemon.operators;
     call.verb = http::verb::patch;
     call.target = "/q/spec?expect=" + (*known)["version"].dump();
-    Json patch{{"ways", {{row.way, policy}}}};
+    Json patch{{"ways", {{row.path, policy}}}};
     if (i % 7 == 6) patch["ways"][std::string(2 << 20, 'x')] = policy;  // over every limit
     call.body = patch.dump();
     call.timeout = 8s;
@@ -183,8 +183,8 @@
     if (settled.ok()) {
       ledger_.withLock([&](Ledger& ledger) {
         ledger.finalVersion = (*settled)["version"].get<std::uint64_t>();
-        for (const auto& [way, policy] : (*settled)["spec"]["ways"].items())
-          ledger.finalPaths.insert(way);
+        for (const auto& [path, policy] : (*settled)["spec"]["ways"].items())
+          ledger.finalPaths.insert(path);
       });
       co_return;
     }
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -177,7 +177,7 @@
           ledger.disruptions = {{"e", kStart + 25s, kStart + 40s}};
         }) == "recovery");
   CHECK(rulesBroken([](Ledger& ledger) {
-          ledger.calls[0].way = "audit";  // answered once and never again
+          ledger.calls[0].path = "audit";  // answered once and never again
         }) == "recovery");
 }
 
