--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -57,11 +57,11 @@
 }
 
 // Whether the server had weights by `due` that were named at `named` or later.
-bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant named,
+bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant since,
                      Instant deadline) {
   const std::string& finalWeights = ledger.finalServers.at(server);
-  for (const auto& [weights, namedAt] : ledger.weightsConfiguredAt) {
-    if (namedAt < named) continue;
+  for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
+    if (configuredAt < since) continue;
     const auto row = ledger.weightsLoadedAt.find(weights);
     const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
     // One that had these weights all along need not switch.
@@ -73,22 +73,23 @@
 // Each naming has its own bound, which no later one extends: by then every server has those weights
 // or newer ones, and nothing begins on older ones.
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
-  for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
+  for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
     for (const auto& [server, finalWeights] : ledger.finalServers) {
-      Instant deadline = named + kWeightsBound;
+      Instant deadline = configuredAt + kWeightsBound;
       // One that came back since has the time from then.
       if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
         deadline = std::max(deadline, back->second + kWeightsBound);
-      if (deadline > trafficEnd || hadWeightsSince(ledger, server, named, deadline)) continue;
+      if (deadline > trafficEnd || hadWeightsSince(ledger, server, configuredAt, deadline))
+        continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
                                                 millis(kWeightsBound)});
     }
     for (const RunRow& run : ledger.runs) {
       const auto own = ledger.weightsConfiguredAt.find(run.weights);
-      const bool isOlder = own == ledger.weightsConfiguredAt.end() || own->second < named;
-      if (isOlder && run.at > named + kWeightsBound)
+      const bool isOlder = own == ledger.weightsConfiguredAt.end() || own->second < configuredAt;
+      if (isOlder && run.at > configuredAt + kWeightsBound)
         findings->push_back({"superseded-weights", run.nonce + " ran on " + run.weights + " " +
-                                                       millis(run.at - named) + " after " +
+                                                       millis(run.at - configuredAt) + " after " +
                                                        weights + " were named"});
     }
   }
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -40,14 +40,14 @@
                                         {"keys", {keyDigest(apiKeyOf(tenant))}}};
   }
   for (const PathMix& path : mix.paths) {
-    configuration["contracts"][path.path] = {{"model", "till"},
+    configuration["contracts"][path.name] = {{"model", "till"},
                                              {"repeatable", path.repeatable},
                                              {"due_ms", 8000},
                                              {"tries", 2},
                                              {"class", path.sharedTokens > 1000  ? "long"
                                                        : path.sharedTokens > 500 ? "medium"
                                                                                  : "short"}};
-    configuration["ways"][path.path] = path.path;
+    configuration["ways"][path.name] = path.name;
   }
   return configuration.dump();
 }
@@ -130,21 +130,21 @@
     CallRow row;
     row.nonce = "n" + std::to_string(++counter_);
     row.tenant = tenant;
-    row.path = path->path;
+    row.path = path->name;
     row.daemon = chosenDaemon.callers.value;
     row.repeatable = path->repeatable;
     row.isolated = tenant.rfind("iso-", 0) == 0;
-    HttpRequest request(http::verb::post, "/v1/" + path->path, 11);
+    HttpRequest request(http::verb::post, "/v1/" + path->name, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
     request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
     // Skewed towards low variants, as hot notices are.
     const double skew = draw(1.0);
     const auto variant =
         static_cast<std::size_t>(skew * skew * static_cast<double>(path->variants));
-    std::string prefix = path->path + ":" + std::to_string(path->sharedTokens);
+    std::string prefix = path->name + ":" + std::to_string(path->sharedTokens);
     if (path->tenantTokens > 0)
-      prefix += "," + path->path + "-" + tenant + ":" + std::to_string(path->tenantTokens);
-    prefix += "," + path->path + "-v" + std::to_string(variant) + ":" +
+      prefix += "," + path->name + "-" + tenant + ":" + std::to_string(path->tenantTokens);
+    prefix += "," + path->name + "-v" + std::to_string(variant) + ":" +
               std::to_string(path->variantTokens);
     prefix += ",own-" + row.nonce + ":" + std::to_string(path->uniqueTokens);
     request.set(wire::kPrefix, prefix);
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -10,7 +10,7 @@
 
 // One kind of request in a mix.
 struct PathMix {
-  std::string path;
+  std::string name;
   bool repeatable = false;
   double share = 0;
   std::size_t sharedTokens = 0, tenantTokens = 0, variantTokens = 0, variants = 1, uniqueTokens = 0;
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -109,9 +109,9 @@
     };
   } else if (type == "ways") {
     for (int i = 0; i < std::atoi(argument.c_str()); ++i)
-      patch["ways"]["way-" + argument + "-" + std::to_string(i)] = settings_.mix.paths.front().path;
+      patch["ways"]["way-" + argument + "-" + std::to_string(i)] = settings_.mix.paths.front().name;
   } else {
-    patch = {{"ways", {{argument, settings_.mix.paths.front().path}}}};
+    patch = {{"ways", {{argument, settings_.mix.paths.front().name}}}};
   }
   note(type + " " + argument);
   co_await applyChange(patch.dump(), onAcknowledged);
@@ -139,7 +139,7 @@
     ConfigurationChangeRow row;
     row.path = name + "-" + std::to_string(i);
     row.daemon = daemon.name;
-    const std::string policy = i % 5 == 4 ? "no-contract" : settings_.mix.paths.front().path;
+    const std::string policy = i % 5 == 4 ? "no-contract" : settings_.mix.paths.front().name;
     HttpCall call;
     call.to = daemon.operators;
     call.verb = http::verb::patch;
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -83,12 +83,12 @@
   std::cout << "broken rules " << findings.size() << "\n";
   deployment.printFaultCosts();
   deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
-    for (const auto& [weights, named] : ledger.weightsConfiguredAt) {
+    for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
       std::size_t reached = 0;
       quayrill::Duration last{};
       for (const auto& [server, at] : ledger.weightsLoadedAt[weights]) {
         reached += ledger.finalServers.contains(server) ? 1 : 0;
-        last = std::max(last, at - named);
+        last = std::max(last, at - configuredAt);
       }
       std::cout << "weights " << weights << " taken by " << reached << " of "
                 << ledger.finalServers.size() << " servers, the last after " << last / 1ms
