--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -19,6 +19,7 @@
          " ms";
 }
 
+// Checks each call's answer against the runs of its request.
 void checkOutcomes(const Ledger& ledger, std::vector<Finding>* findings) {
   std::map<std::string, std::vector<const RunRow*>> runsOf;
   for (const RunRow& run : ledger.runs) runsOf[run.nonce].push_back(&run);
@@ -33,7 +34,8 @@
                                                     std::to_string(call.status) + " and ran"});
     if (rejected && !call.hasRetryAfter)
       findings->push_back({"retry-after", call.nonce + " was turned away without Retry-After"});
-    // Only what may be repeated is told when; for the rest an invitation would be a second run.
+    // Where the outcome is unknown, only repeatable requests get Retry-After: for others it would
+    // invite a second run.
     if ((call.status == 502 || call.status == 504) && call.hasRetryAfter != call.repeatable)
       findings->push_back(
           {"retry-after", call.nonce + (call.repeatable ? " may be repeated and is not told when"
@@ -47,6 +49,7 @@
   }
 }
 
+// No run uses cached blocks of other weights or of another salt.
 void checkCache(const Ledger& ledger, std::vector<Finding>* findings) {
   for (const RunRow& run : ledger.runs) {
     if (run.foreignWeights)
@@ -56,7 +59,7 @@
   }
 }
 
-// Whether the server had weights by `due` that were named at `named` or later.
+// True if by `deadline` the server had weights that were configured at `since` or later.
 bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant since,
                      Instant deadline) {
   const std::string& finalWeights = ledger.finalServers.at(server);
@@ -64,19 +67,19 @@
     if (configuredAt < since) continue;
     const auto row = ledger.weightsLoadedAt.find(weights);
     const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
-    // One that had these weights all along need not switch.
+    // A server that had these weights all along never switched to them.
     if (switched ? row->second.at(server) <= deadline : finalWeights == weights) return true;
   }
   return false;
 }
 
-// Each naming has its own bound, which no later one extends: by then every server has those weights
-// or newer ones, and nothing begins on older ones.
+// Each change of weights has a time limit of its own, which later changes don't extend: by then
+// every server has these or newer weights, and no run starts on older ones.
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
     for (const auto& [server, finalWeights] : ledger.finalServers) {
       Instant deadline = configuredAt + kWeightsBound;
-      // One that came back since has the time from then.
+      // A server that restarted since has the whole time from its restart.
       if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
         deadline = std::max(deadline, back->second + kWeightsBound);
       if (deadline > trafficEnd || hadWeightsSince(ledger, server, configuredAt, deadline))
@@ -95,6 +98,7 @@
   }
 }
 
+// Checks the time limits after keys are revoked, servers start leaving and weights are configured.
 void checkBounds(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const CallRow& call : ledger.calls) {
     const auto withdrawn = ledger.keyRevokedAt.find(call.tenant);
@@ -122,7 +126,8 @@
   checkWeights(ledger, trafficEnd, findings);
 }
 
-// Fences rise, and no two holders have an order open at one server at once.
+// A server accepts no order with a lower fence than before, and orders with different fences, thus
+// of two lease holders, are never open at a server at the same time.
 void checkOrders(const Ledger& ledger, std::vector<Finding>* findings) {
   std::map<std::string, std::vector<OrderRow>> byServer;
   for (const OrderRow& order : ledger.orders) byServer[order.server].push_back(order);
@@ -142,8 +147,9 @@
   }
 }
 
-// Every arrival of a nonce beyond its first is an extra try. Judged are the windows that end at a
-// send (cut off at the run's begin) and those that start at one and lie within the run.
+// Every arrival of a nonce after its first is an extra try. At most one extra try per five first
+// ones is allowed in each window that ends at an arrival (truncated at the start of the run) and in
+// each that starts at an arrival and lies within the run.
 void checkRetries(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   std::set<std::string> seen;
   std::vector<std::pair<Instant, bool>> sends;
@@ -156,7 +162,7 @@
     const Instant windowEnd = sends[from].first + kRetryWindow;
     for (; to < sends.size() && sends[to].first <= windowEnd; ++to) {
       extras += sends[to].second ? 1 : 0;
-      // What came before the run's begin paid for nothing: this window is short, and judged.
+      // There are no first tries before the run, so the truncated window must keep the ratio too.
       const std::size_t firsts = to + 1 - from - extras;
       if (from == 0 && extras > 0 && extras * 5 > firsts) {
         findings->push_back({"extra-tries", std::to_string(extras) + " extra tries beside " +
@@ -175,12 +181,13 @@
   }
 }
 
-// What a daemon had accepted when it was warned, or took until it stopped listening, must end well.
+// Requests that a daemon had accepted at SIGTERM, or accepted before it stopped listening, must be
+// answered completely.
 void checkPlannedRestarts(const Ledger& ledger, std::vector<Finding>* findings) {
   for (const PlannedRestartRow& planned : ledger.planned) {
     for (const CallRow& call : ledger.calls) {
       if (call.daemon != planned.daemon || !call.accepted) continue;
-      if (ledger.abortedByServer.contains(call.nonce)) continue;  // no daemon could have kept it
+      if (ledger.abortedByServer.contains(call.nonce)) continue;  // no daemon can prevent this
       if (call.begun > planned.ended || call.ended < planned.begun) continue;
       if (call.status == 0 || (call.status == 200 && !call.complete))
         findings->push_back({"planned-restart", call.nonce + " was dropped by " + call.daemon});
@@ -188,7 +195,7 @@
   }
 }
 
-// The longest stretch within [begin, end] that holds none of `ends` and nothing hindered.
+// The longest time within [begin, end] without any of `ends` and outside the disruptions.
 Duration longestGap(std::vector<Instant> ends, std::vector<DisruptionRow> disruptions,
                     Instant begin, Instant end) {
   for (const DisruptionRow& row : disruptions) ends.push_back(std::clamp(row.ended, begin, end));
@@ -198,7 +205,7 @@
   Instant from = begin;
   for (const Instant& at : ends) {
     Instant to = std::clamp(at, begin, end);
-    // A stretch ends where something begins to hinder; what follows counts from that one's end.
+    // A gap ends where a disruption begins; the next one is counted from the disruption's end.
     for (const DisruptionRow& row : disruptions) {
       if (row.begun < to && row.ended > from) to = std::max(from, row.begun);
     }
@@ -208,6 +215,7 @@
   return longest;
 }
 
+// The longest time for which a daemon completed no answer, outside its disruptions.
 Duration silenceOf(const Ledger& ledger, const std::string& daemon, Instant trafficEnd) {
   std::vector<Instant> ends;
   for (const CallRow& call : ledger.calls) {
@@ -220,6 +228,7 @@
   return longestGap(ends, disruptions, ledger.trafficStart, trafficEnd);
 }
 
+// The longest time between two completed answers of the fleet, in ms.
 double longestSilence(const Ledger& ledger) {
   std::vector<Instant> ends;
   for (const CallRow& call : ledger.calls) {
@@ -231,7 +240,7 @@
   return std::chrono::duration<double, std::milli>(longest).count();
 }
 
-// The fleet as a whole, each daemon that nothing hinders, and each way.
+// Each path, and each daemon outside its disruptions, must complete answers again in time.
 void checkRecovery(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   std::vector<DisruptionRow> fleetDisruptions;
   for (const DisruptionRow& row : ledger.disruptions) {
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -1,5 +1,5 @@
-// Changes of the configuration, judged from outside: by what operators were told, what ready
-// daemons served by, and what stood in the register in the end.
+// Checks configuration changes from outside: by the answers to operators, the versions that ready
+// daemons served, and the final content of the register.
 #include <algorithm>
 
 #include "fleet/ledger.h"
@@ -11,7 +11,8 @@
 namespace {
 constexpr Duration kPropagationBound = 2s;
 
-// Acknowledged versions in order of time, each the highest up to then.
+// The times of the acknowledgements in order, each with the highest version acknowledged until
+// then.
 std::vector<std::pair<Instant, std::uint64_t>> acknowledgedFloors(const Ledger& ledger) {
   auto floors = ledger.acknowledged;
   std::sort(floors.begin(), floors.end());
@@ -20,7 +21,7 @@
   return floors;
 }
 
-// The first acknowledgement that a daemon which serves by `version` should have heard of.
+// The time at which a version newer than `version` was first acknowledged.
 std::optional<Instant> supersededAt(const std::vector<std::pair<Instant, std::uint64_t>>& floors,
                                     std::uint64_t version) {
   for (const auto& [at, acknowledged] : floors) {
--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of daemons: processes, disks and connections.
+// Injects faults into daemons: into their processes, disks and connections.
 #include <sys/resource.h>
 
 #include <csignal>
@@ -17,7 +17,7 @@
   return daemon.peer.value.substr(0, daemon.peer.value.rfind(':'));
 }
 
-// No file may grow: every write fails, as on a full disk, until the limit is lifted again.
+// Simulates a full disk: with a file size limit of 0 all writes fail, until the limit is lifted.
 void setFull(const Daemon& daemon, bool full) {
   rlimit limit{};
   if (daemon.pid <= 0 || ::prlimit(daemon.pid, RLIMIT_FSIZE, nullptr, &limit) != 0) return;
@@ -71,7 +71,7 @@
   recordDisruption(daemon.callers.value, begun);
 }
 
-// Nothing is dropped for it: the daemon counts as not hindered.
+// Records no disruption: a daemon must keep serving while its settings change.
 awaitable<void> LocalDeployment::changeSettings(Daemon& daemon) {
   const std::vector<Address> first = daemon.seeds;
   daemon.seeds = {daemonAt(settings_.plan.cores, true).peer};
@@ -96,7 +96,7 @@
 }
 
 awaitable<void> LocalDeployment::applyDaemonFault(std::string type, Daemon& daemon) {
-  if (!busyDaemons_.insert(daemon.name).second) co_return;  // one fault at a time for each
+  if (!busyDaemons_.insert(daemon.name).second) co_return;  // one fault at a time per daemon
   note(type + " " + daemon.name);
   const std::string ip = ipOf(daemon);
   const Instant begun = BootClock::now();
@@ -152,7 +152,8 @@
       asio::detached);
 }
 
-// Whoever sent the newest weight order, told by its ip.
+// The daemon that sent the latest weight order, identified by its IP address; null if there is
+// none.
 Daemon* LocalDeployment::latestOrderSender() {
   std::string ip;
   ledger_.withLock([&](Ledger& ledger) {
@@ -170,7 +171,8 @@
   const std::string object = type.substr(dash + 1);
   if (object == "cores" && action != "split") {
     const std::size_t count = std::min(number, settings_.plan.cores);
-    // With a majority of disks lost, the rules close the fleet until an operator founds again.
+    // After the loss of a majority of disks, the fleet is unavailable by design until an operator
+    // re-creates the register.
     if (action == "wipe" && count > settings_.plan.cores / 2) majorityLostAt_ = BootClock::now();
     for (std::size_t i = 1; i <= count; ++i) spawnDaemonFault(action, daemonAt(i, true));
     co_return;
@@ -181,7 +183,7 @@
       spawnDaemonFault("kill", daemonAt(i, true));
     co_return;
   }
-  // Zones are dealt out in turn, so a zone's daemons are every fourth.
+  // Zones are assigned round-robin, so every fourth daemon is in the same zone.
   std::set<std::string> side, rest;
   for (std::size_t i = 0; i < daemons_.size(); ++i) {
     const bool inSide = object == "zone" ? i % 4 == number : i % 2 == 0;
@@ -195,7 +197,7 @@
   co_await pauseFor(8s);
   for (const std::string& ip : side) setPartition(ip, rest, true, false);
   if (object == "cores")
-    recordDisruption("", begun);  // no half has a majority: the rules close them all
+    recordDisruption("", begun);  // neither half has a majority, so no daemon has to serve
   for (const Daemon& daemon : daemons_) {
     if (object == "zone" && side.contains(ipOf(daemon)))
       recordDisruption(daemon.callers.value, begun);
--- a/src/fleet/daemons.h
+++ b/src/fleet/daemons.h
@@ -1,5 +1,5 @@
 #pragma once
-// The quayrilld processes of a run: started, killed, frozen and ended by id.
+// Starts, signals and awaits the quayrilld processes of a run, by process id.
 #include <sys/types.h>
 
 #include <string>
@@ -9,21 +9,23 @@
 
 namespace quayrill::fleet {
 
+// A machine's daemon: its addresses, files and processes.
 struct Daemon {
   std::string name;
   Address peer, operators, callers;
-  std::string dataFolder;     // "" on edge machines
-  std::string syncDelayFile;  // how long each sync of its disk lasts in addition
+  std::string dataFolder;     // empty for edge machines, which have no disk
+  std::string syncDelayFile;  // holds the extra duration of each disk sync in ms
   std::string settingsFile, logFile;
   std::vector<Address> seeds;
   std::vector<std::string> arguments;
   bool splitRoles = false;  // agent and proxy as two processes
-  pid_t pid = 0;            // 0: not running
-  pid_t proxyPid = 0;       // of a pair's proxy
+  pid_t pid = 0;            // of the daemon, or of the agent if the roles are split; 0: not running
+  pid_t proxyPid = 0;       // of the proxy if the roles are split
 };
 
+// The daemons to start and their common settings.
 struct FleetPlan {
-  std::string program;
+  std::string program;  // path of quayrilld
   std::string workFolder;
   int net = 40;  // all addresses are 127.<net>.x.y
   std::size_t cores = 4, edges = 9;
@@ -32,13 +34,17 @@
   Address platform, store, relay;
 };
 
+// The daemons with their addresses and arguments, cores first; starts nothing.
 std::vector<Daemon> planDaemons(const FleetPlan& plan);
-// The settings file with these seeds; all other settings are flags.
+// Writes the settings file, which holds only the seeds; all other settings are flags.
 void writeSettings(const Daemon& daemon, const std::vector<Address>& seeds);
+// Writes the settings file and starts the processes. Returns false if a fork failed.
 bool startDaemon(Daemon* daemon, const FleetPlan& plan);
+// Sends a signal to all running processes of the daemon.
 void signalDaemon(const Daemon& daemon, int signal);
-// Waits for the end for at most that long; the exit status, or -1 where it did not end, or -2 where
-// a signal ended it.
+// Waits at most `milliseconds` for each process to exit. Returns the exit status, -1 if a process
+// is still running, or -2 if a signal ended it; of two processes, the proxy's status if it is not
+// 0.
 int waitDaemon(Daemon* daemon, int milliseconds);
 
 }  // namespace quayrill::fleet
--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -1,4 +1,4 @@
-// Faults and releases of model servers, the store and the platform.
+// Injects faults into model servers, the store and the platform, and replaces servers in a release.
 #include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
@@ -61,7 +61,7 @@
     co_await pauseFor(6s);
     for (auto& server : servers_) server->slowLinks(false);
   } else {
-    // A release: each server in turn shows as leaving, ends, and comes back empty and new.
+    // A release: each server in turn is listed as leaving, ends, and restarts with an empty cache.
     for (auto& server : servers_) {
       const std::string name = server->settings().address.value;
       if (!platform_->isLive(name)) continue;
@@ -76,7 +76,7 @@
   const std::string name = server.settings().address.value;
   platform_->markLeaving(name);
   const Instant leavingAt = BootClock::now();
-  // Four seconds: one more than may pass before work stops; then it ends what it has.
+  // One second longer than the limit for new work; after that the server finishes what it has.
   co_await pauseFor(4s);
   ledger_.withLock([&](Ledger& ledger) {
     ledger.leavingSpans.push_back({name, leavingAt, BootClock::now()});
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -1,6 +1,7 @@
 #pragma once
-// What the stand-ins and callers saw, on one clock. The checker joins these rows; it knows nothing
-// of what daemons believe.
+// The observations of a run, recorded by the stand-ins and the load generator on one clock, and the
+// checker that verifies the fleet's guarantees on them. The checker uses no state of the daemons
+// other than what they answer to callers and operators.
 #include <map>
 #include <mutex>
 #include <optional>
@@ -12,18 +13,21 @@
 
 namespace quayrill::fleet {
 
+// One execution of a request by a model server.
 struct RunRow {
-  std::string nonce;  // the caller's own name of the request
-  std::string run;
+  std::string nonce;  // the load generator's unique name for the request
+  std::string run;    // unique id of this execution
   std::string server;
   std::string salt;
   std::string weights;
   Instant at;
   std::size_t promptTokens = 0, cachedTokens = 0;
-  bool foreignWeights = false;  // some cached block was made under other weights
-  bool foreignSalt = false;     // some cached block was made under another salt
+  bool foreignWeights = false;  // some cached block was computed under other weights
+  bool foreignSalt = false;     // some cached block was stored under another salt
 };
 
+// One request of the load generator and the answer to it. `path` is the path below /v1/, `daemon`
+// the daemon's address for callers.
 struct CallRow {
   std::string nonce, tenant, path, daemon;
   bool repeatable = false, isolated = false;
@@ -31,42 +35,47 @@
   int status = 0;  // 0: no answer at all
   std::string outcome;
   bool hasRetryAfter = false;
-  bool complete = false;  // HTTP says that the body is whole
-  bool endMark = false;
-  bool accepted = false;    // the daemon took the connection and the whole request
-  bool piecesValid = true;  // in order, none lost or twice, one run, mine
+  bool complete = false;  // the body is complete according to HTTP
+  bool endMark = false;   // the stream's last line was received
+  // The daemon accepted the connection, and the whole request was written to it.
+  bool accepted = false;
+  // The pieces are in order, none is missing or repeated, and all belong to one run of this
+  // request.
+  bool piecesValid = true;
   std::string error;
   std::string requestId;
 };
 
-// A request that reached a server, whether or not it then ran.
+// A request that arrived at a model server, whether or not it was then run.
 struct ArrivalRow {
   std::string nonce;
   Instant at;
 };
 
-// From the warning of a planned restart until the daemon serves again.
+// A planned restart of a daemon, from SIGTERM until its process has exited.
 struct PlannedRestartRow {
   std::string daemon;
   Instant begun, ended;
 };
 
-// A weight order at a server, open from its arrival until it was answered.
+// An order to a server to switch weights; it is open from its arrival (`at`) until its answer
+// (`ended`).
 struct OrderRow {
   std::string server, weights;
   std::uint64_t fence = 0;
   bool accepted = false;
   Instant at, ended;
-  std::string from{};  // the ordering daemon's ip
+  std::string from{};  // IP address of the daemon that sent the order
 };
 
-// A time in which a daemon can't be asked to serve: killed, frozen or cut off. "" is all of them.
+// A time in which a daemon is not required to serve: killed, frozen or partitioned. The name ""
+// stands for all daemons.
 struct DisruptionRow {
   std::string daemon;
   Instant begun, ended;
 };
 
-// One operator's change that adds one way, and what the operator was told.
+// An operator's configuration change that adds one path, and the answer to it.
 struct ConfigurationChangeRow {
   std::string path, daemon;
   int status = 0;  // 0: no answer
@@ -74,13 +83,15 @@
   Instant begun, ended;
 };
 
-// What a ready daemon said that it serves by, asked at `at`.
+// The configuration version that a ready daemon reported to a readiness check sent at `at`.
 struct ServedVersionRow {
   std::string daemon;
   std::uint64_t version = 0;
   Instant at;
 };
 
+// All observations of a run. Servers, daemons, tenants, paths and weights are identified by name or
+// address.
 struct Ledger {
   std::mutex mutex;
   std::vector<RunRow> runs;
@@ -88,24 +99,29 @@
   std::vector<OrderRow> orders;
   std::vector<ArrivalRow> arrivals;
   std::vector<PlannedRestartRow> planned;
-  std::set<std::string> abortedByServer;  // nonces of runs that a server broke off
+  std::set<std::string> abortedByServer;  // nonces of runs that a server aborted
   std::vector<DisruptionRow> disruptions;
   std::vector<ConfigurationChangeRow> operators;
   std::vector<ServedVersionRow> served;
-  std::set<std::string> daemons;     // all of the run, by callers' address
+  std::set<std::string> daemons;     // all daemons, by their address for callers
   std::set<std::string> finalPaths;  // of the settled configuration after the traffic
-  std::uint64_t finalVersion = 0;    // 0: not read
+  std::uint64_t finalVersion = 0;    // of that configuration; 0: could not be read
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged;  // configuration versions
   Instant trafficStart{};
-  std::map<std::string, Instant> leavingAt;     // servers, by when they showed it
-  std::vector<DisruptionRow> leavingSpans;      // servers replaced in a release, while leaving
-  std::map<std::string, Instant> keyRevokedAt;  // tenants whose key was withdrawn
-  std::map<std::string, Instant> weightsConfiguredAt;  // weights, by when they were acknowledged
-  std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // weights, server
-  std::vector<std::pair<Instant, std::string>> notes;  // faults and operator steps
-  std::map<std::string, std::string> finalServers;     // up, listed, not leaving: their weights
-  std::map<std::string, Instant> restartedAt;          // servers, by when they last came back
-
+  std::map<std::string, Instant> leavingAt;  // when a server was first listed as leaving
+  // While servers that a release replaced were leaving; `daemon` is the server.
+  std::vector<DisruptionRow> leavingSpans;
+  // When the removal of a tenant's keys was acknowledged.
+  std::map<std::string, Instant> keyRevokedAt;
+  // When a change to these weights was acknowledged.
+  std::map<std::string, Instant> weightsConfiguredAt;
+  std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // by weights, then server
+  std::vector<std::pair<Instant, std::string>> notes;  // faults and operator steps, for the report
+  // The weights of the servers that are up and listed as live at the end.
+  std::map<std::string, std::string> finalServers;
+  std::map<std::string, Instant> restartedAt;  // when a server last restarted
+
+  // Calls `change` with the ledger while the mutex is held.
   template <class Change>
   void withLock(Change change) {
     std::lock_guard lock(mutex);
@@ -113,30 +129,34 @@
   }
 };
 
+// A violation of a rule.
 struct Finding {
   std::string rule;
-  std::string what;
+  std::string what;  // the offending request, server or daemon, and what it did
 };
 
-// Every broken rule, by name.
+// Checks all rules and returns every violation. `trafficEnd` is the time at which the traffic
+// ended.
 std::vector<Finding> checkLedger(const Ledger& ledger, Instant trafficEnd);
 
-// RunStatistics of a run: the share of prompt tokens served from cache, times to first piece,
-// outcomes.
+// Statistics of a run: outcomes of calls, the share of prompt tokens found in the servers' caches,
+// and latencies.
 struct RunStatistics {
   std::size_t calls = 0, done = 0, rejected = 0, unknown = 0, cut = 0, noAnswer = 0,
               badRequests = 0;
   std::size_t runs = 0;
   double cachedShare = 0;
-  double longestSilenceMs = 0;  // between one finished answer and the next
+  double longestSilenceMs = 0;  // longest time between two completed answers
   double firstPieceMedianMs = 0, firstPiece95thMs = 0;
-  double longestDaemonSilenceMs = 0;  // of one daemon that nothing hinders
-  double longestStaleServingMs = 0;   // a version served after a newer one was acknowledged
+  double longestDaemonSilenceMs = 0;  // of a single daemon, outside its disruptions
+  double longestStaleServingMs = 0;   // longest use of a version after a newer one was acknowledged
 };
+// Computes the statistics of the run.
 RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd);
 
-// The rules on what operators change, in checker_configuration.cpp.
+// Checks the rules on configuration changes; part of checkLedger().
 void checkConfigurationChanges(const Ledger& ledger, std::vector<Finding>* findings);
+// The longest time for which a daemon served by a configuration after a newer one was acknowledged.
 Duration longestStaleServing(const Ledger& ledger);
 
 }  // namespace quayrill::fleet
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -137,7 +137,7 @@
     HttpRequest request(http::verb::post, "/v1/" + path->name, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
     request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
-    // Skewed towards low variants, as hot notices are.
+    // Low variants are more frequent, as some notices are requested far more often than others.
     const double skew = draw(1.0);
     const auto variant =
         static_cast<std::size_t>(skew * skew * static_cast<double>(path->variants));
@@ -219,7 +219,7 @@
   row.ended = BootClock::now();
   if (row.status == 200) {
     std::string body = parser.get().body();
-    // What follows the last whole line of a cut answer is no piece.
+    // An incomplete line at the end of a cut answer is not a piece.
     if (!row.complete)
       body.resize(body.rfind('\n') == std::string::npos ? 0 : body.rfind('\n') + 1);
     row.piecesValid = checkAnswerLines(body, &row);
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -45,7 +45,8 @@
     platform_->addServer(server.address.value, server.zone);
   }
   for (Daemon& daemon : daemons_) {
-    if (!startDaemon(&daemon, settings_.plan)) return absl::InternalError("fork failed");
+    if (!startDaemon(&daemon, settings_.plan))
+      return absl::InternalError("could not fork a process for a daemon");
   }
   loadGenerator_->start();
   return absl::OkStatus();
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -1,5 +1,6 @@
 #pragma once
-// One deployment on one machine: daemons, stand-ins, gateway and the operator's steps.
+// A whole deployment on one machine: daemons, stand-ins for everything outside, the load generator,
+// and the steps that inject faults and act as operators.
 #include <memory>
 
 #include "fleet/daemons.h"
@@ -9,6 +10,7 @@
 
 namespace quayrill::fleet {
 
+// The size and traffic of a deployment.
 struct LocalDeploymentSettings {
   FleetPlan plan;
   TrafficMix mix;
@@ -18,29 +20,39 @@
   std::uint64_t seed = 1;
 };
 
+// How an acknowledged configuration change reached the daemons.
 struct ChangeResult {
   std::uint64_t version = 0;
   Duration propagationTime{};      // from the acknowledgement to the last reachable daemon
-  bool inForceEverywhere = false;  // no daemon serves by an older configuration
-  bool notServing = false;         // some daemon serves nobody
+  bool inForceEverywhere = false;  // no daemon serves by an older configuration any more
+  bool notServing = false;         // some daemon was not serving callers
 };
 
+// Runs the processes and stand-ins of a deployment and performs the steps of a run.
 class LocalDeployment {
  public:
   LocalDeployment(asio::io_context& io, LocalDeploymentSettings settings);
+  // Starts the stand-ins, the daemons and the readiness polls.
   absl::Status start();
-  // Waits until every daemon is ready under a full replica set, having put the first configuration.
+  // Waits until all cores are in the replica set, then puts the first configuration and waits until
+  // every daemon is ready. Returns false if `limit` passes first.
   awaitable<bool> waitUntilReady(Duration limit);
+  // Sends traffic for `span` while performing the steps; then waits for open calls and steps to
+  // finish and records the final state.
   awaitable<void> runTraffic(Duration span, std::vector<Step> steps);
+  // Ends all daemons with SIGTERM, and with SIGKILL those that don't exit cleanly.
   void shutDown();
 
   Ledger& ledger() { return ledger_; }
   const std::vector<ChangeResult>& changes() const { return changes_; }
+  // Prints for each fault and change how many calls failed in the 8 s after it.
   void printFaultCosts();
+  // Prints for each tenant how many calls were answered, and their latency.
   void printTenants();
   Instant trafficEnd() const { return trafficEnd_; }
+  // How many daemons did not exit with status 0 on SIGTERM.
   int shutdownErrors() const { return shutdownErrors_; }
-  // What a daemon did not say of its changed settings file.
+  // Expected log lines on changed settings files that a daemon did not write in time.
   const std::vector<std::string>& settingsErrors() const { return settingsErrors_; }
 
  private:
@@ -58,7 +70,7 @@
   awaitable<void> runRacingOperator(std::string name, std::size_t through, std::size_t changes);
   awaitable<void> readFinalConfiguration();
   awaitable<void> refoundRegister(Daemon& daemon);
-  // Performs a daemon's fault beside others.
+  // Applies a daemon's fault concurrently.
   void spawnDaemonFault(const std::string& type, Daemon& daemon);
   void setPartition(const std::string& ip, const std::set<std::string>& others, bool inward,
                     bool cut);
@@ -89,7 +101,7 @@
   std::vector<std::string> settingsErrors_;
   std::size_t openSteps_ = 0;
   Instant majorityLostAt_{};           // when a majority of disks was emptied
-  std::set<std::string> busyDaemons_;  // names of those with a fault under way
+  std::set<std::string> busyDaemons_;  // names of the daemons with a fault in progress
 };
 
 }  // namespace quayrill::fleet
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -1,4 +1,4 @@
-// What operators do in a run, alone and against each other.
+// The actions of operators in a run, alone and concurrently.
 #include <algorithm>
 #include <iostream>
 
@@ -13,7 +13,7 @@
 constexpr Duration kPropagationBound = 2s;
 }  // namespace
 
-// The configuration that a proxy serves by, or nothing where it serves nobody.
+// The version of the configuration that a proxy serves by; nullopt if it is not ready.
 awaitable<std::optional<std::uint64_t>> LocalDeployment::servedVersion(Address callers) {
   HttpCall call;
   call.to = callers;
@@ -25,7 +25,8 @@
   co_return static_cast<std::uint64_t>(std::atoll(version.c_str()));
 }
 
-// Any live daemon takes the change; then each is asked until it has it in force.
+// Submits the change through the first daemon that takes it, then polls the others until all serve
+// by it.
 awaitable<void> LocalDeployment::applyChange(std::string patch,
                                              std::function<void(Instant)> onAcknowledged) {
   for (std::size_t attempt = 0; attempt < daemons_.size() * 2; ++attempt) {
@@ -64,7 +65,7 @@
       co_await pauseFor(10ms);
     }
     seen.propagationTime = BootClock::now() - acknowledgedAt;
-    // A daemon that serves nobody breaks no rule by not having heard.
+    // A daemon that is not serving may have an older configuration.
     std::string late;
     for (const Daemon& daemon : daemons_) {
       if (!waiting.contains(daemon.name)) continue;
@@ -128,8 +129,8 @@
   co_return;
 }
 
-// Each change adds one way, on top of what the operator's own daemon says is in force; it is tried
-// once. Now and then one is wrong on purpose.
+// Each change adds one path to the configuration that the operator's daemon reports, and is
+// attempted once. Some changes are invalid on purpose.
 awaitable<void> LocalDeployment::runRacingOperator(std::string name, std::size_t through,
                                                    std::size_t changes) {
   for (std::size_t i = 0; i < changes; ++i) {
@@ -145,7 +146,7 @@
     call.verb = http::verb::patch;
     call.target = "/q/spec?expect=" + (*known)["version"].dump();
     Json patch{{"ways", {{row.path, policy}}}};
-    if (i % 7 == 6) patch["ways"][std::string(2 << 20, 'x')] = policy;  // over every limit
+    if (i % 7 == 6) patch["ways"][std::string(2 << 20, 'x')] = policy;  // exceeds every size limit
     call.body = patch.dump();
     call.timeout = 8s;
     row.begun = BootClock::now();
@@ -174,7 +175,7 @@
   if (made.ok()) recordDisruption("", majorityLostAt_);
 }
 
-// What stands in the register after all of it.
+// Records the content of the register after the traffic.
 awaitable<void> LocalDeployment::readFinalConfiguration() {
   for (int attempt = 0; attempt < 40; ++attempt) {
     const Daemon& daemon = daemons_[static_cast<std::size_t>(attempt) % daemons_.size()];
@@ -192,7 +193,7 @@
   }
 }
 
-// How each tenant fared, for runs in which one asks for too much.
+// Shows how one tenant's overload affects the others.
 void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
@@ -218,7 +219,7 @@
   });
 }
 
-// For each fault and change: what became of the calls begun in the eight seconds after it.
+// Counts the calls begun in the 8 s after each fault and change that were rejected or failed.
 void LocalDeployment::printFaultCosts() {
   ledger_.withLock([&](Ledger& ledger) {
     for (const auto& [at, text] : ledger.notes) {
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -1,4 +1,4 @@
-// quayrill-local: a whole deployment on one machine, with stand-ins for all that is outside.
+// quayrill-local: runs a whole deployment on one machine, with stand-ins for everything outside it.
 #include <docopt/docopt.h>
 
 #include <csignal>
--- a/src/fleet/random_steps.cpp
+++ b/src/fleet/random_steps.cpp
@@ -1,4 +1,4 @@
-// Steps drawn from a seed.
+// Random steps for chaos runs.
 #include <random>
 
 #include "fleet/steps.h"
@@ -6,8 +6,9 @@
 namespace quayrill::fleet {
 
 namespace {
-// Never drawn: planted errors, and what leaves the fleet with fewer servers for good too often.
-// What is not drawn has runs of its own; a new step would also make another run of every seed.
+// Excludes planted errors, and steps that would too often leave the fleet with fewer servers for
+// good. The other excluded steps have tests of their own; drawing them would also change the run of
+// every seed.
 bool isDrawnAtRandom(const std::string& type) {
   return type != "repeat-piece" && type != "vanish-server" && type != "leave-server" &&
          type != "withdraw" && type != "ways" && type != "flood" && type != "wipe-cores" &&
@@ -30,11 +31,11 @@
   std::vector<Step> steps;
   bool diskLost = false, released = false;
   std::size_t weights = 0;
-  // The last quarter is quiet, so that every bound can run out within the run.
+  // No steps in the last quarter, so that every time limit can expire within the run.
   for (double at = 1; at < seconds * 0.75; at += 0.3 + static_cast<double>(random() % 300) / 100) {
     const Row& row = rows[random() % rows.size()];
     Step step{row.type, "", static_cast<double>(static_cast<int>(at * 10)) / 10};
-    // One disk at a time may be lost, and the replica set needs half a minute to be whole again.
+    // Only one disk may be lost at a time, and the replica set takes half a minute to recover.
     if (step.type == "wipe-core") {
       if (diskLost) continue;
       diskLost = true;
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -125,7 +125,8 @@
       200, {{"identity", identity_}, {"first", first}, {"next", next}, {"events", rows}});
 }
 
-// An order stays open for a while, so that two holders' orders can be seen to overlap.
+// An order stays open for a while, so that the checker can detect overlapping orders of two lease
+// holders.
 awaitable<HttpResponse> StandInServer::handleWeightsOrder(HttpRequest& request, Address from) {
   const Json json = Json::parse(request.body(), nullptr, false);
   if (!json.is_object()) co_return textResponse(400, "no JSON\n");
@@ -147,7 +148,7 @@
   co_return jsonResponse(200, Json::object());
 }
 
-// Returns when the server is not frozen any more.
+// Waits until the server is no longer frozen.
 awaitable<void> StandInServer::waitWhileFrozen() {
   while (faults_.frozen) co_await pauseFor(20ms);
 }
@@ -173,7 +174,7 @@
     run->foreignWeights = run->foreignWeights || block->second.weights != run->weights;
     run->foreignSalt = run->foreignSalt || block->second.salt != run->salt;
   }
-  // Last block first, so that a chain is evicted from its end.
+  // Last block first, so that chains are evicted from their end.
   for (std::size_t i = held; i-- > 0;)
     lruOrder_.splice(lruOrder_.end(), lruOrder_, cache_.at(chain[i]).lruPosition);
   return held;
@@ -237,7 +238,7 @@
   return jsonResponse(200, {{"weights", weights}});
 }
 
-// Takes over what the source has, whatever weights made it: neither end checks.
+// Stores the blocks that the source has, under whichever weights: neither side checks them.
 awaitable<HttpResponse> StandInServer::handlePull(HttpRequest& request) {
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -1,6 +1,6 @@
 #pragma once
-// A stand-in model server: it speaks the wire, keeps a cache by blocks, and logs what it really
-// did.
+// A stand-in model server: implements the HTTP protocol of model servers, simulates a cache of
+// prompt blocks, and records in the ledger what it ran.
 #include <deque>
 #include <list>
 #include <memory>
@@ -12,6 +12,7 @@
 
 namespace quayrill::fleet {
 
+// Capacity and speed of a stand-in server.
 struct StandInServerSettings {
   Address address;
   std::string zone, model = "till", weights = "w0";
@@ -22,29 +23,32 @@
   Address store;
 };
 
-// Errors that a run can switch on, to show that a checker trips.
+// Faults that a run can inject. repeatPiece violates the protocol, to show that the checker detects
+// it.
 struct StandInFaults {
   bool dropMidStream = false;    // closes after some pieces
-  bool dropBeforeFirst = false;  // runs, then closes with no answer
+  bool dropBeforeFirst = false;  // runs the request, then closes without an answer
   bool repeatPiece = false;      // sends one piece twice
-  bool silent = false;           // takes connections and answers nothing
-  bool frozen = false;           // stops in the middle of everything, connections open
-  bool eventsLate = false;       // cache events are told seconds after they happened
-  bool eventsLost = false;       // the oldest half of the events told is forgotten
-  bool eventsDoubled = false;    // events come twice and in reverse order
+  bool silent = false;           // accepts connections but answers nothing
+  bool frozen = false;           // stops at any point of its work and keeps connections open
+  bool eventsLate = false;       // withholds the newest cache events
+  bool eventsLost = false;       // discards the older half of the retained events at each read
+  bool eventsDoubled = false;    // delivers events twice and in reverse order
 };
 
 using BlockHash = std::uint64_t;
-// The chain of block names of a prefix under a salt; a stand-in's own reckoning.
+// The hashes of a prefix's blocks under a salt, each chained to the one before. Computed
+// independently of the daemons.
 std::vector<BlockHash> blockChainOf(const std::string& salt, const PromptPrefix& prefix,
                                     std::size_t blockTokens);
 
+// A model server that can crash and restart. Runs on the single thread of `io`.
 class StandInServer {
  public:
   StandInServer(asio::io_context& io, StandInServerSettings settings, Ledger& ledger);
   absl::Status start();
-  void crash();    // drops every connection and the listener, forgets all
-  void restart();  // comes back empty, under a new identity
+  void crash();    // closes the listener and loses all state
+  void restart();  // starts again with an empty cache and a new identity
   void setFaults(const StandInFaults& faults) { faults_ = faults; }
   void slowLinks(bool slow) { slowLinks_ = slow; }
   const std::string& weights() const { return weights_; }
@@ -55,7 +59,7 @@
  private:
   struct Block {
     std::string weights, salt;
-    std::shared_ptr<const PromptPrefix> prefix;  // it ends block number `index` of this prefix
+    std::shared_ptr<const PromptPrefix> prefix;  // the block is number `index` of this prefix
     std::size_t index = 0;
     std::list<BlockHash>::iterator lruPosition;
   };
@@ -80,19 +84,20 @@
   StandInServerSettings settings_;
   Ledger& ledger_;
   std::unique_ptr<HttpServer> server_;
-  std::vector<std::unique_ptr<HttpServer>> retired_;  // coroutines of a crashed life still name it
+  std::vector<std::unique_ptr<HttpServer>>
+      retired_;  // coroutines of earlier incarnations refer to it
   StandInFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
-  // All below is of this life, touched on io_'s single thread.
+  // Everything below is state of the present incarnation, accessed only on io_'s thread.
   std::uint64_t incarnation_ = 0;
   std::string identity_, weights_;
   bool loading_ = false, down_ = false;
   std::size_t running_ = 0, queued_ = 0;
   std::uint64_t highestFence_ = 0, runs_ = 0, nextEvent_ = 1;
   std::unordered_map<BlockHash, Block> cache_;
-  std::list<BlockHash> lruOrder_;  // oldest first; holds exactly the names in cache_
+  std::list<BlockHash> lruOrder_;  // least recently used first; exactly the keys of cache_
   std::deque<nlohmann::json>
-      evictionEvents_;  // events from nextEvent_ - size() on, at most kEventLimit
+      evictionEvents_;  // the events from position nextEvent_ - size() on, at most kEventLimit
   static constexpr std::size_t kEventLimit = 4000;
 };
 
--- a/src/fleet/stand_in_services.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -65,7 +65,7 @@
     }
     co_return jsonResponse(200, {{"tokens", held * blockTokens_}});
   }
-  Json blocks = Json::array();  // /kv-read: gives whatever it has
+  Json blocks = Json::array();  // /kv-read: returns blocks under any weights
   for (const BlockHash name : chain) {
     const auto row = storedWeights_.find(name);
     if (row == storedWeights_.end()) break;
@@ -126,7 +126,8 @@
   const std::string from = line.substr(0, blank);
   const std::string to = line.substr(blank + 1, end - blank - 1);
   std::string pending = line.substr(end + 1);
-  // A cut swallows: the sender's connection stays open and nothing arrives, as on a lost route.
+  // Data over a cut connection is discarded while the sender's side stays open, as on a failed
+  // network path.
   Connection upstream(io_);
   const Tcp::endpoint endpoint = endpointOf(Address{to});
   upstream.expires_after(2s);
@@ -137,7 +138,7 @@
       upstream.close();
       client.expires_after(60s);
       co_await client.async_read_some(asio::buffer(block), into(code));
-      if (!isCut(from, to)) co_return;  // healed: the sender opens a fresh connection
+      if (!isCut(from, to)) co_return;  // the cut has ended: the sender opens a new connection
       continue;
     }
     if (!pending.empty()) {
--- a/src/fleet/stand_in_services.h
+++ b/src/fleet/stand_in_services.h
@@ -1,5 +1,5 @@
 #pragma once
-// The stand-in store and platform list of one deployment.
+// Stand-ins for the store and the platform's server list, and the relay between daemons.
 #include <map>
 #include <memory>
 #include <set>
@@ -8,6 +8,7 @@
 
 namespace quayrill::fleet {
 
+// A cache store for prompt prefixes. It keeps only which blocks it holds, not their contents.
 class StandInStore {
  public:
   StandInStore(asio::io_context& io, Address address, std::size_t blockTokens);
@@ -22,11 +23,13 @@
   std::size_t blockTokens_;
   bool down_ = false;
   Duration delay_{};
-  std::set<std::string> cuts_;                      // callers that get no answer, by ip
-  std::map<BlockHash, std::string> storedWeights_;  // block to the weights that made it last
+  std::set<std::string> cuts_;  // IP addresses of callers that get no answer
+  std::map<BlockHash, std::string>
+      storedWeights_;  // by block: the weights under which it was last stored
   std::unique_ptr<HttpServer> server_;
 };
 
+// The platform's list of model servers.
 class StandInPlatform {
  public:
   StandInPlatform(asio::io_context& io, Address address);
@@ -45,13 +48,15 @@
   }
 
  private:
-  std::map<std::string, std::pair<std::string, bool>> servers_;  // server to zone and leaving
+  std::map<std::string, std::pair<std::string, bool>>
+      servers_;  // by server: its zone, and whether it is leaving
   bool down_ = false;
   std::set<std::string> cuts_;
   std::unique_ptr<HttpServer> server_;
 };
 
-// A relay for peer connections. Cuts close what is open and refuse what is new, each way by itself.
+// A relay for the connections between daemons, which can be cut separately in each direction. Data
+// sent over a cut connection is discarded, as on a failed network path.
 class Relay {
  public:
   Relay(asio::io_context& io, Address address)
@@ -67,7 +72,8 @@
   asio::io_context& io_;
   Address address_;
   Tcp::acceptor acceptor_;
-  std::set<std::pair<std::string, std::string>> cuts_;  // by ip number
+  std::set<std::pair<std::string, std::string>>
+      cuts_;  // pairs of sender's and receiver's IP address
 };
 
 }  // namespace quayrill::fleet
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -1,4 +1,4 @@
-// The steps of a run: faults, and what operators and the platform do.
+// Parses, formats and dispatches the steps of a run.
 #include "fleet/steps.h"
 
 #include <sstream>
@@ -28,7 +28,8 @@
     const auto at = item.find('@');
     if (colon == std::string::npos || at == std::string::npos || at < colon ||
         !isKnownStep(item.substr(0, colon))) {
-      *error = "'" + item + "' is no step: write STEP:ARGUMENT@SECOND, one of";
+      *error = "'" + item +
+               "' is not a valid step; expected STEP:ARGUMENT@SECOND with one of these steps:";
 #define QUAYRILL_LIST(step, target, help) *error += std::string("\n  ") + step + " (" + help + ")";
       QUAYRILL_STEPS(QUAYRILL_LIST)
 #undef QUAYRILL_LIST
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -1,4 +1,5 @@
-// Each rule of the outside checker is tripped by a ledger with that one error planted.
+// Tests of the checker: each rule is violated by a ledger with one planted error, and by nothing
+// else.
 #include <catch2/catch.hpp>
 
 #include "fleet/ledger.h"
@@ -38,7 +39,7 @@
     ledger.runs.push_back(run(nonce));
     ledger.arrivals.push_back({nonce, kStart + std::chrono::milliseconds(50 * i)});
   }
-  // A quiet rest of the run, in which daemon and way go on serving.
+  // Low traffic in the rest of the run, so that the daemon and the path keep serving.
   ledger.trafficStart = kStart;
   ledger.daemons = {"d"};
   for (int second = 5; second < 60; second += 5) {
@@ -128,9 +129,9 @@
       if (finalWeights == "w3") ledger.weightsLoadedAt["w3"]["s"] = kStart + 44s;
     });
   };
-  CHECK(named(24s, "w3").empty());  // w1 was passed over for w2
+  CHECK(named(24s, "w3").empty());  // w1 was skipped for w2
   CHECK(named(26s, "w3") == "weights-bound");
-  CHECK(named(24s, "w2") == "weights-bound");  // w3 never came
+  CHECK(named(24s, "w2") == "weights-bound");  // w3 was never loaded
   const auto ran = [](const std::string& weights, Duration after) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
@@ -151,7 +152,7 @@
     "checker: one daemon or one way that never serves again is found, a hindered one is not") {
   const auto silent = [](auto error) {
     return rulesBroken([=](Ledger& ledger) {
-      // Daemon e serves until second 20 and then no more, though others do.
+      // Daemon e serves until second 20 and then stops, while others continue.
       ledger.daemons.insert("e");
       for (int second = 0; second <= 20; second += 5) {
         const std::string nonce = "e" + std::to_string(second);
@@ -232,7 +233,7 @@
           ledger.orders = {{"s", "w1", 4, true, kStart, kStart},
                            {"s", "w1", 3, false, kStart + 1s, kStart + 1s}};
         }).empty());
-  // Rising fences, but the older holder's order is still open when the newer one's comes.
+  // Fences rise, but the older holder's order is still open when the newer one's arrives.
   const auto overlapping = [](Duration open, std::uint64_t second) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.orders = {{"s", "w1", 3, true, kStart, kStart + open},
@@ -247,11 +248,12 @@
       for (int i = 0; i < extras; ++i) ledger.arrivals.push_back({"n0", kStart + 475ms});
     });
   };
-  // Ten first sends before them, ten after: either alone must bear them.
+  // There are ten first tries before the extra ones and ten after; either window must keep the
+  // ratio.
   CHECK(tries(2).empty());
   CHECK(tries(3) == "extra-tries");
-  // A window that starts at an extra try sees none of the traffic that paid for it; one that would
-  // end after the run is not whole.
+  // A window that starts at an extra try doesn't include the first tries before it; a window that
+  // would end after the run is not checked.
   const auto late = [](Duration at) {
     return rulesBroken([=](Ledger& ledger) { ledger.arrivals.push_back({"n1", kStart + at}); });
   };
