--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -59,7 +59,7 @@
   }
   if (ledger.finalVersion == 0) return;
   std::map<std::uint64_t, std::string> pathOfVersion;
-  for (const ConfigurationChangeRow& row : ledger.operators) {
+  for (const ConfigurationChangeRow& row : ledger.configurationChanges) {
     const bool tookEffect = ledger.finalPaths.contains(row.path);
     if (row.status == 200 && !tookEffect)
       findings->push_back({"acknowledged-lost", row.path + " was acknowledged and is gone"});
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -187,7 +187,7 @@
     return rulesBroken([=](Ledger& ledger) {
       ledger.finalVersion = 9;
       if (tookEffect) ledger.finalPaths = {"added"};
-      ledger.operators = {{"added", "d", status, 7, kStart, kStart + 1s}};
+      ledger.configurationChanges = {{"added", "d", status, 7, kStart, kStart + 1s}};
     });
   };
   CHECK(reported(200, true).empty());
@@ -200,12 +200,12 @@
     CHECK(reported(status, true).empty());
     CHECK(reported(status, false).empty());
   }
-  CHECK(
-      rulesBroken([](Ledger& ledger) {
-        ledger.finalVersion = 9;
-        ledger.finalPaths = {"a", "b"};
-        ledger.operators = {{"a", "d", 200, 7, kStart, kStart}, {"b", "d", 200, 7, kStart, kStart}};
-      }) == "acknowledged-lost");
+  CHECK(rulesBroken([](Ledger& ledger) {
+          ledger.finalVersion = 9;
+          ledger.finalPaths = {"a", "b"};
+          ledger.configurationChanges = {{"a", "d", 200, 7, kStart, kStart},
+                                         {"b", "d", 200, 7, kStart, kStart}};
+        }) == "acknowledged-lost");
   CHECK(rulesBroken([](Ledger& ledger) {
           ledger.finalVersion = 9;
           ledger.acknowledged = {{kStart, 10}};
