--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -184,7 +184,7 @@
 // Requests that a daemon had accepted at SIGTERM, or accepted before it stopped listening, must be
 // answered completely.
 void checkPlannedRestarts(const Ledger& ledger, std::vector<Finding>* findings) {
-  for (const PlannedRestartRow& planned : ledger.planned) {
+  for (const PlannedRestartRow& planned : ledger.plannedRestarts) {
     for (const CallRow& call : ledger.calls) {
       if (call.daemon != planned.daemon || !call.accepted) continue;
       if (ledger.abortedByServer.contains(call.nonce)) continue;  // no daemon can prevent this
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -34,7 +34,7 @@
 Duration longestStaleServing(const Ledger& ledger) {
   const auto floors = acknowledgedFloors(ledger);
   Duration slowest{};
-  for (const ServedVersionRow& row : ledger.served) {
+  for (const ServedVersionRow& row : ledger.servedVersions) {
     const auto superseded = supersededAt(floors, row.version);
     if (superseded && row.at > *superseded) slowest = std::max(slowest, row.at - *superseded);
   }
@@ -44,7 +44,7 @@
 void checkConfigurationChanges(const Ledger& ledger, std::vector<Finding>* findings) {
   const auto floors = acknowledgedFloors(ledger);
   std::map<std::string, std::uint64_t> highest;
-  for (const ServedVersionRow& row : ledger.served) {
+  for (const ServedVersionRow& row : ledger.servedVersions) {
     std::uint64_t& top = highest[row.daemon];
     if (row.version < top)
       findings->push_back({"slipped-back", row.daemon + " served by configuration " +
--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -65,7 +65,7 @@
   }
   if (status != 0) ++shutdownErrors_;
   ledger_.withLock([&](Ledger& ledger) {
-    ledger.planned.push_back({daemon.callers.value, begun, BootClock::now()});
+    ledger.plannedRestarts.push_back({daemon.callers.value, begun, BootClock::now()});
   });
   startDaemon(&daemon, settings_.plan);
   recordDisruption(daemon.callers.value, begun);
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -98,11 +98,11 @@
   std::vector<CallRow> calls;
   std::vector<OrderRow> orders;
   std::vector<ArrivalRow> arrivals;
-  std::vector<PlannedRestartRow> planned;
+  std::vector<PlannedRestartRow> plannedRestarts;
   std::set<std::string> abortedByServer;  // nonces of runs that a server aborted
   std::vector<DisruptionRow> disruptions;
-  std::vector<ConfigurationChangeRow> operators;
-  std::vector<ServedVersionRow> served;
+  std::vector<ConfigurationChangeRow> configurationChanges;
+  std::vector<ServedVersionRow> servedVersions;
   std::set<std::string> daemons;     // all daemons, by their address for callers
   std::set<std::string> finalPaths;  // of the settled configuration after the traffic
   std::uint64_t finalVersion = 0;    // of that configuration; 0: could not be read
@@ -116,7 +116,8 @@
   // When a change to these weights was acknowledged.
   std::map<std::string, Instant> weightsConfiguredAt;
   std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // by weights, then server
-  std::vector<std::pair<Instant, std::string>> notes;  // faults and operator steps, for the report
+  std::vector<std::pair<Instant, std::string>>
+      stepNotes;  // faults and operator steps, for the report
   // The weights of the servers that are up and listed as live at the end.
   std::map<std::string, std::string> finalServers;
   std::map<std::string, Instant> restartedAt;  // when a server last restarted
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -76,7 +76,7 @@
     if (daemons_[daemon].ready) {
       const std::string version((*response)["Quayrill-Spec-Version"]);
       ledger_.withLock([&](Ledger& ledger) {
-        ledger.served.push_back(
+        ledger.servedVersions.push_back(
             {daemons_[daemon].callers.value, std::stoull("0" + version), askedAt});
       });
     }
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -22,7 +22,7 @@
 }
 
 void LocalDeployment::note(const std::string& text) {
-  ledger_.withLock([&](Ledger& ledger) { ledger.notes.emplace_back(BootClock::now(), text); });
+  ledger_.withLock([&](Ledger& ledger) { ledger.stepNotes.emplace_back(BootClock::now(), text); });
   std::cout << "  " << text << std::endl;
 }
 
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -158,7 +158,7 @@
         row.version = Json::parse(response->body())["version"].get<std::uint64_t>();
     }
     ledger_.withLock([&](Ledger& ledger) {
-      ledger.operators.push_back(row);
+      ledger.configurationChanges.push_back(row);
       if (row.status == 200) ledger.acknowledged.emplace_back(row.ended, row.version);
     });
   }
@@ -222,7 +222,7 @@
 // Counts the calls begun in the 8 s after each fault and change that were rejected or failed.
 void LocalDeployment::printFaultCosts() {
   ledger_.withLock([&](Ledger& ledger) {
-    for (const auto& [at, text] : ledger.notes) {
+    for (const auto& [at, text] : ledger.stepNotes) {
       std::size_t calls = 0, rejected = 0, failed = 0;
       for (const CallRow& call : ledger.calls) {
         if (call.begun < at || call.begun > at + 8s) continue;
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -213,14 +213,14 @@
   const auto served = [](std::uint64_t version, Duration after) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.acknowledged = {{kStart, 5}};
-      ledger.served = {{"d", version, kStart + after}};
+      ledger.servedVersions = {{"d", version, kStart + after}};
     });
   };
   CHECK(served(4, 1900ms).empty());
   CHECK(served(4, 2100ms) == "in-force");
   CHECK(served(5, 2100ms).empty());
   CHECK(rulesBroken([](Ledger& ledger) {
-          ledger.served = {{"d", 5, kStart}, {"e", 4, kStart}, {"d", 4, kStart + 1s}};
+          ledger.servedVersions = {{"d", 5, kStart}, {"e", 4, kStart}, {"d", 4, kStart + 1s}};
         }) == "slipped-back");
 }
 
@@ -261,7 +261,7 @@
   CHECK(late(55s).empty());
   const auto restart = [](int status, bool accepted) {
     return rulesBroken([=](Ledger& ledger) {
-      ledger.planned = {{"d", kStart - 1s, kStart + 1s}};
+      ledger.plannedRestarts = {{"d", kStart - 1s, kStart + 1s}};
       ledger.calls.push_back(call("dropped", status));
       ledger.calls.back().accepted = accepted;
       if (status == 200) {
@@ -274,7 +274,7 @@
   CHECK(restart(200, true) == "planned-restart");
   CHECK(restart(0, false).empty());
   CHECK(rulesBroken([](Ledger& ledger) {
-          ledger.planned = {{"d", kStart - 1s, kStart + 1s}};
+          ledger.plannedRestarts = {{"d", kStart - 1s, kStart + 1s}};
           ledger.calls.push_back(call("dropped"));
           ledger.calls.back().complete = false;
           ledger.runs.push_back(run("dropped"));
