--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -14,16 +14,16 @@
 
 std::vector<Daemon> planDaemons(const FleetPlan& plan) {
   std::vector<Daemon> daemons;
-  const std::string stem = "127." + std::to_string(plan.net) + ".";
+  const std::string networkPrefix = "127." + std::to_string(plan.net) + ".";
   std::vector<Address> seeds;
   for (std::size_t i = 0; i < std::min<std::size_t>(3, plan.cores); ++i)
-    seeds.push_back(Address{stem + "1." + std::to_string(i + 1) + ":7100"});
+    seeds.push_back(Address{networkPrefix + "1." + std::to_string(i + 1) + ":7100"});
   for (std::size_t i = 0; i < plan.cores + plan.edges; ++i) {
     const bool core = i < plan.cores;
     const std::size_t number = core ? i + 1 : i - plan.cores + 1;
     Daemon daemon;
     daemon.name = (core ? "core" : "edge") + std::to_string(number);
-    const std::string ip = stem + (core ? "1." : "2.") + std::to_string(number);
+    const std::string ip = networkPrefix + (core ? "1." : "2.") + std::to_string(number);
     daemon.peer = Address{ip + ":7100"};
     daemon.operators = Address{ip + ":7101"};
     daemon.callers = Address{ip + ":7102"};
--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -10,10 +10,10 @@
 
 LocalDeployment::LocalDeployment(asio::io_context& io, LocalDeploymentSettings settings)
     : io_(io), settings_(std::move(settings)) {
-  const std::string stem = "127." + std::to_string(settings_.plan.net) + ".";
-  settings_.plan.platform = Address{stem + "4.1:7200"};
-  settings_.plan.store = Address{stem + "4.2:7200"};
-  settings_.plan.relay = Address{stem + "4.3:7200"};
+  const std::string networkPrefix = "127." + std::to_string(settings_.plan.net) + ".";
+  settings_.plan.platform = Address{networkPrefix + "4.1:7200"};
+  settings_.plan.store = Address{networkPrefix + "4.2:7200"};
+  settings_.plan.relay = Address{networkPrefix + "4.3:7200"};
   daemons_ = planDaemons(settings_.plan);
   std::vector<Address> callers;
   for (const Daemon& daemon : daemons_) callers.push_back(daemon.callers);
@@ -27,7 +27,7 @@
 }
 
 absl::Status LocalDeployment::start() {
-  const std::string stem = "127." + std::to_string(settings_.plan.net) + ".";
+  const std::string networkPrefix = "127." + std::to_string(settings_.plan.net) + ".";
   platform_ = std::make_unique<StandInPlatform>(io_, settings_.plan.platform);
   store_ = std::make_unique<StandInStore>(io_, settings_.plan.store, 16);
   relay_ = std::make_unique<Relay>(io_, settings_.plan.relay);
@@ -36,7 +36,7 @@
   }
   for (std::size_t i = 0; i < settings_.servers; ++i) {
     StandInServerSettings server;
-    server.address = Address{stem + "3." + std::to_string(i + 1) + ":7300"};
+    server.address = Address{networkPrefix + "3." + std::to_string(i + 1) + ":7300"};
     server.zone = "zone" + std::to_string(i % 4);
     server.store = settings_.plan.store;
     server.cacheTokens = settings_.cacheTokens;
