--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -70,26 +70,27 @@
 }
 
 awaitable<bool> LocalDeployment::waitUntilReady(Duration limit) {
-  const Instant until = BootClock::now() + limit;
-  bool put = false;
-  while (BootClock::now() < until) {
-    std::size_t full = 0, ready = 0;
+  const Instant deadline = BootClock::now() + limit;
+  bool isConfigured = false;
+  while (BootClock::now() < deadline) {
+    std::size_t completeSets = 0, ready = 0;
     for (const Daemon& daemon : daemons_) {
       const auto members =
           co_await callOperatorApi(daemon.operators, http::verb::get, "/q/members", "");
       if (!members.ok()) continue;
       const Json& replicas = (*members)["copies"];
-      if (replicas["settled"] == true && replicas["members"].size() == settings_.plan.cores) ++full;
+      if (replicas["settled"] == true && replicas["members"].size() == settings_.plan.cores)
+        ++completeSets;
     }
-    if (full == daemons_.size() && !put) {
+    if (completeSets == daemons_.size() && !isConfigured) {
       const std::string configuration = configurationOf(settings_.mix, "w0");
-      const auto done = co_await callOperatorApi(daemons_.back().operators, http::verb::put,
-                                                 "/q/spec?expect=0", configuration);
-      put = done.ok();
-      if (!put) std::cout << "  first spec: " << done.status() << std::endl;
+      const auto response = co_await callOperatorApi(
+          daemons_.back().operators, http::verb::isConfigured, "/q/spec?expect=0", configuration);
+      isConfigured = response.ok();
+      if (!isConfigured) std::cout << "  first spec: " << response.status() << std::endl;
     }
     for (const DaemonTarget& target : loadGenerator_->daemons()) ready += target.ready ? 1 : 0;
-    if (put && ready == daemons_.size()) co_return true;
+    if (isConfigured && ready == daemons_.size()) co_return true;
     co_await pauseFor(100ms);
   }
   co_return false;
@@ -101,15 +102,15 @@
     asio::co_spawn(io_, perform(std::move(step)), asio::detached);
   }
   co_await loadGenerator_->sendTraffic(span, settings_.rateFactor);
-  const Instant patience = BootClock::now() + 60s;
-  while ((loadGenerator_->openCalls() > 0 || openSteps_ > 0) && BootClock::now() < patience)
+  const Instant deadline = BootClock::now() + 60s;
+  while ((loadGenerator_->openCalls() > 0 || openSteps_ > 0) && BootClock::now() < deadline)
     co_await pauseFor(20ms);
   trafficEnd_ = BootClock::now();
   co_await readFinalConfiguration();
   for (const auto& server : servers_) {
     const std::string name = server->settings().address.value;
-    const bool stays = server->isUp() && platform_->isLive(name);
-    if (stays)
+    const bool isLive = server->isUp() && platform_->isLive(name);
+    if (isLive)
       ledger_.withLock([&](Ledger& ledger) { ledger.finalServers[name] = server->weights(); });
   }
 }
