--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -70,14 +70,14 @@
     call.to = daemons_[daemon].callers;
     call.target = "/readyz";
     call.timeout = 500ms;
-    const Instant askedAt = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
     daemons_[daemon].ready = response.ok() && response->result_int() == 200;
     if (daemons_[daemon].ready) {
       const std::string version((*response)["Quayrill-Spec-Version"]);
       ledger_.withLock([&](Ledger& ledger) {
         ledger.servedVersions.push_back(
-            {daemons_[daemon].callers.value, std::stoull("0" + version), askedAt});
+            {daemons_[daemon].callers.value, std::stoull("0" + version), requestedAt});
       });
     }
     co_await pauseFor(250ms);
@@ -86,32 +86,32 @@
 
 awaitable<void> LoadGenerator::sendTraffic(Duration span, double rateFactor,
                                            std::string onlyTenant) {
-  const Instant until = BootClock::now() + span;
+  const Instant end = BootClock::now() + span;
   ledger_.withLock([&](Ledger& ledger) {
     if (ledger.trafficStart == Instant{}) ledger.trafficStart = BootClock::now();
     for (const DaemonTarget& daemon : daemons_) ledger.daemons.insert(daemon.callers.value);
   });
-  const std::chrono::duration<double> every(1.0 / (mix_.rate * rateFactor));
-  Instant next = BootClock::now();
+  const std::chrono::duration<double> interval(1.0 / (mix_.rate * rateFactor));
+  Instant nextSendAt = BootClock::now();
   const auto draw = [&](double below) {
     return std::uniform_real_distribution<>(0, below)(random_);
   };
-  while (BootClock::now() < until) {
-    next += std::chrono::duration_cast<Duration>(every);
-    if (next > BootClock::now()) co_await pauseFor(next - BootClock::now());
+  while (BootClock::now() < end) {
+    nextSendAt += std::chrono::duration_cast<Duration>(interval);
+    if (nextSendAt > BootClock::now()) co_await pauseFor(nextSendAt - BootClock::now());
     if (openCalls_ >= kMaxOpenCalls) continue;
-    double point = draw(1.0);
+    double remainingShare = draw(1.0);
     const PathMix* path = &mix_.paths.back();
     for (const PathMix& candidate : mix_.paths) {
-      if ((point -= candidate.share) < 0) {
+      if ((remainingShare -= candidate.share) < 0) {
         path = &candidate;
         break;
       }
     }
-    point = draw(1.0);
+    remainingShare = draw(1.0);
     std::string tenant = mix_.tenants.back().first;
     for (const auto& [name, share] : mix_.tenants) {
-      if ((point -= share) < 0) {
+      if ((remainingShare -= share) < 0) {
         tenant = name;
         break;
       }
