--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -32,54 +32,54 @@
   for (std::size_t attempt = 0; attempt < daemons_.size() * 2; ++attempt) {
     const Daemon& entryDaemon = daemons_[(attempt * 5 + 2) % daemons_.size()];
     if (entryDaemon.pid == 0) continue;
-    const auto before =
+    const auto current =
         co_await callOperatorApi(entryDaemon.operators, http::verb::get, "/q/spec?settled=1", "");
-    if (!before.ok()) continue;
-    const std::string target = "/q/spec?expect=" + (*before)["version"].dump();
-    const auto done =
+    if (!current.ok()) continue;
+    const std::string target = "/q/spec?expect=" + (*current)["version"].dump();
+    const auto response =
         co_await callOperatorApi(entryDaemon.operators, http::verb::patch, target, patch);
-    if (!done.ok()) {
-      note("change through " + entryDaemon.name + ": " + std::string(done.status().message()));
+    if (!response.ok()) {
+      note("change through " + entryDaemon.name + ": " + std::string(response.status().message()));
       continue;
     }
     const Instant acknowledgedAt = BootClock::now();
     onAcknowledged(acknowledgedAt);
-    ChangeResult seen;
-    seen.version = (*done)["version"].get<std::uint64_t>();
+    ChangeResult result;
+    result.version = (*response)["version"].get<std::uint64_t>();
     ledger_.withLock(
-        [&](Ledger& ledger) { ledger.acknowledged.emplace_back(acknowledgedAt, seen.version); });
-    std::set<std::string> waiting;
-    for (const Daemon& daemon : daemons_) waiting.insert(daemon.name);
-    std::string notServing;
-    while (!waiting.empty() && BootClock::now() < acknowledgedAt + kPropagationBound) {
-      notServing.clear();
+        [&](Ledger& ledger) { ledger.acknowledged.emplace_back(acknowledgedAt, result.version); });
+    std::set<std::string> pending;
+    for (const Daemon& daemon : daemons_) pending.insert(daemon.name);
+    std::string unavailable;
+    while (!pending.empty() && BootClock::now() < acknowledgedAt + kPropagationBound) {
+      unavailable.clear();
       for (const Daemon& daemon : daemons_) {
-        if (!waiting.contains(daemon.name)) continue;
-        const auto state = co_await servedVersion(daemon.callers);
-        if (!state) {
-          notServing += " " + daemon.name;
-        } else if (*state >= seen.version) {
-          waiting.erase(daemon.name);
+        if (!pending.contains(daemon.name)) continue;
+        const auto version = co_await servedVersion(daemon.callers);
+        if (!version) {
+          unavailable += " " + daemon.name;
+        } else if (*version >= result.version) {
+          pending.erase(daemon.name);
         }
       }
       co_await pauseFor(10ms);
     }
-    seen.propagationTime = BootClock::now() - acknowledgedAt;
+    result.propagationTime = BootClock::now() - acknowledgedAt;
     // A daemon that is not serving may have an older configuration.
-    std::string late;
+    std::string staleDaemons;
     for (const Daemon& daemon : daemons_) {
-      if (!waiting.contains(daemon.name)) continue;
-      const auto state = co_await servedVersion(daemon.callers);
-      if (state && *state < seen.version) late += " " + daemon.name;
+      if (!pending.contains(daemon.name)) continue;
+      const auto version = co_await servedVersion(daemon.callers);
+      if (version && *version < result.version) staleDaemons += " " + daemon.name;
     }
-    seen.inForceEverywhere = late.empty();
-    seen.notServing = !waiting.empty();
-    changes_.push_back(seen);
-    note("configuration " + std::to_string(seen.version) + " through " + entryDaemon.name + ", " +
-         (!late.empty() ? "SERVED WITHOUT IT by" + late
-          : !waiting.empty()
-              ? "in force wherever served; not serving:" + notServing
-              : "in force everywhere after " + std::to_string(seen.propagationTime / 1ms) + " ms"));
+    result.inForceEverywhere = staleDaemons.empty();
+    result.unavailable = !pending.empty();
+    changes_.push_back(result);
+    note("configuration " + std::to_string(result.version) + " through " + entryDaemon.name + ", " +
+         (!staleDaemons.empty() ? "SERVED WITHOUT IT by" + staleDaemons
+          : !pending.empty()    ? "in force wherever served; not serving:" + unavailable
+                                : "in force everywhere after " +
+                                   std::to_string(result.propagationTime / 1ms) + " ms"));
     co_return;
   }
   note("the change was taken by nobody");
@@ -119,11 +119,11 @@
 }
 
 awaitable<void> LocalDeployment::raceOperators(std::size_t changes) {
-  const std::size_t before = openSteps_;
+  const std::size_t current = openSteps_;
   for (const char* name : {"left", "right"}) {
     ++openSteps_;
     const std::size_t through = name[0] == 'l' ? 0 : daemons_.size() / 2;
-    asio::co_spawn(io_, runRacingOperator(name + std::to_string(before), through, changes),
+    asio::co_spawn(io_, runRacingOperator(name + std::to_string(current), through, changes),
                    asio::detached);
   }
   co_return;
@@ -135,8 +135,9 @@
                                                    std::size_t changes) {
   for (std::size_t i = 0; i < changes; ++i) {
     const Daemon& daemon = daemons_[(through + i) % daemons_.size()];
-    const auto known = co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec", "");
-    if (!known.ok()) continue;
+    const auto reported =
+        co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec", "");
+    if (!reported.ok()) continue;
     ConfigurationChangeRow row;
     row.path = name + "-" + std::to_string(i);
     row.daemon = daemon.name;
@@ -144,7 +145,7 @@
     HttpCall call;
     call.to = daemon.operators;
     call.verb = http::verb::patch;
-    call.target = "/q/spec?expect=" + (*known)["version"].dump();
+    call.target = "/q/spec?expect=" + (*reported)["version"].dump();
     Json patch{{"ways", {{row.path, policy}}}};
     if (i % 7 == 6) patch["ways"][std::string(2 << 20, 'x')] = policy;  // exceeds every size limit
     call.body = patch.dump();
@@ -170,21 +171,21 @@
       co_await callOperatorApi(daemon.operators, http::verb::get, "/q/members", "");
   if (!members.ok()) co_return note("refound: " + std::string(members.status().message()));
   const std::string target = "/q/refound?confirm=" + (*members)["copies"]["fleet"].dump();
-  const auto made = co_await callOperatorApi(daemon.operators, http::verb::post, target, "");
-  note("refound: " + (made.ok() ? made->dump() : std::string(made.status().message())));
-  if (made.ok()) recordDisruption("", majorityLostAt_);
+  const auto response = co_await callOperatorApi(daemon.operators, http::verb::post, target, "");
+  note("refound: " + (response.ok() ? response->dump() : std::string(response.status().message())));
+  if (response.ok()) recordDisruption("", majorityLostAt_);
 }
 
 // Records the content of the register after the traffic.
 awaitable<void> LocalDeployment::readFinalConfiguration() {
   for (int attempt = 0; attempt < 40; ++attempt) {
     const Daemon& daemon = daemons_[static_cast<std::size_t>(attempt) % daemons_.size()];
-    const auto settled =
+    const auto response =
         co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec?settled=1", "");
-    if (settled.ok()) {
+    if (response.ok()) {
       ledger_.withLock([&](Ledger& ledger) {
-        ledger.finalVersion = (*settled)["version"].get<std::uint64_t>();
-        for (const auto& [path, policy] : (*settled)["spec"]["ways"].items())
+        ledger.finalVersion = (*response)["version"].get<std::uint64_t>();
+        for (const auto& [path, policy] : (*response)["spec"]["ways"].items())
           ledger.finalPaths.insert(path);
       });
       co_return;
@@ -197,7 +198,7 @@
 void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
-      std::size_t calls = 0, done = 0;
+      std::size_t calls = 0, response = 0;
       std::vector<Duration> firstPieces;
     };
     std::map<std::string, Row> rows;
@@ -205,12 +206,12 @@
       Row& row = rows[call.tenant];
       ++row.calls;
       if (call.status != 200 || !call.complete) continue;
-      ++row.done;
+      ++row.response;
       row.firstPieces.push_back(call.firstPiece - call.begun);
     }
     for (auto& [tenant, row] : rows) {
       std::sort(row.firstPieces.begin(), row.firstPieces.end());
-      std::cout << "tenant " << tenant << ": " << row.done << " of " << row.calls << " done";
+      std::cout << "tenant " << tenant << ": " << row.response << " of " << row.calls << " done";
       if (!row.firstPieces.empty())
         std::cout << ", first piece p95 "
                   << row.firstPieces[row.firstPieces.size() * 95 / 100] / 1ms << " ms";
