--- a/src/fleet/local_deployment.cpp
+++ b/src/fleet/local_deployment.cpp
@@ -84,8 +84,8 @@
     }
     if (completeSets == daemons_.size() && !isConfigured) {
       const std::string configuration = configurationOf(settings_.mix, "w0");
-      const auto response = co_await callOperatorApi(
-          daemons_.back().operators, http::verb::isConfigured, "/q/spec?expect=0", configuration);
+      const auto response = co_await callOperatorApi(daemons_.back().operators, http::verb::put,
+                                                     "/q/spec?expect=0", configuration);
       isConfigured = response.ok();
       if (!isConfigured) std::cout << "  first spec: " << response.status() << std::endl;
     }
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -73,7 +73,7 @@
       if (version && *version < result.version) staleDaemons += " " + daemon.name;
     }
     result.inForceEverywhere = staleDaemons.empty();
-    result.unavailable = !pending.empty();
+    result.notServing = !pending.empty();
     changes_.push_back(result);
     note("configuration " + std::to_string(result.version) + " through " + entryDaemon.name + ", " +
          (!staleDaemons.empty() ? "SERVED WITHOUT IT by" + staleDaemons
@@ -119,11 +119,11 @@
 }
 
 awaitable<void> LocalDeployment::raceOperators(std::size_t changes) {
-  const std::size_t current = openSteps_;
+  const std::size_t suffix = openSteps_;
   for (const char* name : {"left", "right"}) {
     ++openSteps_;
     const std::size_t through = name[0] == 'l' ? 0 : daemons_.size() / 2;
-    asio::co_spawn(io_, runRacingOperator(name + std::to_string(current), through, changes),
+    asio::co_spawn(io_, runRacingOperator(name + std::to_string(suffix), through, changes),
                    asio::detached);
   }
   co_return;
@@ -198,7 +198,7 @@
 void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
-      std::size_t calls = 0, response = 0;
+      std::size_t calls = 0, done = 0;
       std::vector<Duration> firstPieces;
     };
     std::map<std::string, Row> rows;
@@ -206,12 +206,12 @@
       Row& row = rows[call.tenant];
       ++row.calls;
       if (call.status != 200 || !call.complete) continue;
-      ++row.response;
+      ++row.done;
       row.firstPieces.push_back(call.firstPiece - call.begun);
     }
     for (auto& [tenant, row] : rows) {
       std::sort(row.firstPieces.begin(), row.firstPieces.end());
-      std::cout << "tenant " << tenant << ": " << row.response << " of " << row.calls << " done";
+      std::cout << "tenant " << tenant << ": " << row.done << " of " << row.calls << " done";
       if (!row.firstPieces.empty())
         std::cout << ", first piece p95 "
                   << row.firstPieces[row.firstPieces.size() * 95 / 100] / 1ms << " ms";
