--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -8,11 +8,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kKeyBound = 5s;
-constexpr Duration kLeaveBound = 3s;
-constexpr Duration kWeightsBound = 25s;
+constexpr Duration kKeyRevocationLimit = 5s;
+constexpr Duration kLeavingLimit = 3s;
+constexpr Duration kWeightsLimit = 25s;
 constexpr Duration kRetryWindow = 10s;
-constexpr Duration kRecoveryBound = 12s;
+constexpr Duration kRecoveryLimit = 12s;
 
 std::string millis(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) +
@@ -78,19 +78,19 @@
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
     for (const auto& [server, finalWeights] : ledger.finalServers) {
-      Instant deadline = configuredAt + kWeightsBound;
+      Instant deadline = configuredAt + kWeightsLimit;
       // A server that restarted since has the whole time from its restart.
       if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
-        deadline = std::max(deadline, back->second + kWeightsBound);
+        deadline = std::max(deadline, back->second + kWeightsLimit);
       if (deadline > trafficEnd || hadWeightsSince(ledger, server, configuredAt, deadline))
         continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
-                                                millis(kWeightsBound)});
+                                                millis(kWeightsLimit)});
     }
     for (const RunRow& run : ledger.runs) {
       const auto own = ledger.weightsConfiguredAt.find(run.weights);
       const bool isOlder = own == ledger.weightsConfiguredAt.end() || own->second < configuredAt;
-      if (isOlder && run.at > configuredAt + kWeightsBound)
+      if (isOlder && run.at > configuredAt + kWeightsLimit)
         findings->push_back({"superseded-weights", run.nonce + " ran on " + run.weights + " " +
                                                        millis(run.at - configuredAt) + " after " +
                                                        weights + " were named"});
@@ -103,21 +103,21 @@
   for (const CallRow& call : ledger.calls) {
     const auto withdrawn = ledger.keyRevokedAt.find(call.tenant);
     if (withdrawn == ledger.keyRevokedAt.end() || call.status != 200) continue;
-    if (call.begun > withdrawn->second + kKeyBound)
+    if (call.begun > withdrawn->second + kKeyRevocationLimit)
       findings->push_back({"withdrawn-key", call.nonce + " was served " +
                                                 millis(call.begun - withdrawn->second) +
                                                 " after its key was withdrawn"});
   }
   for (const RunRow& run : ledger.runs) {
     const auto leaving = ledger.leavingAt.find(run.server);
-    if (leaving != ledger.leavingAt.end() && run.at > leaving->second + kLeaveBound)
+    if (leaving != ledger.leavingAt.end() && run.at > leaving->second + kLeavingLimit)
       findings->push_back({"leaving-server", run.server + " got work " +
                                                  millis(run.at - leaving->second) +
                                                  " after it showed as leaving"});
   }
   for (const DisruptionRow& left : ledger.leavingSpans) {
     for (const RunRow& run : ledger.runs) {
-      if (run.server == left.daemon && run.at > left.begun + kLeaveBound && run.at < left.ended)
+      if (run.server == left.daemon && run.at > left.begun + kLeavingLimit && run.at < left.ended)
         findings->push_back({"leaving-server", run.server + " got work " +
                                                    millis(run.at - left.begun) +
                                                    " after it showed as leaving"});
@@ -157,27 +157,27 @@
   std::sort(ordered.begin(), ordered.end(),
             [](const ArrivalRow& a, const ArrivalRow& b) { return a.at < b.at; });
   for (const ArrivalRow& row : ordered) sends.emplace_back(row.at, !seen.insert(row.nonce).second);
-  std::size_t to = 0, extras = 0;
+  std::size_t to = 0, extraTries = 0;
   for (std::size_t from = 0; from < sends.size(); ++from) {
     const Instant windowEnd = sends[from].first + kRetryWindow;
     for (; to < sends.size() && sends[to].first <= windowEnd; ++to) {
-      extras += sends[to].second ? 1 : 0;
+      extraTries += sends[to].second ? 1 : 0;
       // There are no first tries before the run, so the truncated window must keep the ratio too.
-      const std::size_t firsts = to + 1 - from - extras;
-      if (from == 0 && extras > 0 && extras * 5 > firsts) {
-        findings->push_back({"extra-tries", std::to_string(extras) + " extra tries beside " +
-                                                std::to_string(firsts) +
+      const std::size_t firstTries = to + 1 - from - extraTries;
+      if (from == 0 && extraTries > 0 && extraTries * 5 > firstTries) {
+        findings->push_back({"extra-tries", std::to_string(extraTries) + " extra tries beside " +
+                                                std::to_string(firstTries) +
                                                 " first ones at the begin"});
         return;
       }
     }
-    const std::size_t firsts = to - from - extras;
-    if (extras > 0 && extras * 5 > firsts && windowEnd <= trafficEnd) {
-      findings->push_back({"extra-tries", std::to_string(extras) + " extra tries beside " +
-                                              std::to_string(firsts) + " first ones in 10 s"});
+    const std::size_t firstTries = to - from - extraTries;
+    if (extraTries > 0 && extraTries * 5 > firstTries && windowEnd <= trafficEnd) {
+      findings->push_back({"extra-tries", std::to_string(extraTries) + " extra tries beside " +
+                                              std::to_string(firstTries) + " first ones in 10 s"});
       return;
     }
-    extras -= sends[from].second ? 1 : 0;
+    extraTries -= sends[from].second ? 1 : 0;
   }
 }
 
@@ -253,12 +253,12 @@
   }
   for (const auto& [path, ends] : endsOfPath) {
     const Duration gap = longestGap(ends, fleetDisruptions, ledger.trafficStart, trafficEnd);
-    if (gap > kRecoveryBound)
+    if (gap > kRecoveryLimit)
       findings->push_back({"recovery", "no answer of '" + path + "' finished for " + millis(gap)});
   }
   for (const std::string& daemon : ledger.daemons) {
     const Duration gap = silenceOf(ledger, daemon, trafficEnd);
-    if (gap > kRecoveryBound)
+    if (gap > kRecoveryLimit)
       findings->push_back({"recovery", daemon + " finished no answer for " + millis(gap)});
   }
 }
@@ -279,12 +279,12 @@
 
 RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd) {
   RunStatistics statistics;
-  std::vector<double> firsts;
+  std::vector<double> firstTries;
   for (const CallRow& call : ledger.calls) {
     ++statistics.calls;
     if (call.status == 200 && call.complete) {
       ++statistics.done;
-      firsts.push_back(
+      firstTries.push_back(
           std::chrono::duration<double, std::milli>(call.firstPiece - call.begun).count());
     } else if (call.status == 200) {
       ++statistics.cut;
@@ -311,10 +311,10 @@
         statistics.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
   statistics.longestStaleServingMs = Millis(longestStaleServing(ledger)).count();
   statistics.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
-  std::sort(firsts.begin(), firsts.end());
-  if (!firsts.empty()) {
-    statistics.firstPieceMedianMs = firsts[firsts.size() / 2];
-    statistics.firstPiece95thMs = firsts[firsts.size() * 95 / 100];
+  std::sort(firstTries.begin(), firstTries.end());
+  if (!firstTries.empty()) {
+    statistics.firstPieceMedianMs = firstTries[firstTries.size() / 2];
+    statistics.firstPiece95thMs = firstTries[firstTries.size() * 95 / 100];
   }
   return statistics;
 }
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kPropagationBound = 2s;
+constexpr Duration kPropagationLimit = 2s;
 
 // The times of the acknowledgements in order, each with the highest version acknowledged until
 // then.
@@ -52,7 +52,7 @@
                                                std::to_string(top)});
     top = std::max(top, row.version);
     const auto superseded = supersededAt(floors, row.version);
-    if (superseded && row.at > *superseded + kPropagationBound)
+    if (superseded && row.at > *superseded + kPropagationLimit)
       findings->push_back({"in-force", row.daemon + " served by configuration " +
                                            std::to_string(row.version) +
                                            " over 2 s after a newer one was acknowledged"});
--- a/src/fleet/external_faults.cpp
+++ b/src/fleet/external_faults.cpp
@@ -25,7 +25,7 @@
     ledger_.withLock([&](Ledger& ledger) { ledger.leavingAt.try_emplace(name, BootClock::now()); });
     co_return;
   }
-  StandInFaults faults;
+  StandInServerFaults faults;
   faults.silent = type == "silent-server";
   faults.frozen = type == "freeze-server";
   faults.dropMidStream = type == "drop-stream";
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -128,7 +128,7 @@
     if (ready.empty()) continue;
     const DaemonTarget& chosenDaemon = *ready[random_() % ready.size()];
     CallRow row;
-    row.nonce = "n" + std::to_string(++counter_);
+    row.nonce = "n" + std::to_string(++lastRequestNumber_);
     row.tenant = tenant;
     row.path = path->name;
     row.daemon = chosenDaemon.callers.value;
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -67,7 +67,7 @@
   std::vector<DaemonTarget> daemons_;
   Ledger& ledger_;
   std::mt19937_64 random_;
-  std::uint64_t counter_ = 0;
+  std::uint64_t lastRequestNumber_ = 0;
   std::size_t openCalls_ = 0;
   static constexpr std::size_t kMaxOpenCalls = 2000;
 };
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -25,7 +25,7 @@
   std::uint64_t version = 0;
   Duration propagationTime{};      // from the acknowledgement to the last reachable daemon
   bool inForceEverywhere = false;  // no daemon serves by an older configuration any more
-  bool notServing = false;         // some daemon was not serving callers
+  bool someNotServing = false;     // some daemon was not serving callers
 };
 
 // Runs the processes and stand-ins of a deployment and performs the steps of a run.
@@ -67,7 +67,7 @@
   awaitable<void> applyExternalFault(std::string type, std::size_t number);
   awaitable<void> runOperatorStep(std::string type, std::string argument);
   awaitable<void> raceOperators(std::size_t changes);
-  awaitable<void> runRacingOperator(std::string name, std::size_t through, std::size_t changes);
+  awaitable<void> runRacingOperator(std::string name, std::size_t firstDaemon, std::size_t changes);
   awaitable<void> readFinalConfiguration();
   awaitable<void> refoundRegister(Daemon& daemon);
   // Applies a daemon's fault concurrently.
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Duration kPropagationBound = 2s;
+constexpr Duration kPropagationLimit = 2s;
 }  // namespace
 
 // The version of the configuration that a proxy serves by; nullopt if it is not ready.
@@ -51,7 +51,7 @@
     std::set<std::string> pending;
     for (const Daemon& daemon : daemons_) pending.insert(daemon.name);
     std::string unavailable;
-    while (!pending.empty() && BootClock::now() < acknowledgedAt + kPropagationBound) {
+    while (!pending.empty() && BootClock::now() < acknowledgedAt + kPropagationLimit) {
       unavailable.clear();
       for (const Daemon& daemon : daemons_) {
         if (!pending.contains(daemon.name)) continue;
@@ -73,7 +73,7 @@
       if (version && *version < result.version) staleDaemons += " " + daemon.name;
     }
     result.inForceEverywhere = staleDaemons.empty();
-    result.notServing = !pending.empty();
+    result.someNotServing = !pending.empty();
     changes_.push_back(result);
     note("configuration " + std::to_string(result.version) + " through " + entryDaemon.name + ", " +
          (!staleDaemons.empty() ? "SERVED WITHOUT IT by" + staleDaemons
@@ -122,8 +122,8 @@
   const std::size_t suffix = openSteps_;
   for (const char* name : {"left", "right"}) {
     ++openSteps_;
-    const std::size_t through = name[0] == 'l' ? 0 : daemons_.size() / 2;
-    asio::co_spawn(io_, runRacingOperator(name + std::to_string(suffix), through, changes),
+    const std::size_t firstDaemon = name[0] == 'l' ? 0 : daemons_.size() / 2;
+    asio::co_spawn(io_, runRacingOperator(name + std::to_string(suffix), firstDaemon, changes),
                    asio::detached);
   }
   co_return;
@@ -131,10 +131,10 @@
 
 // Each change adds one path to the configuration that the operator's daemon reports, and is
 // attempted once. Some changes are invalid on purpose.
-awaitable<void> LocalDeployment::runRacingOperator(std::string name, std::size_t through,
+awaitable<void> LocalDeployment::runRacingOperator(std::string name, std::size_t firstDaemon,
                                                    std::size_t changes) {
   for (std::size_t i = 0; i < changes; ++i) {
-    const Daemon& daemon = daemons_[(through + i) % daemons_.size()];
+    const Daemon& daemon = daemons_[(firstDaemon + i) % daemons_.size()];
     const auto reported =
         co_await callOperatorApi(daemon.operators, http::verb::get, "/q/spec", "");
     if (!reported.ok()) continue;
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -54,7 +54,7 @@
   });
   quayrill::Duration slowest{};
   for (const auto& change : deployment.changes()) {
-    if (!change.notServing) slowest = std::max(slowest, change.propagationTime);
+    if (!change.someNotServing) slowest = std::max(slowest, change.propagationTime);
     if (!change.inForceEverywhere)
       findings.push_back({"in-force", "configuration " + std::to_string(change.version) +
                                           " was served without 2 s after its acknowledgement"});
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -25,7 +25,7 @@
 
 // Faults that a run can inject. repeatPiece violates the protocol, to show that the checker detects
 // it.
-struct StandInFaults {
+struct StandInServerFaults {
   bool dropMidStream = false;    // closes after some pieces
   bool dropBeforeFirst = false;  // runs the request, then closes without an answer
   bool repeatPiece = false;      // sends one piece twice
@@ -49,7 +49,7 @@
   absl::Status start();
   void crash();    // closes the listener and loses all state
   void restart();  // starts again with an empty cache and a new identity
-  void setFaults(const StandInFaults& faults) { faults_ = faults; }
+  void setFaults(const StandInServerFaults& faults) { faults_ = faults; }
   void slowLinks(bool slow) { slowLinks_ = slow; }
   const std::string& weights() const { return weights_; }
   bool isUp() const { return !down_; }
@@ -86,7 +86,7 @@
   std::unique_ptr<HttpServer> server_;
   std::vector<std::unique_ptr<HttpServer>>
       retired_;  // coroutines of earlier incarnations refer to it
-  StandInFaults faults_;
+  StandInServerFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
   // Everything below is state of the present incarnation, accessed only on io_'s thread.
   std::uint64_t incarnation_ = 0;
