--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -1,3 +1,4 @@
+// Checks the observations of a run and computes its statistics.
 #include <algorithm>
 #include <set>
 
@@ -8,6 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
+// The times after which the guarantees must hold.
 constexpr Duration kKeyRevocationLimit = 5s;
 constexpr Duration kLeavingLimit = 3s;
 constexpr Duration kWeightsLimit = 25s;
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -24,8 +24,8 @@
   std::string name;
   double rate = 60;  // requests per second
   std::vector<PathMix> paths;
-  std::vector<std::pair<std::string, double>>
-      tenants;  // name and share of all requests; those named "iso-..." are isolated
+  // Names and shares of all requests; tenants named "iso-..." are isolated.
+  std::vector<std::pair<std::string, double>> tenants;
 };
 // The mix of "tejo"; any other name gets the mix of "hsinmei".
 TrafficMix trafficMixOf(const std::string& deployment);
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -56,11 +56,14 @@
   const std::vector<std::string>& settingsErrors() const { return settingsErrors_; }
 
  private:
+  // Waits for the step's time and performs it.
   awaitable<void> perform(Step step);
+  // Applies a fault to a daemon and ends it again. Does nothing if the daemon has a fault already.
   awaitable<void> applyDaemonFault(std::string type, Daemon& daemon);
   awaitable<void> kill(Daemon& daemon, Duration backAfter, bool wipe);
   awaitable<void> restart(Daemon& daemon);
   awaitable<void> changeSettings(Daemon& daemon);
+  // Waits for a text in the daemon's log; records an error if it does not appear in time.
   awaitable<void> awaitLog(const Daemon& daemon, std::string text);
   awaitable<void> applyGroupFault(std::string type, std::size_t number);
   awaitable<void> applyServerFault(std::string type, StandInServer& server);
@@ -72,16 +75,21 @@
   awaitable<void> refoundRegister(Daemon& daemon);
   // Applies a daemon's fault concurrently.
   void spawnDaemonFault(const std::string& type, Daemon& daemon);
+  // Cuts or restores the connections from `ip` to the others, and back if `inward` is set.
   void setPartition(const std::string& ip, const std::set<std::string>& others, bool inward,
                     bool cut);
+  // Records a disruption from `begun` until now.
   void recordDisruption(const std::string& daemon, Instant begun);
   Daemon* latestOrderSender();
   awaitable<void> replaceServer(StandInServer& server);
   awaitable<std::optional<std::uint64_t>> servedVersion(Address callers);
   awaitable<void> applyChange(std::string patch, std::function<void(Instant)> onAcknowledged);
+  // Calls the operator API of a daemon. Any status other than 200 is an error.
   awaitable<absl::StatusOr<nlohmann::json>> callOperatorApi(Address daemon, http::verb verb,
                                                             std::string target, std::string body);
+  // Records a step in the ledger and prints it.
   void note(const std::string& text);
+  // The core or edge daemon with this number, from 1.
   Daemon& daemonAt(std::size_t index, bool core) {
     return daemons_.at(core ? index - 1 : settings_.plan.cores + index - 1);
   }
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -47,7 +47,7 @@
  public:
   StandInServer(asio::io_context& io, StandInServerSettings settings, Ledger& ledger);
   absl::Status start();
-  void crash();    // closes the listener and loses all state
+  void crash();    // drops the listener and all connections, and loses all state
   void restart();  // starts again with an empty cache and a new identity
   void setFaults(const StandInServerFaults& faults) { faults_ = faults; }
   void slowLinks(bool slow) { slowLinks_ = slow; }
@@ -65,27 +65,33 @@
   };
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
+  // POST /kv-pull: fetches blocks from another server or the store.
   awaitable<HttpResponse> handlePull(HttpRequest& request);
+  // Switches to the weights after the load duration, unless the server has restarted by then.
   awaitable<void> loadWeights(std::string weights, std::uint64_t incarnation);
+  // Sends a prefix to the store.
   awaitable<void> storePrefix(std::string salt, std::string weights, std::string prefix);
-  HttpResponse reportLoad();
+  HttpResponse reportLoad();  // /burden
   HttpResponse handleCacheEvents(std::uint64_t since);
   awaitable<HttpResponse> handleWeightsOrder(HttpRequest& request, Address from);
   HttpResponse handleDrop(HttpRequest& request);
-  HttpResponse handleRead(HttpRequest& request);
+  HttpResponse handleRead(HttpRequest& request);  // /kv-read: the weights of the blocks held
+  // Counts the leading blocks of the chain that are cached, and marks them as used.
   std::size_t cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run);
+  // Adds blocks to the cache, with the weights of each.
   void store(const std::vector<BlockHash>& chain, const std::string& salt,
              const std::vector<std::string>& weights, const PromptPrefix& prefix);
   void evictLeastRecentlyUsed();
   awaitable<void> waitWhileFrozen();
+  // A 503 that guarantees that the request was not run.
   HttpResponse notRun(const std::string& why);
 
   asio::io_context& io_;
   StandInServerSettings settings_;
   Ledger& ledger_;
   std::unique_ptr<HttpServer> server_;
-  std::vector<std::unique_ptr<HttpServer>>
-      retired_;  // coroutines of earlier incarnations refer to it
+  // HTTP servers of earlier incarnations, which suspended coroutines still refer to.
+  std::vector<std::unique_ptr<HttpServer>> retired_;
   StandInServerFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
   // Everything below is state of the present incarnation, accessed only on io_'s thread.
@@ -96,8 +102,8 @@
   std::uint64_t highestFence_ = 0, runs_ = 0, nextEvent_ = 1;
   std::unordered_map<BlockHash, Block> cache_;
   std::list<BlockHash> lruOrder_;  // least recently used first; exactly the keys of cache_
-  std::deque<nlohmann::json>
-      evictionEvents_;  // the events from position nextEvent_ - size() on, at most kEventLimit
+  // The events from position nextEvent_ - size() on, at most kEventLimit.
+  std::deque<nlohmann::json> evictionEvents_;
   static constexpr std::size_t kEventLimit = 4000;
 };
 
--- a/src/fleet/stand_in_services.h
+++ b/src/fleet/stand_in_services.h
@@ -13,9 +13,13 @@
  public:
   StandInStore(asio::io_context& io, Address address, std::size_t blockTokens);
   absl::Status start() { return server_->start(); }
+  // While down, all calls are answered with 503.
   void setDown(bool down) { down_ = down; }
+  // The time before each answer.
   void setDelay(Duration delay) { delay_ = delay; }
+  // Discards all blocks.
   void clear() { storedWeights_.clear(); }
+  // Starts or ends withholding answers from a caller.
   void cut(const std::string& ip, bool cut);
 
  private:
@@ -24,8 +28,8 @@
   bool down_ = false;
   Duration delay_{};
   std::set<std::string> cuts_;  // IP addresses of callers that get no answer
-  std::map<BlockHash, std::string>
-      storedWeights_;  // by block: the weights under which it was last stored
+  // By block: the weights under which it was last stored.
+  std::map<BlockHash, std::string> storedWeights_;
   std::unique_ptr<HttpServer> server_;
 };
 
@@ -39,19 +43,22 @@
   }
   void markLeaving(const std::string& server) { servers_[server].second = true; }
   void remove(const std::string& server) { servers_.erase(server); }
+  // While down, no call is answered.
   void setDown(bool down) { down_ = down; }
+  // Starts or ends withholding answers from a caller.
   void cut(const std::string& ip, bool cut);
   bool isListed(const std::string& server) const { return servers_.contains(server); }
+  // True if the server is listed and not leaving.
   bool isLive(const std::string& server) const {
     const auto row = servers_.find(server);
     return row != servers_.end() && !row->second.second;
   }
 
  private:
-  std::map<std::string, std::pair<std::string, bool>>
-      servers_;  // by server: its zone, and whether it is leaving
+  // By server: its zone, and whether it is leaving.
+  std::map<std::string, std::pair<std::string, bool>> servers_;
   bool down_ = false;
-  std::set<std::string> cuts_;
+  std::set<std::string> cuts_;  // IP addresses of callers that get no answer
   std::unique_ptr<HttpServer> server_;
 };
 
@@ -62,6 +69,7 @@
   Relay(asio::io_context& io, Address address)
       : io_(io), address_(std::move(address)), acceptor_(io) {}
   absl::Status start();
+  // Cuts or restores the connections in one direction.
   void cut(const std::string& fromIp, const std::string& toIp, bool cut);
   void healAll() { cuts_.clear(); }
 
@@ -72,8 +80,8 @@
   asio::io_context& io_;
   Address address_;
   Tcp::acceptor acceptor_;
-  std::set<std::pair<std::string, std::string>>
-      cuts_;  // pairs of sender's and receiver's IP address
+  // Pairs of the sender's and the receiver's IP address.
+  std::set<std::pair<std::string, std::string>> cuts_;
 };
 
 }  // namespace quayrill::fleet
--- a/src/fleet/steps.h
+++ b/src/fleet/steps.h
@@ -32,8 +32,8 @@
   X("wipe-cores", Group, "how many cores to kill -9 at once, their disks emptied, back after 1 s") \
   X("refound", Core, "core number: an operator re-creates the register from its disk")             \
   X("kill-zone", Group, "zone 0 to 3: all its daemons killed -9 at once, back after 3 s")          \
-  X("cut-zone", Group, "zone 0 to 3: its daemons cut from all others for 8 s")                     \
-  X("split-cores", Group, "0: two cores and half the edges cut from the others for 8 s")           \
+  X("cut-zone", Group, "zone 0 to 3: its daemons partitioned from all others for 8 s")             \
+  X("split-cores", Group, "0: two cores and half the edges partitioned from the rest for 8 s")     \
   X("kill-orderer", Group, "how many cores to kill -9 with the sender of the latest weight order") \
   X("freeze-orderer", Group, "0: the sender of the latest weight order is frozen for 6 s")         \
   X("cut-orderer", Group, "0: the sender of the latest weight order is partitioned for 8 s")       \
@@ -54,11 +54,11 @@
   X("store-slow", External, "0: the store answers after 400 ms for 6 s")                           \
   X("platform-down", External, "seconds for which the platform answers nobody")                    \
   X("weights", Operator, "new weights' name")                                                      \
-  X("withdraw", Operator, "tenant whose key is withdrawn")                                         \
-  X("change", Operator, "name of a way to add")                                                    \
+  X("withdraw", Operator, "tenant whose keys are revoked")                                         \
+  X("change", Operator, "name of a path below /v1/ to add")                                        \
   X("flood", Operator, "tenant that alone sends twice the mix's rate in addition for 10 s")        \
   X("race", Operator, "number of changes that each of two concurrent operators makes")             \
-  X("ways", Operator, "number of ways to add in one change")
+  X("ways", Operator, "number of paths to add in one change")
 // clang-format on
 
 // A step at a time of the traffic. "kill-core:1@5" kills core 1 at second 5.
