--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -281,12 +281,12 @@
 
 RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd) {
   RunStatistics statistics;
-  std::vector<double> firstTries;
+  std::vector<double> firstPieceMs;
   for (const CallRow& call : ledger.calls) {
     ++statistics.calls;
     if (call.status == 200 && call.complete) {
       ++statistics.done;
-      firstTries.push_back(
+      firstPieceMs.push_back(
           std::chrono::duration<double, std::milli>(call.firstPiece - call.begun).count());
     } else if (call.status == 200) {
       ++statistics.cut;
@@ -313,10 +313,10 @@
         statistics.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
   statistics.longestStaleServingMs = Millis(longestStaleServing(ledger)).count();
   statistics.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
-  std::sort(firstTries.begin(), firstTries.end());
-  if (!firstTries.empty()) {
-    statistics.firstPieceMedianMs = firstTries[firstTries.size() / 2];
-    statistics.firstPiece95thMs = firstTries[firstTries.size() * 95 / 100];
+  std::sort(firstPieceMs.begin(), firstPieceMs.end());
+  if (!firstPieceMs.empty()) {
+    statistics.firstPieceMedianMs = firstPieceMs[firstPieceMs.size() / 2];
+    statistics.firstPiece95thMs = firstPieceMs[firstPieceMs.size() * 95 / 100];
   }
   return statistics;
 }
--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -71,7 +71,9 @@
   recordDisruption(daemon.callers.value, begun);
 }
 
-// Records no disruption: a daemon must keep serving while its settings change.
+// Changes the settings file with SIGHUP, makes it invalid, and restores it without SIGHUP; waits
+// for the daemon to log each. Records no disruption, since a daemon must keep serving while
+// settings change.
 awaitable<void> LocalDeployment::changeSettings(Daemon& daemon) {
   const std::vector<Address> first = daemon.seeds;
   daemon.seeds = {daemonAt(settings_.plan.cores, true).peer};
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -1,5 +1,4 @@
-// Tests of the checker: each rule is violated by a ledger with one planted error, and by nothing
-// else.
+// Tests of the checker: each error planted in a ledger violates exactly its own rule.
 #include <catch2/catch.hpp>
 
 #include "fleet/ledger.h"
@@ -78,11 +77,11 @@
           ledger.calls.push_back(call("other", 503));
           ledger.calls.back().hasRetryAfter = false;
         }) == "retry-after");
-  const auto unknown = [](bool repeatable, bool saysWhen) {
+  const auto unknown = [](bool repeatable, bool hasRetryAfter) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.calls.push_back(call("other", 502));
       ledger.calls.back().repeatable = repeatable;
-      ledger.calls.back().hasRetryAfter = saysWhen;
+      ledger.calls.back().hasRetryAfter = hasRetryAfter;
     });
   };
   CHECK(unknown(false, true) == "retry-after");
@@ -117,7 +116,7 @@
   };
   CHECK(weights(24s).empty());
   CHECK(weights(26s) == "weights-bound");
-  CHECK(weights(0s) == "weights-bound");  // never
+  CHECK(weights(0s) == "weights-bound");  // never loaded
 }
 
 TEST_CASE("checker: each naming has its own bound, whatever is named within it") {
