--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -75,14 +75,14 @@
 // for the daemon to log each. Records no disruption, since a daemon must keep serving while
 // settings change.
 awaitable<void> LocalDeployment::changeSettings(Daemon& daemon) {
-  const std::vector<Address> first = daemon.seeds;
+  const std::vector<Address> originalSeeds = daemon.seeds;
   daemon.seeds = {daemonAt(settings_.plan.cores, true).peer};
   writeSettings(daemon, daemon.seeds);
   signalDaemon(daemon, SIGHUP);
   co_await awaitLog(daemon, "read anew, seeds " + daemon.seeds[0].value);
   std::ofstream(daemon.settingsFile, std::ios::trunc) << "{";
   co_await awaitLog(daemon, "is refused");
-  daemon.seeds = first;
+  daemon.seeds = originalSeeds;
   writeSettings(daemon, daemon.seeds);
   co_await awaitLog(daemon, "read anew, seeds " + daemon.seeds[0].value);
 }
@@ -170,8 +170,8 @@
 awaitable<void> LocalDeployment::applyGroupFault(std::string type, std::size_t number) {
   const auto dash = type.find('-');
   const std::string action = type.substr(0, dash);
-  const std::string object = type.substr(dash + 1);
-  if (object == "cores" && action != "split") {
+  const std::string targets = type.substr(dash + 1);
+  if (targets == "cores" && action != "split") {
     const std::size_t count = std::min(number, settings_.plan.cores);
     // After the loss of a majority of disks, the fleet is unavailable by design until an operator
     // re-creates the register.
@@ -179,29 +179,29 @@
     for (std::size_t i = 1; i <= count; ++i) spawnDaemonFault(action, daemonAt(i, true));
     co_return;
   }
-  if (object == "orderer") {
+  if (targets == "orderer") {
     if (Daemon* orderer = latestOrderSender()) spawnDaemonFault(action, *orderer);
     for (std::size_t i = 1; action == "kill" && i <= std::min(number, settings_.plan.cores); ++i)
       spawnDaemonFault("kill", daemonAt(i, true));
     co_return;
   }
   // Zones are assigned round-robin, so every fourth daemon is in the same zone.
-  std::set<std::string> side, rest;
+  std::set<std::string> groupIps, otherIps;
   for (std::size_t i = 0; i < daemons_.size(); ++i) {
-    const bool inSide = object == "zone" ? i % 4 == number : i % 2 == 0;
-    (inSide ? side : rest).insert(ipOf(daemons_[i]));
-    if (inSide && action == "kill") spawnDaemonFault("kill", daemons_[i]);
+    const bool inGroup = targets == "zone" ? i % 4 == number : i % 2 == 0;
+    (inGroup ? groupIps : otherIps).insert(ipOf(daemons_[i]));
+    if (inGroup && action == "kill") spawnDaemonFault("kill", daemons_[i]);
   }
   if (action == "kill") co_return;
   note(type + " " + std::to_string(number));
   const Instant begun = BootClock::now();
-  for (const std::string& ip : side) setPartition(ip, rest, true, true);
+  for (const std::string& ip : groupIps) setPartition(ip, otherIps, true, true);
   co_await pauseFor(8s);
-  for (const std::string& ip : side) setPartition(ip, rest, true, false);
-  if (object == "cores")
+  for (const std::string& ip : groupIps) setPartition(ip, otherIps, true, false);
+  if (targets == "cores")
     recordDisruption("", begun);  // neither half has a majority, so no daemon has to serve
   for (const Daemon& daemon : daemons_) {
-    if (object == "zone" && side.contains(ipOf(daemon)))
+    if (targets == "zone" && groupIps.contains(ipOf(daemon)))
       recordDisruption(daemon.callers.value, begun);
   }
 }
