--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -1,3 +1,4 @@
+// Checks the observations of a run and computes its statistics.
 #include <algorithm>
 #include <set>
 
@@ -8,17 +9,19 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kKeyBound = 5s;
-constexpr Duration kLeaveBound = 3s;
-constexpr Duration kWeightsBound = 25s;
-constexpr Duration kTryWindow = 10s;
-constexpr Duration kRecoveryBound = 12s;
+// The times after which the guarantees must hold.
+constexpr Duration kKeyRevocationLimit = 5s;
+constexpr Duration kLeavingLimit = 3s;
+constexpr Duration kWeightsLimit = 25s;
+constexpr Duration kRetryWindow = 10s;
+constexpr Duration kRecoveryLimit = 12s;
 
 std::string millis(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) +
          " ms";
 }
 
+// Checks each call's answer against the runs of its request.
 void checkOutcomes(const Ledger& ledger, std::vector<Finding>* findings) {
   std::map<std::string, std::vector<const RunRow*>> runsOf;
   for (const RunRow& run : ledger.runs) runsOf[run.nonce].push_back(&run);
@@ -26,19 +29,20 @@
     const std::size_t runs = runsOf[call.nonce].size();
     if (!call.repeatable && runs > 1)
       findings->push_back({"never-twice", call.nonce + " ran " + std::to_string(runs) + " times"});
-    const bool turnedAway = call.status == 429 || call.status == 503;
+    const bool rejected = call.status == 429 || call.status == 503;
     const bool badInput = call.status >= 400 && call.status < 429;
-    if ((turnedAway || badInput) && runs > 0)
+    if ((rejected || badInput) && runs > 0)
       findings->push_back({"refused-never-ran", call.nonce + " was turned away with " +
                                                     std::to_string(call.status) + " and ran"});
-    if (turnedAway && !call.hasRetryAfter)
+    if (rejected && !call.hasRetryAfter)
       findings->push_back({"retry-after", call.nonce + " was turned away without Retry-After"});
-    // Only what may be repeated is told when; for the rest an invitation would be a second run.
+    // Where the outcome is unknown, only repeatable requests get Retry-After: for others it would
+    // invite a second run.
     if ((call.status == 502 || call.status == 504) && call.hasRetryAfter != call.repeatable)
       findings->push_back(
           {"retry-after", call.nonce + (call.repeatable ? " may be repeated and is not told when"
                                                         : " may not be and has Retry-After")});
-    if (call.status == 200 && !call.piecesRight)
+    if (call.status == 200 && !call.piecesValid)
       findings->push_back({"stream", call.nonce + ": " + call.error});
     if (call.complete && call.status == 200 && !call.endMark)
       findings->push_back({"cut-looks-complete", call.nonce + " ended whole without an end mark"});
@@ -47,6 +51,7 @@
   }
 }
 
+// No run uses cached blocks of other weights or of another salt.
 void checkCache(const Ledger& ledger, std::vector<Finding>* findings) {
   for (const RunRow& run : ledger.runs) {
     if (run.foreignWeights)
@@ -56,62 +61,65 @@
   }
 }
 
-// Whether the server had weights by `due` that were named at `named` or later.
-bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant named, Instant due) {
-  const std::string& inEnd = ledger.serversAtEnd.at(server);
-  for (const auto& [weights, namedAt] : ledger.weightsNamedAt) {
-    if (namedAt < named) continue;
-    const auto row = ledger.weightsReachedAt.find(weights);
-    const bool switched = row != ledger.weightsReachedAt.end() && row->second.contains(server);
-    // One that had these weights all along need not switch.
-    if (switched ? row->second.at(server) <= due : inEnd == weights) return true;
+// True if by `deadline` the server had weights that were configured at `since` or later.
+bool hadWeightsSince(const Ledger& ledger, const std::string& server, Instant since,
+                     Instant deadline) {
+  const std::string& finalWeights = ledger.finalServers.at(server);
+  for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
+    if (configuredAt < since) continue;
+    const auto row = ledger.weightsLoadedAt.find(weights);
+    const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
+    // A server that had these weights all along never switched to them.
+    if (switched ? row->second.at(server) <= deadline : finalWeights == weights) return true;
   }
   return false;
 }
 
-// Each naming has its own bound, which no later one extends: by then every server has those weights
-// or newer ones, and nothing begins on older ones.
+// Each change of weights has a time limit of its own, which later changes don't extend: by then
+// every server has these or newer weights, and no run starts on older ones.
 void checkWeights(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
-  for (const auto& [weights, named] : ledger.weightsNamedAt) {
-    for (const auto& [server, inEnd] : ledger.serversAtEnd) {
-      Instant due = named + kWeightsBound;
-      // One that came back since has the time from then.
-      if (const auto back = ledger.backAt.find(server); back != ledger.backAt.end())
-        due = std::max(due, back->second + kWeightsBound);
-      if (due > trafficEnd || hadWeightsSince(ledger, server, named, due)) continue;
+  for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
+    for (const auto& [server, finalWeights] : ledger.finalServers) {
+      Instant deadline = configuredAt + kWeightsLimit;
+      // A server that restarted since has the whole time from its restart.
+      if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
+        deadline = std::max(deadline, back->second + kWeightsLimit);
+      if (deadline > trafficEnd || hadWeightsSince(ledger, server, configuredAt, deadline))
+        continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
-                                                millis(kWeightsBound)});
+                                                millis(kWeightsLimit)});
     }
     for (const RunRow& run : ledger.runs) {
-      const auto own = ledger.weightsNamedAt.find(run.weights);
-      const bool isOlder = own == ledger.weightsNamedAt.end() || own->second < named;
-      if (isOlder && run.at > named + kWeightsBound)
+      const auto own = ledger.weightsConfiguredAt.find(run.weights);
+      const bool isOlder = own == ledger.weightsConfiguredAt.end() || own->second < configuredAt;
+      if (isOlder && run.at > configuredAt + kWeightsLimit)
         findings->push_back({"superseded-weights", run.nonce + " ran on " + run.weights + " " +
-                                                       millis(run.at - named) + " after " +
+                                                       millis(run.at - configuredAt) + " after " +
                                                        weights + " were named"});
     }
   }
 }
 
+// Checks the time limits after keys are revoked, servers start leaving and weights are configured.
 void checkBounds(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const CallRow& call : ledger.calls) {
-    const auto withdrawn = ledger.withdrawnAt.find(call.tenant);
-    if (withdrawn == ledger.withdrawnAt.end() || call.status != 200) continue;
-    if (call.begun > withdrawn->second + kKeyBound)
+    const auto withdrawn = ledger.keyRevokedAt.find(call.tenant);
+    if (withdrawn == ledger.keyRevokedAt.end() || call.status != 200) continue;
+    if (call.begun > withdrawn->second + kKeyRevocationLimit)
       findings->push_back({"withdrawn-key", call.nonce + " was served " +
                                                 millis(call.begun - withdrawn->second) +
                                                 " after its key was withdrawn"});
   }
   for (const RunRow& run : ledger.runs) {
     const auto leaving = ledger.leavingAt.find(run.server);
-    if (leaving != ledger.leavingAt.end() && run.at > leaving->second + kLeaveBound)
+    if (leaving != ledger.leavingAt.end() && run.at > leaving->second + kLeavingLimit)
       findings->push_back({"leaving-server", run.server + " got work " +
                                                  millis(run.at - leaving->second) +
                                                  " after it showed as leaving"});
   }
-  for (const HinderedRow& left : ledger.leftSpans) {
+  for (const DisruptionRow& left : ledger.leavingSpans) {
     for (const RunRow& run : ledger.runs) {
-      if (run.server == left.daemon && run.at > left.begun + kLeaveBound && run.at < left.ended)
+      if (run.server == left.daemon && run.at > left.begun + kLeavingLimit && run.at < left.ended)
         findings->push_back({"leaving-server", run.server + " got work " +
                                                    millis(run.at - left.begun) +
                                                    " after it showed as leaving"});
@@ -120,7 +128,8 @@
   checkWeights(ledger, trafficEnd, findings);
 }
 
-// Fences rise, and no two holders have an order open at one server at once.
+// A server accepts no order with a lower fence than before, and orders with different fences, thus
+// of two lease holders, are never open at a server at the same time.
 void checkOrders(const Ledger& ledger, std::vector<Finding>* findings) {
   std::map<std::string, std::vector<OrderRow>> byServer;
   for (const OrderRow& order : ledger.orders) byServer[order.server].push_back(order);
@@ -129,9 +138,9 @@
               [](const OrderRow& a, const OrderRow& b) { return a.at < b.at; });
     std::uint64_t top = 0;
     for (std::size_t i = 0; i < orders.size(); ++i) {
-      if (orders[i].taken && orders[i].fence < top)
+      if (orders[i].accepted && orders[i].fence < top)
         findings->push_back({"one-orderer", server + " took an order with an old fence"});
-      if (orders[i].taken) top = std::max(top, orders[i].fence);
+      if (orders[i].accepted) top = std::max(top, orders[i].fence);
       for (std::size_t j = i + 1; j < orders.size() && orders[j].at < orders[i].ended; ++j) {
         if (orders[j].fence != orders[i].fence)
           findings->push_back({"one-orderer", server + " had orders of two holders open at once"});
@@ -140,45 +149,47 @@
   }
 }
 
-// Every arrival of a nonce beyond its first is an extra try. Judged are the windows that end at a
-// send (cut off at the run's begin) and those that start at one and lie within the run.
-void checkTries(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
+// Every arrival of a nonce after its first is an extra try. At most one extra try per five first
+// ones is allowed in each window that ends at an arrival (truncated at the start of the run) and in
+// each that starts at an arrival and lies within the run.
+void checkRetries(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   std::set<std::string> seen;
   std::vector<std::pair<Instant, bool>> sends;
   std::vector<ArrivalRow> ordered = ledger.arrivals;
   std::sort(ordered.begin(), ordered.end(),
             [](const ArrivalRow& a, const ArrivalRow& b) { return a.at < b.at; });
   for (const ArrivalRow& row : ordered) sends.emplace_back(row.at, !seen.insert(row.nonce).second);
-  std::size_t to = 0, extras = 0;
+  std::size_t to = 0, extraTries = 0;
   for (std::size_t from = 0; from < sends.size(); ++from) {
-    const Instant windowEnd = sends[from].first + kTryWindow;
+    const Instant windowEnd = sends[from].first + kRetryWindow;
     for (; to < sends.size() && sends[to].first <= windowEnd; ++to) {
-      extras += sends[to].second ? 1 : 0;
-      // What came before the run's begin paid for nothing: this window is short, and judged.
-      const std::size_t firsts = to + 1 - from - extras;
-      if (from == 0 && extras > 0 && extras * 5 > firsts) {
-        findings->push_back({"extra-tries", std::to_string(extras) + " extra tries beside " +
-                                                std::to_string(firsts) +
+      extraTries += sends[to].second ? 1 : 0;
+      // There are no first tries before the run, so the truncated window must keep the ratio too.
+      const std::size_t firstTries = to + 1 - from - extraTries;
+      if (from == 0 && extraTries > 0 && extraTries * 5 > firstTries) {
+        findings->push_back({"extra-tries", std::to_string(extraTries) + " extra tries beside " +
+                                                std::to_string(firstTries) +
                                                 " first ones at the begin"});
         return;
       }
     }
-    const std::size_t firsts = to - from - extras;
-    if (extras > 0 && extras * 5 > firsts && windowEnd <= trafficEnd) {
-      findings->push_back({"extra-tries", std::to_string(extras) + " extra tries beside " +
-                                              std::to_string(firsts) + " first ones in 10 s"});
+    const std::size_t firstTries = to - from - extraTries;
+    if (extraTries > 0 && extraTries * 5 > firstTries && windowEnd <= trafficEnd) {
+      findings->push_back({"extra-tries", std::to_string(extraTries) + " extra tries beside " +
+                                              std::to_string(firstTries) + " first ones in 10 s"});
       return;
     }
-    extras -= sends[from].second ? 1 : 0;
+    extraTries -= sends[from].second ? 1 : 0;
   }
 }
 
-// What a daemon had accepted when it was warned, or took until it stopped listening, must end well.
-void checkPlanned(const Ledger& ledger, std::vector<Finding>* findings) {
-  for (const PlannedRow& planned : ledger.planned) {
+// Requests that a daemon had accepted at SIGTERM, or accepted before it stopped listening, must be
+// answered completely.
+void checkPlannedRestarts(const Ledger& ledger, std::vector<Finding>* findings) {
+  for (const PlannedRestartRow& planned : ledger.plannedRestarts) {
     for (const CallRow& call : ledger.calls) {
       if (call.daemon != planned.daemon || !call.accepted) continue;
-      if (ledger.brokenByServer.contains(call.nonce)) continue;  // no daemon could have kept it
+      if (ledger.abortedByServer.contains(call.nonce)) continue;  // no daemon can prevent this
       if (call.begun > planned.ended || call.ended < planned.begun) continue;
       if (call.status == 0 || (call.status == 200 && !call.complete))
         findings->push_back({"planned-restart", call.nonce + " was dropped by " + call.daemon});
@@ -186,18 +197,18 @@
   }
 }
 
-// The longest stretch within [begin, end] that holds none of `ends` and nothing hindered.
-Duration longestGap(std::vector<Instant> ends, std::vector<HinderedRow> hindered, Instant begin,
-                    Instant end) {
-  for (const HinderedRow& row : hindered) ends.push_back(std::clamp(row.ended, begin, end));
+// The longest time within [begin, end] without any of `ends` and outside the disruptions.
+Duration longestGap(std::vector<Instant> ends, std::vector<DisruptionRow> disruptions,
+                    Instant begin, Instant end) {
+  for (const DisruptionRow& row : disruptions) ends.push_back(std::clamp(row.ended, begin, end));
   ends.push_back(end);
   std::sort(ends.begin(), ends.end());
   Duration longest{};
   Instant from = begin;
   for (const Instant& at : ends) {
     Instant to = std::clamp(at, begin, end);
-    // A stretch ends where something begins to hinder; what follows counts from that one's end.
-    for (const HinderedRow& row : hindered) {
+    // A gap ends where a disruption begins; the next one is counted from the disruption's end.
+    for (const DisruptionRow& row : disruptions) {
       if (row.begun < to && row.ended > from) to = std::max(from, row.begun);
     }
     longest = std::max(longest, to - from);
@@ -206,18 +217,20 @@
   return longest;
 }
 
+// The longest time for which a daemon completed no answer, outside its disruptions.
 Duration silenceOf(const Ledger& ledger, const std::string& daemon, Instant trafficEnd) {
   std::vector<Instant> ends;
   for (const CallRow& call : ledger.calls) {
     if (call.daemon == daemon && call.status == 200 && call.complete) ends.push_back(call.ended);
   }
-  std::vector<HinderedRow> hindered;
-  for (const HinderedRow& row : ledger.hindered) {
-    if (row.daemon == daemon || row.daemon.empty()) hindered.push_back(row);
+  std::vector<DisruptionRow> disruptions;
+  for (const DisruptionRow& row : ledger.disruptions) {
+    if (row.daemon == daemon || row.daemon.empty()) disruptions.push_back(row);
   }
-  return longestGap(ends, hindered, ledger.trafficBegin, trafficEnd);
+  return longestGap(ends, disruptions, ledger.trafficStart, trafficEnd);
 }
 
+// The longest time between two completed answers of the fleet, in ms.
 double longestSilence(const Ledger& ledger) {
   std::vector<Instant> ends;
   for (const CallRow& call : ledger.calls) {
@@ -229,25 +242,25 @@
   return std::chrono::duration<double, std::milli>(longest).count();
 }
 
-// The fleet as a whole, each daemon that nothing hinders, and each way.
+// Each path, and each daemon outside its disruptions, must complete answers again in time.
 void checkRecovery(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
-  std::vector<HinderedRow> hinderedAll;
-  for (const HinderedRow& row : ledger.hindered) {
-    if (row.daemon.empty()) hinderedAll.push_back(row);
+  std::vector<DisruptionRow> fleetDisruptions;
+  for (const DisruptionRow& row : ledger.disruptions) {
+    if (row.daemon.empty()) fleetDisruptions.push_back(row);
   }
-  std::map<std::string, std::vector<Instant>> endsOfWay;
+  std::map<std::string, std::vector<Instant>> endsOfPath;
   for (const CallRow& call : ledger.calls) {
-    std::vector<Instant>& ends = endsOfWay[call.way];
+    std::vector<Instant>& ends = endsOfPath[call.path];
     if (call.status == 200 && call.complete) ends.push_back(call.ended);
   }
-  for (const auto& [way, ends] : endsOfWay) {
-    const Duration gap = longestGap(ends, hinderedAll, ledger.trafficBegin, trafficEnd);
-    if (gap > kRecoveryBound)
-      findings->push_back({"recovery", "no answer of '" + way + "' finished for " + millis(gap)});
+  for (const auto& [path, ends] : endsOfPath) {
+    const Duration gap = longestGap(ends, fleetDisruptions, ledger.trafficStart, trafficEnd);
+    if (gap > kRecoveryLimit)
+      findings->push_back({"recovery", "no answer of '" + path + "' finished for " + millis(gap)});
   }
   for (const std::string& daemon : ledger.daemons) {
     const Duration gap = silenceOf(ledger, daemon, trafficEnd);
-    if (gap > kRecoveryBound)
+    if (gap > kRecoveryLimit)
       findings->push_back({"recovery", daemon + " finished no answer for " + millis(gap)});
   }
 }
@@ -259,32 +272,32 @@
   checkCache(ledger, &findings);
   checkBounds(ledger, trafficEnd, &findings);
   checkOrders(ledger, &findings);
-  checkTries(ledger, trafficEnd, &findings);
-  checkPlanned(ledger, &findings);
+  checkRetries(ledger, trafficEnd, &findings);
+  checkPlannedRestarts(ledger, &findings);
   checkRecovery(ledger, trafficEnd, &findings);
-  checkOperators(ledger, &findings);
+  checkConfigurationChanges(ledger, &findings);
   return findings;
 }
 
-Figures figuresOf(const Ledger& ledger, Instant trafficEnd) {
-  Figures figures;
-  std::vector<double> firsts;
+RunStatistics statisticsOf(const Ledger& ledger, Instant trafficEnd) {
+  RunStatistics statistics;
+  std::vector<double> firstPieceMs;
   for (const CallRow& call : ledger.calls) {
-    ++figures.calls;
+    ++statistics.calls;
     if (call.status == 200 && call.complete) {
-      ++figures.done;
-      firsts.push_back(
+      ++statistics.done;
+      firstPieceMs.push_back(
           std::chrono::duration<double, std::milli>(call.firstPiece - call.begun).count());
     } else if (call.status == 200) {
-      ++figures.cut;
+      ++statistics.cut;
     } else if (call.status == 429 || call.status == 503) {
-      ++figures.turnedAway;
+      ++statistics.rejected;
     } else if (call.status == 502 || call.status == 504) {
-      ++figures.unknown;
+      ++statistics.unknown;
     } else if (call.status == 0) {
-      ++figures.noAnswer;
+      ++statistics.noAnswer;
     } else {
-      ++figures.bad;
+      ++statistics.badRequests;
     }
   }
   std::size_t prompt = 0, cached = 0;
@@ -292,20 +305,20 @@
     prompt += run.promptTokens;
     cached += run.cachedTokens;
   }
-  figures.runs = ledger.runs.size();
-  figures.longestSilenceMs = longestSilence(ledger);
+  statistics.runs = ledger.runs.size();
+  statistics.longestSilenceMs = longestSilence(ledger);
   using Millis = std::chrono::duration<double, std::milli>;
   for (const std::string& daemon : ledger.daemons)
-    figures.longestDaemonSilenceMs = std::max(
-        figures.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
-  figures.slowestInForceMs = Millis(slowestInForce(ledger)).count();
-  figures.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
-  std::sort(firsts.begin(), firsts.end());
-  if (!firsts.empty()) {
-    figures.firstPieceMedianMs = firsts[firsts.size() / 2];
-    figures.firstPieceP95Ms = firsts[firsts.size() * 95 / 100];
+    statistics.longestDaemonSilenceMs = std::max(
+        statistics.longestDaemonSilenceMs, Millis(silenceOf(ledger, daemon, trafficEnd)).count());
+  statistics.longestStaleServingMs = Millis(longestStaleServing(ledger)).count();
+  statistics.cachedShare = prompt ? static_cast<double>(cached) / static_cast<double>(prompt) : 0;
+  std::sort(firstPieceMs.begin(), firstPieceMs.end());
+  if (!firstPieceMs.empty()) {
+    statistics.firstPieceMedianMs = firstPieceMs[firstPieceMs.size() / 2];
+    statistics.firstPiece95thMs = firstPieceMs[firstPieceMs.size() * 95 / 100];
   }
-  return figures;
+  return statistics;
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -14,16 +14,16 @@
 
 std::vector<Daemon> planDaemons(const FleetPlan& plan) {
   std::vector<Daemon> daemons;
-  const std::string stem = "127." + std::to_string(plan.net) + ".";
+  const std::string networkPrefix = "127." + std::to_string(plan.net) + ".";
   std::vector<Address> seeds;
   for (std::size_t i = 0; i < std::min<std::size_t>(3, plan.cores); ++i)
-    seeds.push_back(Address{stem + "1." + std::to_string(i + 1) + ":7100"});
+    seeds.push_back(Address{networkPrefix + "1." + std::to_string(i + 1) + ":7100"});
   for (std::size_t i = 0; i < plan.cores + plan.edges; ++i) {
     const bool core = i < plan.cores;
     const std::size_t number = core ? i + 1 : i - plan.cores + 1;
     Daemon daemon;
     daemon.name = (core ? "core" : "edge") + std::to_string(number);
-    const std::string ip = stem + (core ? "1." : "2.") + std::to_string(number);
+    const std::string ip = networkPrefix + (core ? "1." : "2.") + std::to_string(number);
     daemon.peer = Address{ip + ":7100"};
     daemon.operators = Address{ip + ":7101"};
     daemon.callers = Address{ip + ":7102"};
@@ -45,11 +45,11 @@
                         "--copies-wanted=" + std::to_string(plan.cores),
                         "--traffic-threads=1",
                         "--grace-ms=6000"};
-    daemon.pair = plan.pair;
+    daemon.splitRoles = plan.splitRoles;
     if (core) {
-      daemon.dragFile = daemon.dataFolder + ".drag";
+      daemon.syncDelayFile = daemon.dataFolder + ".drag";
       daemon.arguments.push_back("--data-folder=" + daemon.dataFolder);
-      daemon.arguments.push_back("--disk-drag=" + daemon.dragFile);
+      daemon.arguments.push_back("--disk-drag=" + daemon.syncDelayFile);
     }
     daemons.push_back(std::move(daemon));
   }
@@ -57,9 +57,9 @@
 }
 
 namespace {
-pid_t startProcess(std::vector<std::string> texts, const std::string& logFile) {
+pid_t startProcess(std::vector<std::string> commandLine, const std::string& logFile) {
   std::vector<char*> arguments;
-  for (std::string& text : texts) arguments.push_back(text.data());
+  for (std::string& text : commandLine) arguments.push_back(text.data());
   arguments.push_back(nullptr);
   const pid_t pid = ::fork();
   if (pid != 0) return pid;
@@ -96,9 +96,9 @@
   std::filesystem::create_directories(plan.workFolder);
   writeSettings(*daemon, daemon->seeds);
   std::vector<std::string> arguments = daemon->arguments;
-  if (daemon->pair) arguments.push_back("--role=agent");
+  if (daemon->splitRoles) arguments.push_back("--role=agent");
   daemon->pid = startProcess(arguments, daemon->logFile);
-  if (!daemon->pair) return daemon->pid > 0;
+  if (!daemon->splitRoles) return daemon->pid > 0;
   arguments.back() = "--role=proxy";
   daemon->proxyPid = startProcess(arguments, daemon->logFile);
   return daemon->pid > 0 && daemon->proxyPid > 0;
@@ -111,12 +111,12 @@
 }
 
 int waitDaemon(Daemon* daemon, int milliseconds) {
-  int worst = daemon->pid > 0 ? waitProcess(&daemon->pid, milliseconds) : 0;
+  int failure = daemon->pid > 0 ? waitProcess(&daemon->pid, milliseconds) : 0;
   if (daemon->proxyPid > 0) {
     const int status = waitProcess(&daemon->proxyPid, milliseconds);
-    if (status != 0) worst = status;
+    if (status != 0) failure = status;
   }
-  return worst;
+  return failure;
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/callers.cpp
+++ b/src/fleet/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/callers.h"
+#include "fleet/load_generator.h"
 
 #include "base/digest.h"
 #include "net/model_server.h"
@@ -8,28 +8,28 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-Mix mixOf(const std::string& deployment) {
-  Mix mix;
+TrafficMix trafficMixOf(const std::string& deployment) {
+  TrafficMix mix;
   mix.name = deployment;
   if (deployment == "tejo") {
     mix.rate = 90;
-    mix.ways = {{"replan", false, 0.25, 1800, 400, 300, 40, 80, 6},
-                {"fare-check", true, 0.35, 900, 200, 160, 60, 40, 4},
-                {"stop-lookup", true, 0.40, 300, 0, 80, 90, 24, 3}};
+    mix.paths = {{"replan", false, 0.25, 1800, 400, 300, 40, 80, 6},
+                 {"fare-check", true, 0.35, 900, 200, 160, 60, 40, 4},
+                 {"stop-lookup", true, 0.40, 300, 0, 80, 90, 24, 3}};
   } else {
     mix.rate = 60;
-    mix.ways = {{"basket-audit", false, 0.30, 1600, 320, 240, 30, 64, 5},
-                {"price-lookup", true, 0.45, 320, 96, 64, 80, 16, 3},
-                {"shopper-help", true, 0.25, 800, 160, 128, 40, 40, 6}};
+    mix.paths = {{"basket-audit", false, 0.30, 1600, 320, 240, 30, 64, 5},
+                 {"price-lookup", true, 0.45, 320, 96, 64, 80, 16, 3},
+                 {"shopper-help", true, 0.25, 800, 160, 128, 40, 40, 6}};
   }
   mix.tenants = {{"north", 0.30},    {"south", 0.25},    {"east", 0.15}, {"west", 0.10},
                  {"iso-hill", 0.08}, {"iso-lake", 0.05}, {"quay", 0.04}, {"rill", 0.03}};
   return mix;
 }
 
-std::string secretOf(const std::string& tenant) { return "secret-of-" + tenant; }
+std::string apiKeyOf(const std::string& tenant) { return "secret-of-" + tenant; }
 
-std::string configurationOf(const Mix& mix, const std::string& weights) {
+std::string configurationOf(const TrafficMix& mix, const std::string& weights) {
   Json configuration{{"tenants", Json::object()},
                      {"contracts", Json::object()},
                      {"ways", Json::object()},
@@ -37,79 +37,81 @@
   for (const auto& [tenant, share] : mix.tenants) {
     configuration["tenants"][tenant] = {{"isolated", tenant.rfind("iso-", 0) == 0},
                                         {"concurrency", 128},
-                                        {"keys", {keyDigest(secretOf(tenant))}}};
+                                        {"keys", {keyDigest(apiKeyOf(tenant))}}};
   }
-  for (const WayMix& way : mix.ways) {
-    configuration["contracts"][way.way] = {{"model", "till"},
-                                           {"repeatable", way.repeatable},
-                                           {"due_ms", 8000},
-                                           {"tries", 2},
-                                           {"class", way.rulesTokens > 1000  ? "long"
-                                                     : way.rulesTokens > 500 ? "medium"
-                                                                             : "short"}};
-    configuration["ways"][way.way] = way.way;
+  for (const PathMix& path : mix.paths) {
+    configuration["contracts"][path.name] = {{"model", "till"},
+                                             {"repeatable", path.repeatable},
+                                             {"due_ms", 8000},
+                                             {"tries", 2},
+                                             {"class", path.sharedTokens > 1000  ? "long"
+                                                       : path.sharedTokens > 500 ? "medium"
+                                                                                 : "short"}};
+    configuration["ways"][path.name] = path.name;
   }
   return configuration.dump();
 }
 
-Gateway::Gateway(asio::io_context& io, Mix mix, std::vector<Address> daemons, Ledger& ledger,
-                 std::uint64_t seed)
+LoadGenerator::LoadGenerator(asio::io_context& io, TrafficMix mix, std::vector<Address> daemons,
+                             Ledger& ledger, std::uint64_t seed)
     : io_(io), mix_(std::move(mix)), ledger_(ledger), random_(seed) {
   for (std::size_t i = 0; i < daemons.size(); ++i)
     daemons_.push_back({daemons[i], "zone" + std::to_string(i % 4), false});
 }
 
-void Gateway::start() {
-  for (std::size_t i = 0; i < daemons_.size(); ++i) asio::co_spawn(io_, watch(i), asio::detached);
+void LoadGenerator::start() {
+  for (std::size_t i = 0; i < daemons_.size(); ++i)
+    asio::co_spawn(io_, pollReadiness(i), asio::detached);
 }
 
-awaitable<void> Gateway::watch(std::size_t daemon) {
+awaitable<void> LoadGenerator::pollReadiness(std::size_t daemon) {
   for (;;) {
     HttpCall call;
     call.to = daemons_[daemon].callers;
     call.target = "/readyz";
     call.timeout = 500ms;
-    const Instant askedAt = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     const auto response = co_await httpCall(std::move(call));
     daemons_[daemon].ready = response.ok() && response->result_int() == 200;
     if (daemons_[daemon].ready) {
       const std::string version((*response)["Quayrill-Spec-Version"]);
-      ledger_.with([&](Ledger& ledger) {
-        ledger.served.push_back(
-            {daemons_[daemon].callers.value, std::stoull("0" + version), askedAt});
+      ledger_.withLock([&](Ledger& ledger) {
+        ledger.servedVersions.push_back(
+            {daemons_[daemon].callers.value, std::stoull("0" + version), requestedAt});
       });
     }
     co_await pauseFor(250ms);
   }
 }
 
-awaitable<void> Gateway::drive(Duration span, double rateFactor, std::string onlyTenant) {
-  const Instant until = BootClock::now() + span;
-  ledger_.with([&](Ledger& ledger) {
-    if (ledger.trafficBegin == Instant{}) ledger.trafficBegin = BootClock::now();
+awaitable<void> LoadGenerator::sendTraffic(Duration span, double rateFactor,
+                                           std::string onlyTenant) {
+  const Instant end = BootClock::now() + span;
+  ledger_.withLock([&](Ledger& ledger) {
+    if (ledger.trafficStart == Instant{}) ledger.trafficStart = BootClock::now();
     for (const DaemonTarget& daemon : daemons_) ledger.daemons.insert(daemon.callers.value);
   });
-  const std::chrono::duration<double> every(1.0 / (mix_.rate * rateFactor));
-  Instant next = BootClock::now();
+  const std::chrono::duration<double> interval(1.0 / (mix_.rate * rateFactor));
+  Instant nextSendAt = BootClock::now();
   const auto draw = [&](double below) {
     return std::uniform_real_distribution<>(0, below)(random_);
   };
-  while (BootClock::now() < until) {
-    next += std::chrono::duration_cast<Duration>(every);
-    if (next > BootClock::now()) co_await pauseFor(next - BootClock::now());
-    if (open_ >= kOpenLimit) continue;
-    double point = draw(1.0);
-    const WayMix* way = &mix_.ways.back();
-    for (const WayMix& candidate : mix_.ways) {
-      if ((point -= candidate.share) < 0) {
-        way = &candidate;
+  while (BootClock::now() < end) {
+    nextSendAt += std::chrono::duration_cast<Duration>(interval);
+    if (nextSendAt > BootClock::now()) co_await pauseFor(nextSendAt - BootClock::now());
+    if (openCalls_ >= kMaxOpenCalls) continue;
+    double remainingShare = draw(1.0);
+    const PathMix* path = &mix_.paths.back();
+    for (const PathMix& candidate : mix_.paths) {
+      if ((remainingShare -= candidate.share) < 0) {
+        path = &candidate;
         break;
       }
     }
-    point = draw(1.0);
+    remainingShare = draw(1.0);
     std::string tenant = mix_.tenants.back().first;
     for (const auto& [name, share] : mix_.tenants) {
-      if ((point -= share) < 0) {
+      if ((remainingShare -= share) < 0) {
         tenant = name;
         break;
       }
@@ -126,34 +128,35 @@
     if (ready.empty()) continue;
     const DaemonTarget& chosenDaemon = *ready[random_() % ready.size()];
     CallRow row;
-    row.nonce = "n" + std::to_string(++counter_);
+    row.nonce = "n" + std::to_string(++lastRequestNumber_);
     row.tenant = tenant;
-    row.way = way->way;
+    row.path = path->name;
     row.daemon = chosenDaemon.callers.value;
-    row.repeatable = way->repeatable;
+    row.repeatable = path->repeatable;
     row.isolated = tenant.rfind("iso-", 0) == 0;
-    HttpRequest request(http::verb::post, "/v1/" + way->way, 11);
+    HttpRequest request(http::verb::post, "/v1/" + path->name, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
-    request.set(http::field::authorization, "Bearer " + secretOf(tenant));
-    // Skewed towards low variants, as hot notices are.
+    request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
+    // Low variants are more frequent, as some notices are requested far more often than others.
     const double skew = draw(1.0);
-    const auto variant = static_cast<std::size_t>(skew * skew * static_cast<double>(way->variants));
-    std::string prefix = way->way + ":" + std::to_string(way->rulesTokens);
-    if (way->tenantTokens > 0)
-      prefix += "," + way->way + "-" + tenant + ":" + std::to_string(way->tenantTokens);
-    prefix +=
-        "," + way->way + "-v" + std::to_string(variant) + ":" + std::to_string(way->variantTokens);
-    prefix += ",own-" + row.nonce + ":" + std::to_string(way->ownTokens);
+    const auto variant =
+        static_cast<std::size_t>(skew * skew * static_cast<double>(path->variants));
+    std::string prefix = path->name + ":" + std::to_string(path->sharedTokens);
+    if (path->tenantTokens > 0)
+      prefix += "," + path->name + "-" + tenant + ":" + std::to_string(path->tenantTokens);
+    prefix += "," + path->name + "-v" + std::to_string(variant) + ":" +
+              std::to_string(path->variantTokens);
+    prefix += ",own-" + row.nonce + ":" + std::to_string(path->uniqueTokens);
     request.set(wire::kPrefix, prefix);
-    request.body() = Json{{"nonce", row.nonce}, {"pieces", way->pieces}}.dump();
+    request.body() = Json{{"nonce", row.nonce}, {"pieces", path->pieces}}.dump();
     request.prepare_payload();
-    ++open_;
+    ++openCalls_;
     asio::co_spawn(io_, call(std::move(row), std::move(request), chosenDaemon.callers),
                    asio::detached);
   }
 }
 
-bool Gateway::checkLines(const std::string& body, CallRow* row) {
+bool LoadGenerator::checkAnswerLines(const std::string& body, CallRow* row) {
   std::istringstream lines(body);
   std::string run;
   int expected = 0;
@@ -192,7 +195,7 @@
   return true;
 }
 
-awaitable<void> Gateway::call(CallRow row, HttpRequest request, Address to) {
+awaitable<void> LoadGenerator::call(CallRow row, HttpRequest request, Address to) {
   row.begun = BootClock::now();
   Connection connection(io_);
   connection.expires_after(20s);
@@ -216,15 +219,15 @@
   row.ended = BootClock::now();
   if (row.status == 200) {
     std::string body = parser.get().body();
-    // What follows the last whole line of a cut answer is no piece.
+    // An incomplete line at the end of a cut answer is not a piece.
     if (!row.complete)
       body.resize(body.rfind('\n') == std::string::npos ? 0 : body.rfind('\n') + 1);
-    row.piecesRight = checkLines(body, &row);
+    row.piecesValid = checkAnswerLines(body, &row);
   }
   if (row.status >= 400) row.error = parser.get().body();
   if (row.error.empty() && code) row.error = code.message();
-  --open_;
-  ledger_.with([&](Ledger& ledger) { ledger.calls.push_back(std::move(row)); });
+  --openCalls_;
+  ledger_.withLock([&](Ledger& ledger) { ledger.calls.push_back(std::move(row)); });
 }
 
 }  // namespace quayrill::fleet
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -1,4 +1,4 @@
-// quayrill-local: a whole deployment on one machine, with stand-ins for all that is outside.
+// quayrill-local: runs a whole deployment on one machine, with stand-ins for everything outside it.
 #include <docopt/docopt.h>
 
 #include <csignal>
@@ -6,7 +6,7 @@
 #include <iomanip>
 #include <iostream>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace {
 constexpr char kUsage[] =
@@ -44,57 +44,59 @@
 Exit codes: 0 nothing broken, 1 a rule was broken or the fleet did not found, 2 bad usage.
 )";
 
-int report(quayrill::fleet::Site& site, bool asJson) {
+int report(quayrill::fleet::LocalDeployment& deployment, bool asJson) {
   using namespace std::chrono_literals;
   std::vector<quayrill::fleet::Finding> findings;
-  quayrill::fleet::Figures figures;
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
-    findings = quayrill::fleet::checkLedger(ledger, site.trafficEnd());
-    figures = quayrill::fleet::figuresOf(ledger, site.trafficEnd());
+  quayrill::fleet::RunStatistics statistics;
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+    findings = quayrill::fleet::checkLedger(ledger, deployment.trafficEnd());
+    statistics = quayrill::fleet::statisticsOf(ledger, deployment.trafficEnd());
   });
   quayrill::Duration slowest{};
-  for (const auto& change : site.changes()) {
-    if (!change.closed) slowest = std::max(slowest, change.everywhereAfter);
-    if (!change.everywhere)
+  for (const auto& change : deployment.changes()) {
+    if (!change.someNotServing) slowest = std::max(slowest, change.propagationTime);
+    if (!change.inForceEverywhere)
       findings.push_back({"in-force", "configuration " + std::to_string(change.version) +
                                           " was served without 2 s after its acknowledgement"});
   }
-  if (site.plannedExitErrors() > 0)
+  if (deployment.shutdownErrors() > 0)
     findings.push_back({"planned-restart", "a SIGTERM did not end well"});
-  for (const std::string& missed : site.settingsMissed()) findings.push_back({"settings", missed});
+  for (const std::string& missed : deployment.settingsErrors())
+    findings.push_back({"settings", missed});
   std::cout << std::fixed << std::setprecision(3);
-  std::cout << "calls " << figures.calls << " done " << figures.done << " turned-away "
-            << figures.turnedAway << " unknown " << figures.unknown << " cut " << figures.cut
-            << " no-answer " << figures.noAnswer << " bad-input " << figures.bad << " runs "
-            << figures.runs << "\n"
-            << "cached share of prompt tokens " << figures.cachedShare << ", first piece median "
-            << figures.firstPieceMedianMs << " ms, p95 " << figures.firstPieceP95Ms << " ms\n"
-            << "longest time with no answer finished " << figures.longestSilenceMs << " ms\n"
+  std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
+            << statistics.rejected << " unknown " << statistics.unknown << " cut " << statistics.cut
+            << " no-answer " << statistics.noAnswer << " bad-input " << statistics.badRequests
+            << " runs " << statistics.runs << "\n"
+            << "cached share of prompt tokens " << statistics.cachedShare << ", first piece median "
+            << statistics.firstPieceMedianMs << " ms, p95 " << statistics.firstPiece95thMs
+            << " ms\n"
+            << "longest time with no answer finished " << statistics.longestSilenceMs << " ms\n"
             << "longest time a daemon that nothing hindered finished no answer "
-            << figures.longestDaemonSilenceMs << " ms\n"
+            << statistics.longestDaemonSilenceMs << " ms\n"
             << "longest that a configuration was served after a newer one was acknowledged "
-            << figures.slowestInForceMs << " ms\n"
-            << "changes " << site.changes().size() << ", slowest everywhere after " << slowest / 1ms
-            << " ms\n";
+            << statistics.longestStaleServingMs << " ms\n"
+            << "changes " << deployment.changes().size() << ", slowest everywhere after "
+            << slowest / 1ms << " ms\n";
   for (std::size_t i = 0; i < std::min<std::size_t>(10, findings.size()); ++i)
     std::cout << "BROKEN " << findings[i].rule << ": " << findings[i].what << "\n";
   std::cout << "broken rules " << findings.size() << "\n";
-  site.showPrices();
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
-    for (const auto& [weights, named] : ledger.weightsNamedAt) {
+  deployment.printFaultCosts();
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
+    for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
       std::size_t reached = 0;
       quayrill::Duration last{};
-      for (const auto& [server, at] : ledger.weightsReachedAt[weights]) {
-        reached += ledger.serversAtEnd.contains(server) ? 1 : 0;
-        last = std::max(last, at - named);
+      for (const auto& [server, at] : ledger.weightsLoadedAt[weights]) {
+        reached += ledger.finalServers.contains(server) ? 1 : 0;
+        last = std::max(last, at - configuredAt);
       }
       std::cout << "weights " << weights << " taken by " << reached << " of "
-                << ledger.serversAtEnd.size() << " servers, the last after " << last / 1ms
+                << ledger.finalServers.size() << " servers, the last after " << last / 1ms
                 << " ms\n";
     }
   });
   std::map<std::string, int> errors;
-  site.ledger().with([&](quayrill::fleet::Ledger& ledger) {
+  deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& call : ledger.calls) {
       if (!call.error.empty()) ++errors[std::to_string(call.status) + " " + call.error];
     }
@@ -104,16 +106,16 @@
     if (++shown <= 12) std::cout << count << " x " << error << (error.back() == '\n' ? "" : "\n");
   }
   if (asJson)
-    std::cout << nlohmann::json{{"calls", figures.calls},
-                                {"done", figures.done},
-                                {"turned_away", figures.turnedAway},
-                                {"unknown", figures.unknown},
-                                {"cut", figures.cut},
-                                {"no_answer", figures.noAnswer},
-                                {"cached_share", figures.cachedShare},
-                                {"first_piece_median_ms", figures.firstPieceMedianMs},
-                                {"first_piece_p95_ms", figures.firstPieceP95Ms},
-                                {"longest_silence_ms", figures.longestSilenceMs},
+    std::cout << nlohmann::json{{"calls", statistics.calls},
+                                {"done", statistics.done},
+                                {"turned_away", statistics.rejected},
+                                {"unknown", statistics.unknown},
+                                {"cut", statistics.cut},
+                                {"no_answer", statistics.noAnswer},
+                                {"cached_share", statistics.cachedShare},
+                                {"first_piece_median_ms", statistics.firstPieceMedianMs},
+                                {"first_piece_p95_ms", statistics.firstPiece95thMs},
+                                {"longest_silence_ms", statistics.longestSilenceMs},
                                 {"slowest_change_ms", slowest / 1ms},
                                 {"broken", findings.size()}}
                      .dump()
@@ -128,13 +130,13 @@
   auto flags =
       docopt::docopt(kUsage, {argv + 1, argv + argc}, true, "quayrill-local " QUAYRILL_VERSION);
   std::signal(SIGPIPE, SIG_IGN);
-  fleet::SiteSettings settings;
+  fleet::LocalDeploymentSettings settings;
   std::vector<fleet::Step> steps;
   std::chrono::milliseconds span{};
   try {
     settings.plan.cores = static_cast<std::size_t>(std::stoul(flags["--cores"].asString()));
     settings.plan.edges = static_cast<std::size_t>(std::stoul(flags["--edges"].asString()));
-    settings.plan.pair = flags["--pair"].asBool();
+    settings.plan.splitRoles = flags["--pair"].asBool();
     settings.plan.net = std::stoi(flags["--net"].asString());
     settings.plan.placement = flags["--placement"].asString();
     settings.plan.fetch = flags["--fetch"].asString();
@@ -145,7 +147,7 @@
           (std::filesystem::canonical("/proc/self/exe").parent_path() / "quayrilld").string();
     settings.servers = static_cast<std::size_t>(std::stoul(flags["--servers"].asString()));
     settings.cacheTokens = std::stoul(flags["--cache-tokens"].asString());
-    settings.mix = fleet::mixOf(flags["--deployment"].asString());
+    settings.mix = fleet::trafficMixOf(flags["--deployment"].asString());
     settings.rateFactor = std::stod(flags["--rate"].asString());
     settings.seed = std::stoull(flags["--seed"].asString());
     span = std::chrono::milliseconds(std::stol(flags["--seconds"].asString()) * 1000);
@@ -164,10 +166,10 @@
   }
   std::filesystem::remove_all(settings.plan.workFolder);
   asio::io_context io(1);
-  fleet::Site site(io, settings);
-  if (const auto status = site.start(); !status.ok()) {
+  fleet::LocalDeployment deployment(io, settings);
+  if (const auto status = deployment.start(); !status.ok()) {
     std::cerr << "quayrill-local: " << status.message() << "\n";
-    site.end();
+    deployment.shutDown();
     return 1;
   }
   bool founded = false;
@@ -175,10 +177,10 @@
       io,
       [&]() -> awaitable<void> {
         const Instant begun = BootClock::now();
-        founded = co_await site.found(60s);
+        founded = co_await deployment.waitUntilReady(60s);
         std::cout << (founded ? "founded after " : "NOT founded after ")
                   << (BootClock::now() - begun) / 1ms << " ms" << std::endl;
-        if (founded) co_await site.traffic(span, steps);
+        if (founded) co_await deployment.runTraffic(span, steps);
         if (!flags["--keep-open"].asBool()) io.stop();
       },
       asio::detached);
@@ -187,9 +189,9 @@
     if (!code) io.stop();
   });
   io.run();
-  site.end();
-  if (flags["--tenants"].asBool()) site.showTenants();
-  const int result = report(site, flags["--json"].asBool());
+  deployment.shutDown();
+  if (flags["--tenants"].asBool()) deployment.printTenants();
+  const int result = report(deployment, flags["--json"].asBool());
   std::cout.flush();
   std::_Exit(founded ? result : 1);
 }
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -1,6 +1,6 @@
 #pragma once
-// A stand-in model server: it speaks the wire, keeps a cache by blocks, and logs what it really
-// did.
+// A stand-in model server: implements the HTTP protocol of model servers, simulates a cache of
+// prompt blocks, and records in the ledger what it ran.
 #include <deque>
 #include <list>
 #include <memory>
@@ -12,86 +12,98 @@
 
 namespace quayrill::fleet {
 
-struct StandInSettings {
+// Capacity and speed of a stand-in server.
+struct StandInServerSettings {
   Address address;
   std::string zone, model = "till", weights = "w0";
   std::size_t slots = 8, queueLimit = 24;
   std::size_t cacheTokens = 40000, blockTokens = 16;
   std::chrono::microseconds prefillPerToken{25}, fetchPerToken{4};
-  std::chrono::milliseconds pieceEvery{4}, loadSpan{800};
+  std::chrono::milliseconds pieceInterval{4}, loadDuration{800};
   Address store;
 };
 
-// Errors that a run can switch on, to show that a checker trips.
-struct StandInFaults {
+// Faults that a run can inject. repeatPiece violates the protocol, to show that the checker detects
+// it.
+struct StandInServerFaults {
   bool dropMidStream = false;    // closes after some pieces
-  bool dropBeforeFirst = false;  // runs, then closes with no answer
+  bool dropBeforeFirst = false;  // runs the request, then closes without an answer
   bool repeatPiece = false;      // sends one piece twice
-  bool silent = false;           // takes connections and answers nothing
-  bool frozen = false;           // stops in the middle of everything, connections open
-  bool eventsLate = false;       // cache events are told seconds after they happened
-  bool eventsLost = false;       // the oldest half of the events told is forgotten
-  bool eventsDoubled = false;    // events come twice and in reverse order
+  bool silent = false;           // accepts connections but answers nothing
+  bool frozen = false;           // stops at any point of its work and keeps connections open
+  bool eventsLate = false;       // withholds the newest cache events
+  bool eventsLost = false;       // discards the older half of the retained events at each read
+  bool eventsDoubled = false;    // delivers events twice and in reverse order
 };
 
-using BlockName = std::uint64_t;
-// The chain of block names of a prefix under a salt; a stand-in's own reckoning.
-std::vector<BlockName> chainOf(const std::string& salt, const PromptPrefix& prefix,
-                               std::size_t blockTokens);
+using BlockHash = std::uint64_t;
+// The hashes of a prefix's blocks under a salt, each chained to the one before. Computed
+// independently of the daemons.
+std::vector<BlockHash> blockChainOf(const std::string& salt, const PromptPrefix& prefix,
+                                    std::size_t blockTokens);
 
+// A model server that can crash and restart. Runs on the single thread of `io`.
 class StandInServer {
  public:
-  StandInServer(asio::io_context& io, StandInSettings settings, Ledger& ledger);
+  StandInServer(asio::io_context& io, StandInServerSettings settings, Ledger& ledger);
   absl::Status start();
-  void crash();    // drops every connection and the listener, forgets all
-  void restart();  // comes back empty, under a new identity
-  void setFaults(const StandInFaults& faults) { faults_ = faults; }
+  void crash();    // drops the listener and all connections, and loses all state
+  void restart();  // starts again with an empty cache and a new identity
+  void setFaults(const StandInServerFaults& faults) { faults_ = faults; }
   void slowLinks(bool slow) { slowLinks_ = slow; }
   const std::string& weights() const { return weights_; }
   bool isUp() const { return !down_; }
   bool isBusy() const { return running_ + queued_ > 0; }
-  const StandInSettings& settings() const { return settings_; }
+  const StandInServerSettings& settings() const { return settings_; }
 
  private:
   struct Block {
     std::string weights, salt;
-    std::shared_ptr<const PromptPrefix> prefix;  // it ends block number `index` of this prefix
+    std::shared_ptr<const PromptPrefix> prefix;  // the block is number `index` of this prefix
     std::size_t index = 0;
-    std::list<BlockName>::iterator use;
+    std::list<BlockHash>::iterator lruPosition;
   };
   awaitable<std::optional<HttpResponse>> handle(Connection& connection, HttpRequest& request);
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
-  awaitable<HttpResponse> pull(HttpRequest& request);
-  awaitable<void> load(std::string weights, std::uint64_t life);
-  awaitable<void> keep(std::string salt, std::string weights, std::string prefix);
-  HttpResponse load();
-  HttpResponse events(std::uint64_t since);
-  awaitable<HttpResponse> order(HttpRequest& request, Address from);
-  HttpResponse drop(HttpRequest& request);
-  HttpResponse readBlocks(HttpRequest& request);
-  std::size_t cachedBlocks(const std::vector<BlockName>& chain, RunRow* run);
-  void store(const std::vector<BlockName>& chain, const std::string& salt,
+  // POST /kv-pull: fetches blocks from another server or the store.
+  awaitable<HttpResponse> handlePull(HttpRequest& request);
+  // Switches to the weights after the load duration, unless the server has restarted by then.
+  awaitable<void> loadWeights(std::string weights, std::uint64_t incarnation);
+  // Sends a prefix to the store.
+  awaitable<void> storePrefix(std::string salt, std::string weights, std::string prefix);
+  HttpResponse reportLoad();  // /burden
+  HttpResponse handleCacheEvents(std::uint64_t since);
+  awaitable<HttpResponse> handleWeightsOrder(HttpRequest& request, Address from);
+  HttpResponse handleDrop(HttpRequest& request);
+  HttpResponse handleRead(HttpRequest& request);  // /kv-read: the weights of the blocks held
+  // Counts the leading blocks of the chain that are cached, and marks them as used.
+  std::size_t cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run);
+  // Adds blocks to the cache, with the weights of each.
+  void store(const std::vector<BlockHash>& chain, const std::string& salt,
              const std::vector<std::string>& weights, const PromptPrefix& prefix);
-  void evictOldest();
-  awaitable<void> thaw();
+  void evictLeastRecentlyUsed();
+  awaitable<void> waitWhileFrozen();
+  // A 503 that guarantees that the request was not run.
   HttpResponse notRun(const std::string& why);
 
   asio::io_context& io_;
-  StandInSettings settings_;
+  StandInServerSettings settings_;
   Ledger& ledger_;
   std::unique_ptr<HttpServer> server_;
-  std::vector<std::unique_ptr<HttpServer>> retired_;  // coroutines of a crashed life still name it
-  StandInFaults faults_;
+  // HTTP servers of earlier incarnations, which suspended coroutines still refer to.
+  std::vector<std::unique_ptr<HttpServer>> retired_;
+  StandInServerFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
-  // All below is of this life, touched on io_'s single thread.
-  std::uint64_t life_ = 0;
+  // Everything below is state of the present incarnation, accessed only on io_'s thread.
+  std::uint64_t incarnation_ = 0;
   std::string identity_, weights_;
   bool loading_ = false, down_ = false;
   std::size_t running_ = 0, queued_ = 0;
-  std::uint64_t highestFence_ = 0, runs_ = 0, eventNext_ = 1;
-  std::unordered_map<BlockName, Block> cache_;
-  std::list<BlockName> uses_;           // oldest first; holds exactly the names in cache_
-  std::deque<nlohmann::json> dropped_;  // events from eventNext_ - size() on, at most kEventLimit
+  std::uint64_t highestFence_ = 0, runs_ = 0, nextEvent_ = 1;
+  std::unordered_map<BlockHash, Block> cache_;
+  std::list<BlockHash> lruOrder_;  // least recently used first; exactly the keys of cache_
+  // The events from position nextEvent_ - size() on, at most kEventLimit.
+  std::deque<nlohmann::json> evictionEvents_;
   static constexpr std::size_t kEventLimit = 4000;
 };
 
--- a/src/fleet/steps.cpp
+++ b/src/fleet/steps.cpp
@@ -1,9 +1,9 @@
-// The steps of a run: faults, and what operators and the platform do.
+// Parses, formats and dispatches the steps of a run.
 #include "fleet/steps.h"
 
 #include <sstream>
 
-#include "fleet/site.h"
+#include "fleet/local_deployment.h"
 
 namespace quayrill::fleet {
 
@@ -28,7 +28,8 @@
     const auto at = item.find('@');
     if (colon == std::string::npos || at == std::string::npos || at < colon ||
         !isKnownStep(item.substr(0, colon))) {
-      *error = "'" + item + "' is no step: write STEP:ARGUMENT@SECOND, one of";
+      *error = "'" + item +
+               "' is not a valid step; expected STEP:ARGUMENT@SECOND with one of these steps:";
 #define QUAYRILL_LIST(step, target, help) *error += std::string("\n  ") + step + " (" + help + ")";
       QUAYRILL_STEPS(QUAYRILL_LIST)
 #undef QUAYRILL_LIST
@@ -43,43 +44,45 @@
 std::string formatSteps(const std::vector<Step>& steps) {
   std::ostringstream text;
   for (const Step& step : steps)
-    text << (text.tellp() > 0 ? "," : "") << step.what << ':' << step.argument << '@'
+    text << (text.tellp() > 0 ? "," : "") << step.type << ':' << step.argument << '@'
          << step.atSecond;
   return text.str();
 }
 
-awaitable<void> Site::perform(Step step) {
+awaitable<void> LocalDeployment::perform(Step step) {
   co_await pauseFor(std::chrono::milliseconds(static_cast<long>(step.atSecond * 1000)));
   const auto number = static_cast<std::size_t>(std::atoi(step.argument.c_str()));
   StepTarget target = StepTarget::Operator;
 #define QUAYRILL_TARGET(name, kind, help) \
-  if (step.what == name) target = StepTarget::kind;
+  if (step.type == name) target = StepTarget::kind;
   QUAYRILL_STEPS(QUAYRILL_TARGET)
 #undef QUAYRILL_TARGET
   switch (target) {
     case StepTarget::Core:
       if (number >= 1 && number <= settings_.plan.cores)
-        co_await atDaemon(step.what.substr(0, step.what.rfind('-')), daemonAt(number, true));
+        co_await applyDaemonFault(step.type.substr(0, step.type.rfind('-')),
+                                  daemonAt(number, true));
       break;
     case StepTarget::Edge:
       if (number >= 1 && number <= settings_.plan.edges)
-        co_await atDaemon(step.what.substr(0, step.what.rfind('-')), daemonAt(number, false));
+        co_await applyDaemonFault(step.type.substr(0, step.type.rfind('-')),
+                                  daemonAt(number, false));
       break;
-    case StepTarget::Many:
-      co_await atMany(step.what, number);
+    case StepTarget::Group:
+      co_await applyGroupFault(step.type, number);
       break;
     case StepTarget::Server:
       if (number >= 1 && number <= servers_.size())
-        co_await atServer(step.what, *servers_[number - 1]);
+        co_await applyServerFault(step.type, *servers_[number - 1]);
       break;
-    case StepTarget::Outside:
-      co_await atOutside(step.what, number);
+    case StepTarget::External:
+      co_await applyExternalFault(step.type, number);
       break;
     case StepTarget::Operator:
-      co_await operate(step.what, step.argument);
+      co_await runOperatorStep(step.type, step.argument);
       break;
   }
-  --stepsOpen_;
+  --openSteps_;
 }
 
 }  // namespace quayrill::fleet
