--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -80,13 +80,13 @@
   // this machine's disk. `given` is a saved configuration that had version `givenVersion`; if it is
   // empty, the newest configuration known to this daemon is used. Rejected while the old register
   // may still be alive.
-  struct Recovered {
+  struct RecoveryResult {
     std::string rejection;  // the reason for a rejection; "" on success
     ReplicaSet replicas;
     std::uint64_t configurationVersion = 0;
   };
-  Recovered recover(const std::string& given, std::uint64_t givenVersion, Instant now,
-                    AgentEffects* effects);
+  RecoveryResult recover(const std::string& given, std::uint64_t givenVersion, Instant now,
+                         AgentEffects* effects);
   // One unit of replica work has been synced and answered.
   void onReplicaWorkDone() { --replicaBacklog_; }
   // Announces that this daemon is leaving, so that its roles and its replica move to others.
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -170,8 +170,8 @@
   foundWhenGranted(now, effects);
 }
 
-AgentCore::Recovered AgentCore::recover(const std::string& given, std::uint64_t givenVersion,
-                                        Instant now, AgentEffects* effects) {
+AgentCore::RecoveryResult AgentCore::recover(const std::string& given, std::uint64_t givenVersion,
+                                             Instant now, AgentEffects* effects) {
   if (!replica_ || !replica_->isVoting())
     return {"this daemon has no sound register replica: ask one with a data folder", {}, 0};
   const auto confirmed = freshness_.confirmedAt();
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -284,8 +284,8 @@
   return ask(index, {{}, kConfigurationKey, true, 0, {}, {}, {}});
 }
 
-AgentCore::Recovered World::recover(std::size_t index, const std::string& given,
-                                    std::uint64_t givenVersion) {
+AgentCore::RecoveryResult World::recover(std::size_t index, const std::string& given,
+                                         std::uint64_t givenVersion) {
   AgentEffects effects;
   auto made =
       machines_[index].core->recover(given, givenVersion, local(machines_[index]), &effects);
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -90,8 +90,8 @@
 
   std::uint64_t change(std::size_t machine, std::uint64_t expectedVersion, std::string body);
   std::uint64_t read(std::size_t machine);
-  AgentCore::Recovered recover(std::size_t machine, const std::string& given,
-                               std::uint64_t givenVersion);
+  AgentCore::RecoveryResult recover(std::size_t machine, const std::string& given,
+                                    std::uint64_t givenVersion);
   void plant(bool unsynced, bool reused) {
     settings_.plantUnsyncedDisk = unsynced;
     settings_.plantReusedStore = reused;
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -294,8 +294,8 @@
     world.run(2s);
     REQUIRE(world.asked(id).done->result == ChangeResult::Chosen);
   }
-  AgentCore::Recovered recover(std::size_t survivor, const std::string& given,
-                               std::uint64_t version) {
+  AgentCore::RecoveryResult recover(std::size_t survivor, const std::string& given,
+                                    std::uint64_t version) {
     return world.recover(survivor, given, version);
   }
   void lose(std::size_t machine) {
