--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -76,17 +76,17 @@
   // The data folder was reopened after an error, or opened late: the replica votes again, based on
   // what is actually on the disk. Returns false if the rows can't be decoded.
   bool onDiskReloaded(const std::map<std::string, std::string>& disk, AgentEffects* effects);
-  // On an operator's request, abandons a register whose majority is lost and founds a new one on
-  // this machine's disk. `given` is a saved configuration that had version `givenVersion`; if it is
-  // empty, the newest configuration known to this daemon is used. Rejected while the old register
-  // may still be alive.
+  // recover: on an operator's request, abandons a register whose majority is lost and founds a new
+  // one on this machine's disk. `savedConfiguration` had version `savedVersion`; if it is empty,
+  // the newest configuration known to this daemon is used. Rejected while the old register may
+  // still be alive.
   struct RecoveryResult {
     std::string rejection;  // the reason for a rejection; "" on success
     ReplicaSet replicas;
     std::uint64_t configurationVersion = 0;
   };
-  RecoveryResult recover(const std::string& given, std::uint64_t givenVersion, Instant now,
-                         AgentEffects* effects);
+  RecoveryResult recover(const std::string& savedConfiguration, std::uint64_t savedVersion,
+                         Instant now, AgentEffects* effects);
   // One unit of replica work has been synced and answered.
   void onReplicaWorkDone() { --replicaBacklog_; }
   // Announces that this daemon is leaving, so that its roles and its replica move to others.
--- a/src/agent/core/founding.cpp
+++ b/src/agent/core/founding.cpp
@@ -13,7 +13,7 @@
 constexpr Span kQueryInterval = 500ms;
 constexpr Span kFoundingInterval = 150ms;
 constexpr Span kGrantDuration = 10s;
-// Far below kGrantSpan, so that a grant in an answer this old has not expired at the seed.
+// Far below kGrantDuration, so that a grant in an answer this old has not expired at the seed.
 constexpr Span kSeedAnswerValidity = 2s;
 constexpr char kGrant[] = "grant";
 constexpr std::uint64_t kRecoveryVersionGap = 1000000;
@@ -170,8 +170,9 @@
   foundWhenGranted(now, effects);
 }
 
-AgentCore::RecoveryResult AgentCore::recover(const std::string& given, std::uint64_t givenVersion,
-                                             Instant now, AgentEffects* effects) {
+AgentCore::RecoveryResult AgentCore::recover(const std::string& savedConfiguration,
+                                             std::uint64_t savedVersion, Instant now,
+                                             AgentEffects* effects) {
   if (!replica_ || !replica_->isVoting())
     return {"this daemon has no sound register replica: ask one with a data folder", {}, 0};
   const auto confirmed = freshness_.confirmedAt();
@@ -181,8 +182,8 @@
   if (const auto stored = replica_->valueOf(kConfigurationKey);
       stored && stored->version > configuration.version)
     configuration = *stored;
-  const std::uint64_t newestKnown = std::max(configuration.version, givenVersion);
-  if (!given.empty()) configuration.body = given;
+  const std::uint64_t newestKnown = std::max(configuration.version, savedVersion);
+  if (!savedConfiguration.empty()) configuration.body = savedConfiguration;
   if (configuration.body.empty())
     return {
         "no configuration is known here, and the fleet's daemons serve by one: give a saved one",
--- a/src/agent/core/leases.h
+++ b/src/agent/core/leases.h
@@ -45,7 +45,7 @@
   // What is known of the lease on one role. The holder counts the term from before it sent the
   // change, and a rival counts it from after it saw the change, so two terms never overlap.
   struct Row {
-    bool known = false;
+    bool known = false;  // `version` and `body` are the newest known to be chosen
     std::uint64_t version = 0;
     LeaseBody body;
     Instant seenAt;      // when this version was first seen here
