--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -52,8 +52,8 @@
     row.retryAt = now + 300ms;  // read again: a renewal restarts the term
     return startOperation(role, row, now, true, {});
   }
-  // The other process stopped acting before its release was seen here, or at the latest kTerm after
-  // its last renewal was seen here.
+  // The other process stopped acting before its release was seen here, or at the latest kLeaseTerm
+  // after its last renewal was seen here.
   const bool isTakeover = row.version > 0 && (row.body.holder != self_ || row.body.nonce != nonce_);
   if (isTakeover) {
     const Instant lastAct = row.body.released ? row.seenAt : row.seenAt + kLeaseTerm;
