--- a/src/agent/core/agent_core.h
+++ b/src/agent/core/agent_core.h
@@ -286,7 +286,7 @@
   // Stores that answered recently; silentSince_ has the members of the replica set that did not.
   struct Contact {
     Address address;
-    Instant at;
+    Instant answeredAt;
     std::uint64_t fleet = 0;
     // When it last answered again after being unreachable, and how often that happened recently.
     Instant stableSince;
--- a/src/agent/core/plane_exchange.cpp
+++ b/src/agent/core/plane_exchange.cpp
@@ -86,7 +86,7 @@
   Span age{};
   for (const auto& [daemon, report] : reports_) {
     add(&sums, report.outstanding);
-    age += now - report.at;
+    age += now - report.reportedAt;
   }
   if (!reports_.empty())
     digest.agoMicros = microsOf(age) / static_cast<std::int64_t>(reports_.size());
@@ -102,7 +102,7 @@
   std::int64_t age = digest.agoMicros;
   for (const auto& [name, zone] : zones_) {
     add(&sums, zone.outstanding);
-    age += microsOf(now - zone.at);
+    age += microsOf(now - zone.reportedAt);
   }
   digest.agoMicros = age / static_cast<std::int64_t>(zones_.size() + 1);
   digest.outstanding = rowsOf(sums);
@@ -113,8 +113,10 @@
 void PlaneExchange::aggregate(const std::vector<NewsItem>& live,
                               const std::map<std::string, Address>& others, Instant now,
                               std::vector<Envelope>* sends) {
-  std::erase_if(reports_, [&](const auto& row) { return now - row.second.at > kReportValidity; });
-  std::erase_if(zones_, [&](const auto& row) { return now - row.second.at > kZoneValidity; });
+  std::erase_if(reports_,
+                [&](const auto& row) { return now - row.second.reportedAt > kReportValidity; });
+  std::erase_if(zones_,
+                [&](const auto& row) { return now - row.second.reportedAt > kZoneValidity; });
   if (reports_.empty() && zones_.empty()) return;
   PlaneDigest zoneDigest = ownZoneDigest(now);
   if (!reports_.empty()) {
--- a/src/agent/core/plane_exchange.h
+++ b/src/agent/core/plane_exchange.h
@@ -36,11 +36,11 @@
  private:
   struct Report {
     std::vector<OutstandingRow> outstanding;
-    Instant at;
+    Instant reportedAt;
   };
   struct Zone {
     std::vector<OutstandingRow> outstanding;
-    Instant at;  // the average time at which its rows were reported
+    Instant reportedAt;  // the average time at which its rows were reported
   };
   void aggregate(const std::vector<NewsItem>& live, const std::map<std::string, Address>& others,
                  Instant now, std::vector<Envelope>* sends);
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -120,7 +120,7 @@
   }
   std::optional<std::tuple<Occupancy, bool, ReplicaMember>> best;
   for (const auto& [store, contact] : contacts_) {
-    if (now - contact.at >= kCandidateMaxAge) continue;
+    if (now - contact.answeredAt >= kCandidateMaxAge) continue;
     const int reconnects = std::min(contact.reconnects, kMaxReturns);
     if (now - contact.stableSince < reconnects * kStableSpanPerReturn) continue;
     // The store belongs to another fleet: it does not know this one yet.
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -37,13 +37,13 @@
   const auto [row, isNew] = contacts_.try_emplace(answer.store);
   Contact& contact = row->second;
   if (isNew) contact.stableSince = now;
-  if (!isNew && now - contact.at >= kReachableSpan) {
+  if (!isNew && now - contact.answeredAt >= kReachableSpan) {
     contact.reconnects =
         now - contact.stableSince > kForgetReturnsAfter ? 1 : contact.reconnects + 1;
     contact.stableSince = now;
   }
   contact.address = from;
-  contact.at = now;
+  contact.answeredAt = now;
   contact.fleet = answer.replicas.fleet;
   replacedStores_.erase(answer.store);
   if (answer.asked != answer.store) replacedStores_.insert(answer.asked);
@@ -51,7 +51,7 @@
 
 bool AgentCore::isReachable(StoreId store, Instant now) const {
   const auto contact = contacts_.find(store);
-  return contact != contacts_.end() && now - contact->second.at < kReachableSpan;
+  return contact != contacts_.end() && now - contact->second.answeredAt < kReachableSpan;
 }
 
 bool AgentCore::isLost(const ReplicaMember& member, Span span, Instant now) const {
@@ -126,7 +126,7 @@
   std::erase_if(silentSince_, [&](const auto& row) { return !isMember(row.first); });
   std::erase_if(replacedStores_, [&](StoreId store) { return !isMember(store); });
   std::erase_if(contacts_,
-                [&](const auto& row) { return now - row.second.at > kContactRetention; });
+                [&](const auto& row) { return now - row.second.answeredAt > kContactRetention; });
   const bool isStepPending = !replicas.settled || nextReplicaSet(now).has_value();
   const std::pair<Epoch, bool> step{replicas.epoch, replicas.settled};
   if (!isStepPending || step != pendingStep_) stepPendingSince_ = now;
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -45,7 +45,7 @@
 bool ServerList::onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends) {
   if (!firstTickAt_) firstTickAt_ = now;
   std::erase_if(sentRequests_,
-                [&](const auto& row) { return now - row.second.at > settings_.interval + 1s; });
+                [&](const auto& row) { return now - row.second.sentAt > settings_.interval + 1s; });
   // One request is always pending at the first daemon in the order, or at the second if this daemon
   // is the first. While a new list is overdue, the others are asked at the times when they would
   // start to read.
@@ -158,7 +158,7 @@
   // The request arrived after it was sent, so an age computed from the time of sending can only be
   // too high. The other clock may run slightly faster, so the result is limited to the present.
   const Instant answeredAt =
-      std::min(now, request->second.at + std::chrono::microseconds(answer.heldMicros));
+      std::min(now, request->second.sentAt + std::chrono::microseconds(answer.heldMicros));
   sentRequests_.erase(request);
   const Instant readAt = answeredAt - std::chrono::microseconds(answer.agoMicros);
   // An answer without rows refers to the rows that were known when the request was sent, and is
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -66,7 +66,7 @@
   // A request of this daemon that wasn't answered yet.
   struct SentRequest {
     Address to;
-    Instant at;
+    Instant sentAt;
   };
   // How long a new list must be overdue before this daemon reads it.
   Span readDelay(const ListPeers& peers) const;
--- a/src/agent/core/server_notes.cpp
+++ b/src/agent/core/server_notes.cpp
@@ -24,7 +24,7 @@
   if (std::tie(row.note.fence, row.note.sequence) >= std::tie(note.fence, note.sequence)) return;
   if (row.note.identity != note.identity) row = {};
   row.note = note;
-  row.at = now;
+  row.receivedAt = now;
   if (note.weights == WeightsVersion{}) return;
   row.reached = note.weights;
   row.reachedAt = now;
@@ -40,14 +40,14 @@
   const bool usesReached =
       isReachedNewer && (isComparable || now - row.reachedAt < kUncomparableValidity);
   return {usesReached ? row.reached : shown,
-          row.note.switching && now - row.at < kSwitchingValidity};
+          row.note.switching && now - row.receivedAt < kSwitchingValidity};
 }
 
 void ServerNotes::forgetUnlisted(const std::vector<ListRow>& rows, Instant now) {
   std::set<ServerName> listed;
   for (const ListRow& row : rows) listed.insert(row.name);
   std::erase_if(rows_, [&](const auto& row) {
-    return !listed.contains(row.first) && now - row.second.at > kRetention;
+    return !listed.contains(row.first) && now - row.second.receivedAt > kRetention;
   });
 }
 
--- a/src/agent/core/server_notes.h
+++ b/src/agent/core/server_notes.h
@@ -37,7 +37,7 @@
   // `reached` comes from the newest note with weights about the same server process.
   struct Row {
     ServerNote note;
-    Instant at;
+    Instant receivedAt;
     WeightsVersion reached;
     Instant reachedAt;
   };
