--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -296,8 +296,8 @@
   return submit(index, {{}, kConfigurationKey, true, 0, {}, {}, {}});
 }
 
-AgentCore::Recovered World::recover(std::size_t index, const std::string& given,
-                                    std::uint64_t givenVersion) {
+AgentCore::RecoveryResult World::recover(std::size_t index, const std::string& given,
+                                         std::uint64_t givenVersion) {
   AgentEffects effects;
   auto recovered =
       machines_[index].core->recover(given, givenVersion, localTime(machines_[index]), &effects);
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -109,8 +109,8 @@
   std::uint64_t change(std::size_t machine, std::uint64_t expectedVersion, std::string body);
   std::uint64_t read(std::size_t machine);
   // Founds the register again after its majority was lost; see AgentCore::recover.
-  AgentCore::Recovered recover(std::size_t machine, const std::string& given,
-                               std::uint64_t givenVersion);
+  AgentCore::RecoveryResult recover(std::size_t machine, const std::string& given,
+                                    std::uint64_t givenVersion);
   void injectDefects(bool unsynced, bool reused) {
     settings_.injectUnsyncedDisk = unsynced;
     settings_.injectReusedStore = reused;
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -300,8 +300,8 @@
     world.run(2s);
     REQUIRE(world.operationById(id).done->result == ChangeResult::Chosen);
   }
-  AgentCore::Recovered recover(std::size_t survivor, const std::string& given,
-                               std::uint64_t version) {
+  AgentCore::RecoveryResult recover(std::size_t survivor, const std::string& given,
+                                    std::uint64_t version) {
     return world.recover(survivor, given, version);
   }
   void replaceDisk(std::size_t machine) {
