--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -38,8 +38,8 @@
   if (!disk->empty() && !replica_->restore(*disk)) replica_->stopVoting();
   if (replica_->replicas().epoch.value > 0) freshness_.adopt(replica_->replicas());
   restoreGrant(*disk);
-  // The disk records that an earlier run was allowed to found a fleet. If it ended before it did,
-  // this run may still do so.
+  // The disk records that an earlier run was allowed to found a fleet. If that run ended before it
+  // did so, this run may still found one.
   settings_.mayFound = settings_.mayFound || disk->contains(kMayFound);
 }
 
@@ -315,10 +315,10 @@
   sendAll(freshness_.beginRound(now, replica_.has_value(), wantsKeys), effects);
   if (!replica_) return;
   for (const GossipItem& item : gossip_.live(now)) {
-    const bool isIn =
+    const bool isMember =
         std::any_of(replicas.members.begin(), replicas.members.end(),
                     [&](const ReplicaMember& member) { return member.store == item.store; });
-    if (item.store.value != 0 && !isIn)
+    if (item.store.value != 0 && !isMember)
       effects->sends.push_back(
           {settings_.self, item.source, freshness_.confirmRequest(item.store, false)});
   }
--- a/src/agent/core/leases.cpp
+++ b/src/agent/core/leases.cpp
@@ -58,8 +58,8 @@
   // after its last renewal was seen here.
   const bool isTakeover = row.version > 0 && (row.body.holder != self_ || row.body.nonce != nonce_);
   if (isTakeover) {
-    const Instant lastAct = row.body.released ? row.seenAt : row.seenAt + kLeaseTerm;
-    row.validFrom = std::max(row.validFrom, lastAct + leaseSpan_);
+    const Instant stoppedAt = row.body.released ? row.seenAt : row.seenAt + kLeaseTerm;
+    row.validFrom = std::max(row.validFrom, stoppedAt + leaseSpan_);
   }
   const FencingToken next = std::max(floor, FencingToken{row.body.fence.value + 1});
   return startOperation(role, row, now, false, {self_, nonce_, next, false});
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -76,13 +76,13 @@
 
 AgentCore::Occupancy AgentCore::occupancyAt(const Site& site,
                                             const std::vector<ReplicaMember>& members) const {
-  Occupancy crowd;
+  Occupancy occupancy;
   for (const ReplicaMember& member : members) {
     const Site other = siteOf(member.address);
-    crowd.inRegion += settings_.losses.regions > 0 && other.region == site.region ? 1 : 0;
-    crowd.inZone += other.zone == site.zone ? 1 : 0;
+    occupancy.inRegion += settings_.losses.regions > 0 && other.region == site.region ? 1 : 0;
+    occupancy.inZone += other.zone == site.zone ? 1 : 0;
   }
-  return crowd;
+  return occupancy;
 }
 
 // There is one member too many if a lost member came back after its successor had joined. Selects
@@ -108,8 +108,8 @@
 }
 
 // A store that answered recently and isn't a member, from the region and zone with the fewest
-// remaining members. Among these, a store at an address of its own is preferred to one at the
-// address of a member that it replaced, which has started most recently.
+// remaining members. Among these, a store whose address no member has is preferred: a new store at
+// a member's address replaced that member's store, so it has started recently.
 std::optional<ReplicaMember> AgentCore::joinCandidate(Instant now) const {
   const ReplicaSet& replicas = freshness_.replicas();
   std::vector<ReplicaMember> remaining;
@@ -123,7 +123,7 @@
     if (now - contact.answeredAt >= kCandidateMaxAge) continue;
     const int reconnects = std::min(contact.reconnects, kMaxReturns);
     if (now - contact.stableSince < reconnects * kStableSpanPerReturn) continue;
-    // The store belongs to another fleet: it does not know this one yet.
+    // The store still belongs to another fleet and does not know this one yet.
     if (contact.fleet != 0 && contact.fleet != replicas.fleet) continue;
     const auto item = gossip_.item(contact.address);
     if (item && item->leaving) continue;
--- a/src/agent/core/rollout.cpp
+++ b/src/agent/core/rollout.cpp
@@ -106,9 +106,9 @@
   for (std::size_t count = 1; count <= behind.size(); ++count) {
     const double planned = secondsOf(behind[count - 1].remaining) - reserve;
     const double work = static_cast<double>(count) * secondsOf(expectedSwitchTime_);
-    const bool isAllAtOnce = planned * static_cast<double>(count) <= work;
+    const bool needsAllAtOnce = planned * static_cast<double>(count) <= work;
     concurrency = std::max(
-        concurrency, isAllAtOnce ? count : static_cast<std::size_t>(std::ceil(work / planned)));
+        concurrency, needsAllAtOnce ? count : static_cast<std::size_t>(std::ceil(work / planned)));
   }
   return concurrency;
 }
@@ -119,14 +119,15 @@
 // again before the rest stops.
 bool Rollout::maySwitch(const BehindServer& next, std::size_t switching, std::size_t concurrency,
                         std::size_t usable, bool mayStart) const {
-  const bool isNear =
+  const bool isNearlyDue =
       secondsOf(next.remaining) <= secondsOf(settings_.weightsBound) * (1 - kForcedShare);
-  if (!isNear && !mayStart) return false;
-  const std::size_t cap = std::max<std::size_t>(1, isNear ? (usable + 1) / 2 : usable / 3);
+  if (!isNearlyDue && !mayStart) return false;
+  const std::size_t cap = std::max<std::size_t>(1, isNearlyDue ? (usable + 1) / 2 : usable / 3);
   return switching < std::min(concurrency, cap);
 }
 
-// A fence that directly follows the last own one means that no other daemon held the lease between.
+// A fence that directly follows the last own one means that no other daemon held the lease in
+// between.
 void Rollout::onFence(const RolloutView& view, Instant now) {
   if (!view.fence || view.fence == lastFence_) return;
   const bool isOwnSuccessor = lastFence_ && view.fence->value == lastFence_->value + 1;
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -13,7 +13,7 @@
 namespace {
 // How much longer each further daemon in the order waits before it reads the list itself.
 constexpr Duration kReadDelayPerRank = 300ms;
-// How long a new list must be overdue before further daemons are request for it.
+// How long a new list must be overdue before further daemons are sent requests for it.
 constexpr Duration kExtraRequestAfter = 150ms;
 constexpr Duration kMaxBackoff = 4s;
 constexpr std::size_t kMaxSentRequests = 16;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -77,8 +77,8 @@
   return absl::OkStatus();
 }
 
-// Reads the number of register replicas and the losses that they must bear. Without a setting for
-// losses of machines, they bear as many as leave a majority.
+// Reads the number of register replicas and the losses that they must tolerate. Without a setting
+// for losses of machines, they tolerate as many as leave a majority.
 absl::Status readLosses(const Json& fields, Settings* settings) {
   settings->replicasWanted = fields.value("copies_wanted", settings->replicasWanted);
   settings->losses.machines = fields.value("bear_machines", (settings->replicasWanted - 1) / 2);
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -249,14 +249,14 @@
   CHECK(second.heldFence(script.role, 0s, now) == FencingToken{3});
   // The lease expires without a renewal, as in a partition or while the process is frozen. The
   // holder stops acting by its own clock, and the rival acts at least `lease` later.
-  Instant lastAct{};
+  Instant lastHeldAt{};
   const Instant frozenAt = now;
   for (; now < frozenAt + 30s && !first.heldFence(script.role, 0s, now); now += 50ms) {
-    if (second.heldFence(script.role, 0s, now)) lastAct = now;
+    if (second.heldFence(script.role, 0s, now)) lastHeldAt = now;
     script.step(first, now);
   }
   CHECK(first.heldFence(script.role, 0s, now) == FencingToken{4});
-  CHECK(now - lastAct >= lease);
+  CHECK(now - lastHeldAt >= lease);
   CHECK_FALSE(second.heldFence(script.role, 0s, now));  // the process resumed
   // A restarted process on the same machine counts as another holder.
   Leases later(member(1), 33, lease);
--- a/tests/settings_tests.cpp
+++ b/tests/settings_tests.cpp
@@ -28,18 +28,18 @@
 
 absl::StatusOr<Settings> readOwn(const std::string& text) { return readSettings(text, {}); }
 
-SettingsReloader judgeOf(const std::string& text) {
+SettingsReloader reloaderOf(const std::string& text) {
   return {SettingsSource{kFile, text, readOwn}, *readOwn(text)};
 }
 
-// Two looks that show the same text: a text is only judged once it has stopped changing.
-SettingsPollResult lookTwice(SettingsReloader& judge, const std::optional<std::string>& text,
-                             bool asked = false) {
-  const SettingsPollResult first = judge.onPoll(text, asked);
+// Polls twice with the same text: a changed text is evaluated once it has stopped changing.
+SettingsPollResult pollTwice(SettingsReloader& reloader, const std::optional<std::string>& text,
+                             bool reloadRequested = false) {
+  const SettingsPollResult first = reloader.onPoll(text, reloadRequested);
   CHECK_FALSE(first.changed.has_value());
   CHECK(first.error.empty());
   CHECK(first.pollSoon);
-  return judge.onPoll(text, false);
+  return reloader.onPoll(text, false);
 }
 
 // A settings file on disk, removed at the end of the test.
@@ -56,38 +56,38 @@
 }  // namespace
 
 TEST_CASE("settings: a changed file is taken up, and an unchanged one is passed over") {
-  SettingsReloader judge = judgeOf(kOld);
-  const SettingsPollResult same = judge.onPoll(kOld, false);
+  SettingsReloader reloader = reloaderOf(kOld);
+  const SettingsPollResult same = reloader.onPoll(kOld, false);
   CHECK_FALSE((same.changed || same.pollSoon));
   CHECK((same.notice + same.error).empty());
-  const SettingsPollResult look = lookTwice(judge, kNew);
-  REQUIRE(look.changed);
-  CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.2:1"}, {"10.0.0.3:1"}});
-  CHECK(judge.inForce().seeds == look.changed->seeds);
-  CHECK_THAT(look.notice, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
-  CHECK(look.error.empty());
-  CHECK_FALSE(judge.onPoll(kNew, false).changed);
+  const SettingsPollResult result = pollTwice(reloader, kNew);
+  REQUIRE(result.changed);
+  CHECK(result.changed->seeds == std::vector<Address>{{"10.0.0.2:1"}, {"10.0.0.3:1"}});
+  CHECK(reloader.inForce().seeds == result.changed->seeds);
+  CHECK_THAT(result.notice, Catch::Contains("10.0.0.2:1, 10.0.0.3:1"));
+  CHECK(result.error.empty());
+  CHECK_FALSE(reloader.onPoll(kNew, false).changed);
   // The old settings can be restored.
-  CHECK(lookTwice(judge, kOld).changed->seeds.front() == Address{"10.0.0.1:1"});
+  CHECK(pollTwice(reloader, kOld).changed->seeds.front() == Address{"10.0.0.1:1"});
 }
 
 TEST_CASE("settings: SIGHUP over an unchanged file is answered by one line and changes nothing") {
-  SettingsReloader judge = judgeOf(kOld);
-  const SettingsPollResult look = judge.onPoll(kOld, true);
-  CHECK_FALSE(look.changed);
-  CHECK_THAT(look.notice, Catch::Contains("unchanged"));
-  CHECK(judge.onPoll(kOld, false).notice.empty());
+  SettingsReloader reloader = reloaderOf(kOld);
+  const SettingsPollResult result = reloader.onPoll(kOld, true);
+  CHECK_FALSE(result.changed);
+  CHECK_THAT(result.notice, Catch::Contains("unchanged"));
+  CHECK(reloader.onPoll(kOld, false).notice.empty());
 }
 
 TEST_CASE("settings: a half written file waits until it is whole, whatever part it shows") {
   for (std::size_t size = 0; size < kNew.size(); ++size) {
-    SettingsReloader judge = judgeOf(kOld);
-    const SettingsPollResult half = judge.onPoll(kNew.substr(0, size), size % 2 == 0);
+    SettingsReloader reloader = reloaderOf(kOld);
+    const SettingsPollResult half = reloader.onPoll(kNew.substr(0, size), size % 2 == 0);
     CHECK_FALSE(half.changed);
     CHECK(half.error.empty());
     CHECK(half.pollSoon);
-    CHECK(judge.onPoll(kNew, false).pollSoon);
-    CHECK(judge.onPoll(kNew, false).changed);
+    CHECK(reloader.onPoll(kNew, false).pollSoon);
+    CHECK(reloader.onPoll(kNew, false).changed);
   }
 }
 
@@ -95,55 +95,55 @@
   const std::string outside = settingsText(R"("a.host:1")");
   for (const std::string& bad : {std::string(), std::string("{"), outside, settingsText("")}) {
     INFO(bad);
-    SettingsReloader judge = judgeOf(kOld);
-    const SettingsPollResult look = lookTwice(judge, bad);
-    CHECK_FALSE(look.changed);
-    CHECK_THAT(look.error, Catch::Contains("refused") && Catch::Contains(kFile) &&
-                               Catch::Contains("stay in force"));
-    CHECK(look.error.find('\n') == std::string::npos);
-    CHECK(judge.inForce().seeds.size() == 2);
+    SettingsReloader reloader = reloaderOf(kOld);
+    const SettingsPollResult result = pollTwice(reloader, bad);
+    CHECK_FALSE(result.changed);
+    CHECK_THAT(result.error, Catch::Contains("refused") && Catch::Contains(kFile) &&
+                                 Catch::Contains("stay in force"));
+    CHECK(result.error.find('\n') == std::string::npos);
+    CHECK(reloader.inForce().seeds.size() == 2);
     // The file is read each second, so the error is reported only once.
-    const SettingsPollResult again = judge.onPoll(bad, false);
+    const SettingsPollResult again = reloader.onPoll(bad, false);
     CHECK((again.error + again.notice).empty());
     // After SIGHUP it is reported again.
-    CHECK_FALSE(judge.onPoll(bad, true).error.empty());
+    CHECK_FALSE(reloader.onPoll(bad, true).error.empty());
     // Restoring the file is not a change.
-    const SettingsPollResult back = lookTwice(judge, kOld);
+    const SettingsPollResult back = pollTwice(reloader, kOld);
     CHECK_FALSE(back.changed);
     CHECK(back.error.empty());
-    CHECK(lookTwice(judge, kNew).changed);
+    CHECK(pollTwice(reloader, kNew).changed);
   }
-  SettingsReloader judge = judgeOf(kOld);
-  CHECK_THAT(lookTwice(judge, outside).error,
+  SettingsReloader reloader = reloaderOf(kOld);
+  CHECK_THAT(pollTwice(reloader, outside).error,
              Catch::Contains("'seeds'") && Catch::Contains("give ip:port"));
 }
 
 TEST_CASE("settings: a file that is gone is told once, and read again when it is back") {
-  SettingsReloader judge = judgeOf(kOld);
-  const SettingsPollResult look = lookTwice(judge, std::nullopt);
-  CHECK_FALSE(look.changed);
-  CHECK_THAT(look.error, Catch::Contains("can't be read") && Catch::Contains("stay in force"));
-  CHECK(judge.onPoll(std::nullopt, false).error.empty());
-  CHECK(lookTwice(judge, kNew).changed);
+  SettingsReloader reloader = reloaderOf(kOld);
+  const SettingsPollResult result = pollTwice(reloader, std::nullopt);
+  CHECK_FALSE(result.changed);
+  CHECK_THAT(result.error, Catch::Contains("can't be read") && Catch::Contains("stay in force"));
+  CHECK(reloader.onPoll(std::nullopt, false).error.empty());
+  CHECK(pollTwice(reloader, kNew).changed);
 }
 
 TEST_CASE("settings: what only a restart can change is named once, and the rest is taken up") {
-  SettingsReloader judge = judgeOf(kOld);
+  SettingsReloader reloader = reloaderOf(kOld);
   const std::string text =
       settingsText(R"("10.0.0.9:1")", R"(,"zone":"b","fresh_limit_ms":900,"grace_ms":4000)");
-  const SettingsPollResult look = lookTwice(judge, text);
-  REQUIRE(look.changed);
-  CHECK_THAT(look.notice,
+  const SettingsPollResult result = pollTwice(reloader, text);
+  REQUIRE(result.changed);
+  CHECK_THAT(result.notice,
              Catch::Contains("zone, fresh_limit_ms") && Catch::Contains("restart this daemon"));
-  CHECK(look.notice.find('\n') == std::string::npos);
-  CHECK(look.changed->seeds == std::vector<Address>{{"10.0.0.9:1"}});
-  CHECK(look.changed->shutdownGrace == 4000ms);
-  CHECK(look.changed->zone == readOwn(kOld)->zone);
-  CHECK(look.changed->stalenessLimit == readOwn(kOld)->stalenessLimit);
+  CHECK(result.notice.find('\n') == std::string::npos);
+  CHECK(result.changed->seeds == std::vector<Address>{{"10.0.0.9:1"}});
+  CHECK(result.changed->shutdownGrace == 4000ms);
+  CHECK(result.changed->zone == readOwn(kOld)->zone);
+  CHECK(result.changed->stalenessLimit == readOwn(kOld)->stalenessLimit);
   const std::string moved = R"({"cohort":"10.0.0.1:9","operators":"10.0.0.1:8",)"
                             R"("callers":"10.0.0.1:7","role":"agent","platform":"10.0.9.2:1",)"
                             R"("seeds":["10.0.0.9:1"]})";
-  const SettingsPollResult other = lookTwice(judge, moved);
+  const SettingsPollResult other = pollTwice(reloader, moved);
   CHECK_THAT(other.notice, Catch::Contains("role, cohort, operators, callers"));
   CHECK(other.changed->role == "both");
   CHECK(other.changed->peerAddress == Address{"10.0.0.1:1"});
@@ -159,15 +159,15 @@
   const std::string old = text("10.1.0.1:8", "bootstrap=true\n");
   const auto settings = platform::readSettings(old);
   REQUIRE(settings.ok());
-  SettingsReloader judge({kFile, old, platform::readSettings}, *settings);
-  const SettingsPollResult look =
-      lookTwice(judge, text("10.1.0.2:8,10.1.0.3:8", "bootstrap=false\nfield.unknown=1\n"));
-  REQUIRE(look.changed);
-  CHECK(look.changed->seeds == std::vector<Address>{{"10.1.0.2:7000"}, {"10.1.0.3:7000"}});
+  SettingsReloader reloader({kFile, old, platform::readSettings}, *settings);
+  const SettingsPollResult result =
+      pollTwice(reloader, text("10.1.0.2:8,10.1.0.3:8", "bootstrap=false\nfield.unknown=1\n"));
+  REQUIRE(result.changed);
+  CHECK(result.changed->seeds == std::vector<Address>{{"10.1.0.2:7000"}, {"10.1.0.3:7000"}});
   // `bootstrap` matters at the first start only, so its change requires no restart.
-  CHECK(look.notice.find("restart") == std::string::npos);
-  CHECK(look.changed->mayFound);
-  CHECK_THAT(lookTwice(judge, text("a:8", "")).error, Catch::Contains("'seeds'"));
+  CHECK(result.notice.find("restart") == std::string::npos);
+  CHECK(result.changed->mayFound);
+  CHECK_THAT(pollTwice(reloader, text("a:8", "")).error, Catch::Contains("'seeds'"));
 }
 
 TEST_CASE("settings watch: the file is read with and without a signal") {
--- a/tests/weights_history_tests.cpp
+++ b/tests/weights_history_tests.cpp
@@ -53,7 +53,7 @@
   history.setNewest(kFour, kNow);  // 2 and 3 were named between two confirmations
   for (const WeightsVersion& version : {kOne, kTwo, kThree})
     CHECK(history.usableUntil(version, kBound) == kNow + 15s);
-  // Another daemon saw more.
+  // Another daemon saw version 3 as the newest 300 ms later.
   history.recordNewestAt(kThree, kNow + 300ms);
   CHECK(history.usableUntil(kThree, kBound) == kNow + 15300ms);
   CHECK(history.usableUntil(kTwo, kBound) == kNow + 15s);
@@ -94,7 +94,7 @@
   WeightsHistories mine, others;
   mine.onConfiguration({{kModel, kOne}}, std::nullopt);
   mine.onConfiguration({{kModel, kTwo}}, kNow - 300ms);
-  mine.onConfiguration({{kModel, kTwo}}, kNow);  // a later configuration names the same
+  mine.onConfiguration({{kModel, kTwo}}, kNow);  // a later configuration names the same weights
   CHECK(mine.report(kNow) == std::vector<SupersededWeights>{{kModel, kOne, 300000}});
   others.onConfiguration({{kModel, kTwo}}, std::nullopt);
   CHECK(others.usableUntil(kModel, kOne, kBound) == Instant::min());
