--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -373,8 +373,10 @@
   tickFounding(now, effects);
   tickConfirm(now, effects);
   // Machines with a store settle a value first, because the other machines are many.
-  const Duration patience = replica_ ? settleDelay_ : settleDelay_ + kSettleDelayWithoutReplica;
-  if (const auto key = freshness_.keyToSettle(now, patience); key && !proposer_.isBusy(*key)) {
+  const Duration ownSettleDelay =
+      replica_ ? settleDelay_ : settleDelay_ + kSettleDelayWithoutReplica;
+  if (const auto key = freshness_.keyToSettle(now, ownSettleDelay);
+      key && !proposer_.isBusy(*key)) {
     settleDelay_ = std::chrono::milliseconds(300 + random_() % 600);
     begin({{}, *key, true, 0, {}, {}, now + 2s}, Purpose::Settle, now, effects);
   }
--- a/src/agent/core/freshness.cpp
+++ b/src/agent/core/freshness.cpp
@@ -164,14 +164,14 @@
   if (now < nextBodyRequest_ && bodyRequestedFor_ == missingBodyBallot_) return;
   nextBodyRequest_ = now + kBodyRequestInterval;
   bodyRequestedFor_ = missingBodyBallot_;
-  const StoreId chosen =
+  const StoreId holder =
       missingBodyHolders_[(sequence_ + bodyRequestCount_++) % missingBodyHolders_.size()];
   missingBodyHolders_.clear();
   for (const ReplicaMember& member : replicas_.members) {
-    if (member.store != chosen) continue;
-    ConfirmRequest asked = confirmRequest(member.store, false);
-    asked.wantsBodies = true;
-    sends->emplace_back(member, asked);
+    if (member.store != holder) continue;
+    ConfirmRequest request = confirmRequest(member.store, false);
+    request.wantsBodies = true;
+    sends->emplace_back(member, request);
   }
 }
 
--- a/src/agent/core/replica_choice.cpp
+++ b/src/agent/core/replica_choice.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 constexpr Duration kCandidateMaxAge = 1s;
-// A store that became reachable again must stay so for this long per recent return before it may
+// A store that became reachable again must stay so for this long per recent reconnect before it may
 // join, so that unstable machines don't replace each other in the set again and again.
-constexpr Duration kStableSpanPerReturn = 500ms;
-constexpr int kMaxReturns = 4;
+constexpr Duration kStableSpanPerReconnect = 500ms;
+constexpr int kMaxReconnects = 4;
 // Without a spare store, the replica set isn't shrunk below this size.
 constexpr std::size_t kMinMembersWithoutSpare = 3;
 }  // namespace
@@ -121,8 +121,8 @@
   std::optional<std::tuple<Occupancy, bool, ReplicaMember>> best;
   for (const auto& [store, contact] : contacts_) {
     if (now - contact.answeredAt >= kCandidateMaxAge) continue;
-    const int reconnects = std::min(contact.reconnects, kMaxReturns);
-    if (now - contact.stableSince < reconnects * kStableSpanPerReturn) continue;
+    const int reconnects = std::min(contact.reconnects, kMaxReconnects);
+    if (now - contact.stableSince < reconnects * kStableSpanPerReconnect) continue;
     // The store still belongs to another fleet and does not know this one yet.
     if (contact.fleet != 0 && contact.fleet != replicas.fleet) continue;
     const auto item = gossip_.item(contact.address);
--- a/src/agent/core/replica_set.cpp
+++ b/src/agent/core/replica_set.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kMinSilenceLimit = 500ms;  // two confirmation rounds
 // A daemon that itself did not run for this long can't tell how long others were unreachable.
 constexpr Duration kMaxTickGap = 500ms;
-constexpr Duration kForgetReturnsAfter = 60s;
+constexpr Duration kForgetReconnectsAfter = 60s;
 // How long a member must be unreachable before it is removed without a spare store.
 constexpr Duration kSilenceLimitWithoutSpare = 8s;
 constexpr Duration kContactRetention = 10s;
@@ -39,7 +39,7 @@
   if (isNew) contact.stableSince = now;
   if (!isNew && now - contact.answeredAt >= kReachableSpan) {
     contact.reconnects =
-        now - contact.stableSince > kForgetReturnsAfter ? 1 : contact.reconnects + 1;
+        now - contact.stableSince > kForgetReconnectsAfter ? 1 : contact.reconnects + 1;
     contact.stableSince = now;
   }
   contact.address = from;
--- a/src/agent/core/weights_histories.cpp
+++ b/src/agent/core/weights_histories.cpp
@@ -23,8 +23,8 @@
   std::vector<SupersededWeights> report;
   for (const auto& [model, history] : rows_) {
     for (const auto& [version, newestAt] : history.superseded()) {
-      const auto ago = std::chrono::ceil<std::chrono::microseconds>(now - newestAt);
-      report.push_back({model, version, ago.count()});
+      const auto age = std::chrono::ceil<std::chrono::microseconds>(now - newestAt);
+      report.push_back({model, version, age.count()});
     }
   }
   return report;
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -154,15 +154,15 @@
 struct LeaseScript {
   RegisterKey role{"hold/x"};
   RegisterValue value;
-  ChangeOutcome answer(const ChangeRequest& asked) {
-    if (asked.isRead) return {{}, role, ChangeResult::Chosen, value, {}, {}};
-    if (asked.expectedVersion != value.version)
+  ChangeOutcome answer(const ChangeRequest& request) {
+    if (request.isRead) return {{}, role, ChangeResult::Chosen, value, {}, {}};
+    if (request.expectedVersion != value.version)
       return {{}, role, ChangeResult::Conflict, value, {}, {}};
-    value = {value.version + 1, {}, {}, asked.body};
+    value = {value.version + 1, {}, {}, request.body};
     return {{}, role, ChangeResult::Chosen, value, {}, {}};
   }
   void step(Leases& leases, Instant now) {
-    if (const auto asked = leases.tryAcquire(role, now)) leases.onDone(answer(*asked), now);
+    if (const auto request = leases.tryAcquire(role, now)) leases.onDone(answer(*request), now);
   }
 };
 }  // namespace
--- a/tests/rollout_tests.cpp
+++ b/tests/rollout_tests.cpp
@@ -104,8 +104,8 @@
     overdue.run(100ms);
     const auto half = static_cast<std::size_t>(count) / 2;
     CHECK(overdue.mostSwitching == half);
-    // None of them serves meanwhile. Loads share the bandwidth of the stores, which is enough for
-    // three at full speed.
+    // A server that switches doesn't serve meanwhile. Loads share the bandwidth of the stores,
+    // which is enough for three at full speed.
     const Duration all = 1800ms * count / 3;
     const auto reached = [&] {
       return static_cast<std::size_t>(
@@ -162,7 +162,7 @@
   simulation.holders[0].fence = FencingToken{7};
   simulation.name(2);
   simulation.run(100ms);
-  // A holder that fails now has ordered this many.
+  // The orders that have been sent if the holder fails at this point.
   const std::size_t first = simulation.orders;
   CHECK(first >= 4);
   std::size_t maxPerStep = 0;
--- a/tests/update_tests.cpp
+++ b/tests/update_tests.cpp
@@ -41,10 +41,10 @@
   std::size_t reads = 0, changes = 0;
   Instant now{100s};
 
-  ChangeOutcome answer(const ChangeRequest& asked) {
-    if (asked.isRead) {
+  ChangeOutcome answer(const ChangeRequest& request) {
+    if (request.isRead) {
       ++reads;
-      now += readable ? 1ms : asked.deadline - now;
+      now += readable ? 1ms : request.deadline - now;
       return {{},
               kConfigurationKey,
               readable ? ChangeResult::Chosen : ChangeResult::NotTried,
@@ -58,23 +58,23 @@
       fate = fates.front();
       fates.pop_front();
     }
-    const bool fits = asked.expectedVersion == value.version;
+    const bool fits = request.expectedVersion == value.version;
     if (fits && (fate == Fate::Plain || fate == Fate::AppliedUnanswered))
-      value = {value.version + 1, {}, {}, asked.body};
+      value = {value.version + 1, {}, {}, request.body};
     if (fate == Fate::Plain)
       return {
           {}, kConfigurationKey, fits ? ChangeResult::Chosen : ChangeResult::Conflict, value, {},
           {}};
-    now = asked.deadline;
+    now = request.deadline;
     const bool unknown = fate != Fate::NotTried;
     return {{}, kConfigurationKey, unknown ? ChangeResult::Unknown : ChangeResult::NotTried, {}, {},
             {}};
   }
   // Carries out the next step of the operation; false if there is none.
   bool step(UpdateOperation& updateOperation) {
-    const auto asked = updateOperation.next(now);
-    if (asked) updateOperation.onAnswer(answer(*asked));
-    return asked.has_value();
+    const auto request = updateOperation.next(now);
+    if (request) updateOperation.onAnswer(answer(*request));
+    return request.has_value();
   }
   // Runs an update to its end.
   UpdateResult runToEnd(Update change) {
@@ -297,10 +297,11 @@
       call.pending.reset();
       call.updateOperation.onAnswer(*done);
     }
-    const auto asked = call.updateOperation.next(world.localNow(call.machine));
-    if (!asked) return;
-    call.pending = asked->isRead ? world.read(call.machine)
-                                 : world.change(call.machine, asked->expectedVersion, asked->body);
+    const auto request = call.updateOperation.next(world.localNow(call.machine));
+    if (!request) return;
+    call.pending = request->isRead
+                       ? world.read(call.machine)
+                       : world.change(call.machine, request->expectedVersion, request->body);
   }
   void run(Duration duration) {
     for (Duration elapsed{}; elapsed < duration; elapsed += 5ms) {
