--- a/tests/register_tests.cpp
+++ b/tests/register_tests.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 // Replicas in memory without a network: the test decides which message reaches which replica.
-struct ReplicaBench {
+struct ReplicaHarness {
   std::vector<RegisterReplica> replicas;
   ReplicaSet set;
   Instant now{1s};
 
-  explicit ReplicaBench(std::size_t count) {
+  explicit ReplicaHarness(std::size_t count) {
     set.epoch = Epoch{1};
     set.settled = true;
     for (std::size_t i = 1; i <= count; ++i) {
@@ -63,126 +63,128 @@
 }  // namespace
 
 TEST_CASE("register: a change is chosen at a majority, and only with the value it expects") {
-  ReplicaBench bench(4);
+  ReplicaHarness harness(4);
   Proposer proposer(ProposerId{1}, 1);
-  auto done = bench.deliverAll(
-      proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1, 2});
+  auto done = harness.deliverAll(
+      proposer, proposer.begin(harness.change(1, 0, "a"), harness.set, harness.now), {0, 1, 2});
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Chosen);
   CHECK(done[0].value.version == 1);
-  done = bench.deliverAll(proposer, proposer.begin(bench.change(2, 0, "b"), bench.set, bench.now),
-                          {1, 2, 3});
+  done = harness.deliverAll(
+      proposer, proposer.begin(harness.change(2, 0, "b"), harness.set, harness.now), {1, 2, 3});
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Conflict);
   CHECK(done[0].value.body == "a");
-  CHECK(majorityOf(bench.set) == 3);
-  CHECK(readQuorumOf(bench.set) == 2);
+  CHECK(majorityOf(harness.set) == 3);
+  CHECK(readQuorumOf(harness.set) == 2);
 }
 
 TEST_CASE("register: half of the replicas choose nothing, and unsent is told from unknown") {
-  ReplicaBench bench(4);
+  ReplicaHarness harness(4);
   Proposer proposer(ProposerId{1}, 1);
-  auto done = bench.deliverAll(
-      proposer, proposer.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
+  auto done = harness.deliverAll(
+      proposer, proposer.begin(harness.change(1, 0, "a"), harness.set, harness.now), {0, 1});
   CHECK(done.empty());
-  bench.now += 4s;
-  proposer.onTick(bench.set, bench.now, &done);
+  harness.now += 4s;
+  proposer.onTick(harness.set, harness.now, &done);
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::NotTried);
 
   // A majority promised and one replica accepted, so the change may still be chosen later.
-  auto prepares = proposer.begin(bench.change(2, 0, "b"), bench.set, bench.now);
-  ReplicaBench::Sends accepts;
+  auto prepares = proposer.begin(harness.change(2, 0, "b"), harness.set, harness.now);
+  ReplicaHarness::Sends accepts;
   done.clear();
   for (const auto& [member, message] : prepares) {
-    if (const auto answer = bench.deliver(member.store.value - 1, message)) {
-      for (auto& send : proposer.onAnswer(*answer, bench.now, &done)) accepts.push_back(send);
+    if (const auto answer = harness.deliver(member.store.value - 1, message)) {
+      for (auto& send : proposer.onAnswer(*answer, harness.now, &done)) accepts.push_back(send);
     }
   }
   REQUIRE(accepts.size() == 4);
-  bench.deliver(0, accepts[0].second);
-  bench.now += 4s;
-  proposer.onTick(bench.set, bench.now, &done);
+  harness.deliver(0, accepts[0].second);
+  harness.now += 4s;
+  proposer.onTick(harness.set, harness.now, &done);
   REQUIRE(done.size() == 1);
   CHECK(done[0].result == ChangeResult::Unknown);
   // A read that finds the one accepted value completes the change, and any later read agrees.
   Proposer reader(ProposerId{2}, 2);
-  done = bench.deliverAll(reader, reader.begin(bench.read(3), bench.set, bench.now), {0, 1, 2});
+  done = harness.deliverAll(reader, reader.begin(harness.read(3), harness.set, harness.now),
+                            {0, 1, 2});
   CHECK(done.empty());  // its first ballot is too low; it backs off and retries with a higher one
-  bench.now += 200ms;
-  done = bench.deliverAll(reader, reader.onTick(bench.set, bench.now, &done), {0, 1, 2});
+  harness.now += 200ms;
+  done = harness.deliverAll(reader, reader.onTick(harness.set, harness.now, &done), {0, 1, 2});
   REQUIRE(done.size() == 1);
   CHECK(done[0].value.body == "b");
-  done = bench.deliverAll(reader, reader.begin(bench.read(4), bench.set, bench.now), {1, 2, 3});
+  done = harness.deliverAll(reader, reader.begin(harness.read(4), harness.set, harness.now),
+                            {1, 2, 3});
   REQUIRE(done.size() == 1);
   CHECK(done[0].value.body == "b");
 }
 
 TEST_CASE("register: a conflict is told only once what stands in the way is chosen") {
-  ReplicaBench bench(3);
+  ReplicaHarness harness(3);
   Proposer own(ProposerId{1}, 1), rival(ProposerId{2}, 2), reader(ProposerId{3}, 3);
   std::vector<ChangeOutcome> done;
-  const auto promised = [&](Proposer& proposer, const ReplicaBench::Sends& prepares,
+  const auto promised = [&](Proposer& proposer, const ReplicaHarness::Sends& prepares,
                             const std::vector<std::size_t>& reachable) {
-    ReplicaBench::Sends accepts;
+    ReplicaHarness::Sends accepts;
     for (const std::size_t index : reachable) {
-      const auto answer = bench.deliver(index, prepares[index].second);
+      const auto answer = harness.deliver(index, prepares[index].second);
       REQUIRE(answer);
-      for (auto& send : proposer.onAnswer(*answer, bench.now, &done)) accepts.push_back(send);
+      for (auto& send : proposer.onAnswer(*answer, harness.now, &done)) accepts.push_back(send);
     }
     return accepts;
   };
   // The first two replicas promise to the first proposer. Its accept messages are delayed.
   const auto delayedAccepts =
-      promised(own, own.begin(bench.change(1, 0, "a"), bench.set, bench.now), {0, 1});
+      promised(own, own.begin(harness.change(1, 0, "a"), harness.set, harness.now), {0, 1});
   REQUIRE(delayedAccepts.size() == 3);
   // Its phase times out. The same two replicas promise to a rival, and the third replica accepts
   // the first proposer's delayed value.
-  bench.now += 1s;
-  own.onTick(bench.set, bench.now, &done);
-  bench.now += 200ms;
-  const auto retry = own.onTick(bench.set, bench.now, &done);
+  harness.now += 1s;
+  own.onTick(harness.set, harness.now, &done);
+  harness.now += 200ms;
+  const auto retry = own.onTick(harness.set, harness.now, &done);
   REQUIRE(retry.size() == 3);
   const auto rivalAccepts =
-      promised(rival, rival.begin(bench.change(2, 0, "b"), bench.set, bench.now), {0, 1});
+      promised(rival, rival.begin(harness.change(2, 0, "b"), harness.set, harness.now), {0, 1});
   REQUIRE(rivalAccepts.size() == 3);
-  REQUIRE(bench.deliver(2, delayedAccepts[2].second)->granted);
+  REQUIRE(harness.deliver(2, delayedAccepts[2].second)->granted);
   // The rival's value is accepted only by the second replica, where the first proposer finds it.
-  REQUIRE(bench.deliver(1, rivalAccepts[1].second)->granted);
+  REQUIRE(harness.deliver(1, rivalAccepts[1].second)->granted);
   auto ownAccepts = promised(own, retry, {0, 1});
   CHECK(done.empty());  // the value at the third replica can still be chosen, so no conflict yet
   SECTION("a read that misses the rival's value ends in mine") {
     const auto read = [&] {
-      auto sends = reader.begin(bench.read(3), bench.set, bench.now);
-      auto outcomes = bench.deliverAll(reader, sends, {0, 2});
-      while (outcomes.empty() && bench.now < Instant{10s}) {
-        bench.now += 200ms;
-        sends = reader.onTick(bench.set, bench.now, &outcomes);
-        if (outcomes.empty()) outcomes = bench.deliverAll(reader, sends, {0, 2});
+      auto sends = reader.begin(harness.read(3), harness.set, harness.now);
+      auto outcomes = harness.deliverAll(reader, sends, {0, 2});
+      while (outcomes.empty() && harness.now < Instant{10s}) {
+        harness.now += 200ms;
+        sends = reader.onTick(harness.set, harness.now, &outcomes);
+        if (outcomes.empty()) outcomes = harness.deliverAll(reader, sends, {0, 2});
       }
       return outcomes;
     }();
     REQUIRE(read.size() == 1);
     REQUIRE(read[0].result == ChangeResult::Chosen);
     CHECK(read[0].value.body == "a");
-    bench.now = Instant{10s};
-    own.onTick(bench.set, bench.now, &done);
+    harness.now = Instant{10s};
+    own.onTick(harness.set, harness.now, &done);
     REQUIRE(done.size() == 1);
     CHECK(done[0].result == ChangeResult::Unknown);
   }
   SECTION("once a majority accepted the rival's value, no read can show mine") {
-    done = bench.deliverAll(own, ownAccepts, {0, 1});
+    done = harness.deliverAll(own, ownAccepts, {0, 1});
     REQUIRE(done.size() == 1);
     CHECK(done[0].result == ChangeResult::Conflict);
     CHECK(done[0].value.body == "b");
     for (const std::vector<std::size_t>& reachable : {std::vector<std::size_t>{0, 2}, {1, 2}}) {
       Proposer otherReader(ProposerId{4 + reachable[0]}, 1);
       std::vector<ChangeOutcome> outcomes;
-      auto sends = otherReader.begin(bench.read(10 + reachable[0]), bench.set, bench.now);
+      auto sends = otherReader.begin(harness.read(10 + reachable[0]), harness.set, harness.now);
       for (int round = 0; outcomes.empty() && round < 10; ++round) {
-        outcomes = bench.deliverAll(otherReader, sends, reachable);
-        bench.now += 200ms;
-        if (outcomes.empty()) sends = otherReader.onTick(bench.set, bench.now, &outcomes);
+        outcomes = harness.deliverAll(otherReader, sends, reachable);
+        harness.now += 200ms;
+        if (outcomes.empty()) sends = otherReader.onTick(harness.set, harness.now, &outcomes);
       }
       REQUIRE(outcomes.size() == 1);
       CHECK(outcomes[0].value.body == "b");
@@ -191,24 +193,24 @@
 }
 
 TEST_CASE("register: a replica of an emptied disk is no voter, and an old epoch is turned away") {
-  ReplicaBench bench(3);
+  ReplicaHarness harness(3);
   Prepare prepare{
-      OperationId{1}, kConfigurationKey, {Epoch{1}, 1, ProposerId{1}}, StoreId{1}, bench.set};
+      OperationId{1}, kConfigurationKey, {Epoch{1}, 1, ProposerId{1}}, StoreId{1}, harness.set};
   RegisterReplica emptied(StoreId{9});
   CHECK_FALSE(emptied.onPrepare(prepare).answer);  // addressed to the store that was lost
-  ReplicaSet later = bench.set;
+  ReplicaSet later = harness.set;
   later.epoch = Epoch{2};
-  bench.replicas[0].adopt(later);
-  const auto answer = bench.deliver(0, prepare);
+  harness.replicas[0].adopt(later);
+  const auto answer = harness.deliver(0, prepare);
   REQUIRE(answer);
   CHECK_FALSE(answer->granted);
   CHECK(answer->replicas.epoch == Epoch{2});
 }
 
 TEST_CASE("register: of two fleets founded under one epoch a replica votes in the first alone") {
-  ReplicaBench bench(3);
-  bench.set.fleet = 5;
-  ReplicaSet first = bench.set, second = bench.set;
+  ReplicaHarness harness(3);
+  harness.set.fleet = 5;
+  ReplicaSet first = harness.set, second = harness.set;
   second.fleet = 6;
   RegisterReplica replica(StoreId{1});
   const Ballot ballot{Epoch{1}, 1, ProposerId{1}}, higher{Epoch{1}, 2, ProposerId{2}};
@@ -225,8 +227,8 @@
 }
 
 TEST_CASE("register: what is on disk is what was said, and a write error ends voting") {
-  ReplicaBench bench(3);
-  RegisterReplica& replica = bench.replicas[0];
+  ReplicaHarness harness(3);
+  RegisterReplica& replica = harness.replicas[0];
   std::map<std::string, std::string> disk;
   const auto keep = [&](const std::vector<DiskWrite>& writes) {
     for (const DiskWrite& write : writes) disk[write.key] = write.bytes;
@@ -234,19 +236,20 @@
   keep(replica.identityWrites());
   const Ballot low{Epoch{1}, 3, ProposerId{1}}, high{Epoch{1}, 7, ProposerId{2}};
   const RegisterValue value{1, WriteId{5}, {}, "body"};
-  keep(replica.onAccept({OperationId{1}, kConfigurationKey, low, StoreId{1}, bench.set, value})
+  keep(replica.onAccept({OperationId{1}, kConfigurationKey, low, StoreId{1}, harness.set, value})
            .writes);
-  keep(replica.onPrepare({OperationId{2}, kConfigurationKey, high, StoreId{1}, bench.set}).writes);
+  keep(
+      replica.onPrepare({OperationId{2}, kConfigurationKey, high, StoreId{1}, harness.set}).writes);
   RegisterReplica restarted(StoreId{77});
   REQUIRE(restarted.restore(disk));
   CHECK(restarted.store() == StoreId{1});
-  restarted.adopt(bench.set);
+  restarted.adopt(harness.set);
   const auto lowBallotEffects =
-      restarted.onAccept({OperationId{3}, kConfigurationKey, low, StoreId{1}, bench.set, value});
+      restarted.onAccept({OperationId{3}, kConfigurationKey, low, StoreId{1}, harness.set, value});
   REQUIRE(lowBallotEffects.answer);
   CHECK_FALSE(std::get<ReplicaResponse>(*lowBallotEffects.answer).granted);
   const auto prepared = restarted.onPrepare(
-      {OperationId{4}, kConfigurationKey, {Epoch{1}, 9, ProposerId{1}}, StoreId{1}, bench.set});
+      {OperationId{4}, kConfigurationKey, {Epoch{1}, 9, ProposerId{1}}, StoreId{1}, harness.set});
   CHECK(std::get<ReplicaResponse>(*prepared.answer).value == value);
   restarted.stopVoting();
   CHECK_FALSE(restarted
@@ -254,7 +257,7 @@
                               kConfigurationKey,
                               {Epoch{1}, 11, ProposerId{1}},
                               StoreId{1},
-                              bench.set})
+                              harness.set})
                   .answer);
   disk["slot/spec"] = "damaged";
   CHECK_FALSE(RegisterReplica(StoreId{78}).restore(disk));
