--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -177,7 +177,7 @@
   });
 }
 
-// Determines which servers' cache events, and whether the store's, this daemon reads for the fleet.
+// Chooses the servers, and possibly the store, whose cache events this daemon reads for the fleet.
 void Agent::updateEventSources(Instant now) {
   if (now < nextEventSourcesAt_) return;
   nextEventSourcesAt_ = now + kEventSourceInterval;
@@ -250,7 +250,7 @@
   std::erase_if(servers_, [&](const auto& row) { return !names.contains(row.first); });
 }
 
-// Used in place of polling the server.
+// Applies the state that came with the list. Used in place of polling the server.
 void Agent::applyListedState(PolledServer& row, Instant readAt) const {
   const ListedServer& listed = row.listed;
   ServerState state;
--- a/src/agent/weights_orders.cpp
+++ b/src/agent/weights_orders.cpp
@@ -20,7 +20,7 @@
   return RegisterKey{"hold/" + rolloutRole(model)};
 }
 
-// The nonce makes it unique among all runs of all daemons.
+// The nonce makes the owner unique among all runs of all daemons.
 std::string Agent::fenceOwner() const {
   const std::string name =
       settings_.nodeName.empty() ? settings_.peerAddress.value : settings_.nodeName;
@@ -89,7 +89,7 @@
 }
 
 awaitable<void> Agent::sendWeightsOrder(ModelName model, WeightsOrder order, Instant decidedAt) {
-  // Named, because GCC 12 destroys aggregate temporaries in a co_await expression twice.
+  // Local variables, because GCC 12 destroys aggregate temporaries in a co_await expression twice.
   const Address address{order.server.value};
   const std::string owner = fenceOwner();
   co_await pauseFor(kNoticeInterval);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -19,17 +19,17 @@
 // Shuts the proxy down gracefully. The platform must see that the proxy is not ready before
 // connections are refused, so requests are still accepted for a while; after that, open ones only
 // finish. Accepted requests have until their deadline, even if the grace period is shorter.
-void leave(Proxy& plane, const Settings& settings) {
-  plane.beginLeaving();
+void leave(Proxy& proxy, const Settings& settings) {
+  proxy.beginLeaving();
   const Duration grace =
-      std::max<Duration>(settings.shutdownGrace, plane.longestRequestTimeout() + 2s);
+      std::max<Duration>(settings.shutdownGrace, proxy.longestRequestTimeout() + 2s);
   const auto graceEnd = BootClock::now() + grace;
   std::this_thread::sleep_for(
       std::min<std::chrono::milliseconds>(settings.shutdownGrace / 2, 3000ms));
-  plane.stopAccepting();
-  while (plane.openConnections() > 0 && BootClock::now() < graceEnd)
+  proxy.stopAccepting();
+  while (proxy.openConnections() > 0 && BootClock::now() < graceEnd)
     std::this_thread::sleep_for(20ms);
-  plane.stop();
+  proxy.stop();
 }
 
 // Waits before the agent stops. A stand-alone agent stays up for a while for operators. If another
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -15,8 +15,8 @@
 constexpr std::chrono::milliseconds kSettleInterval{200};
 constexpr std::size_t kFileLimit = 1 << 20;  // bytes; settings files have a few thousand
 
-// A setting that only a restart can change. Named as in quayrill's settings file where it has the
-// setting.
+// A setting that only a restart can change. The name is the one in quayrill's settings file, if the
+// file has the setting.
 struct StartSetting {
   const char* name;
   bool (*same)(const Settings&, const Settings&);
@@ -54,7 +54,7 @@
     StartSetting{"retry window", same<&Settings::retryWindow>},
     StartSetting{"retry slack", same<&Settings::retryHeadroom>}};
 
-bool differsLive(const Settings& a, const Settings& b) {
+bool liveSettingsDiffer(const Settings& a, const Settings& b) {
   return a.seeds != b.seeds || a.platformAddress != b.platformAddress ||
          a.listInterval != b.listInterval || a.listCallsPerSecond != b.listCallsPerSecond ||
          a.shutdownGrace != b.shutdownGrace;
@@ -164,7 +164,7 @@
   result.notice = subject + "is read anew, seeds " + joined(applied.seeds);
   if (!needRestart.empty())
     result.notice += "; restart this daemon to apply: " + joined(needRestart);
-  if (differsLive(inForce_, applied)) result.changed = applied;
+  if (liveSettingsDiffer(inForce_, applied)) result.changed = applied;
   inForce_ = std::move(applied);
   return result;
 }
--- a/src/net/disk.cpp
+++ b/src/net/disk.cpp
@@ -190,8 +190,8 @@
       else
         wake_.wait_for(lock, settings_.retryInterval, hasWork);
       if (stopping_ && jobs_.empty()) return;
-      // A batch ends before a resume mark, so that writes before it fail and writes after it are
-      // kept.
+      // A job without a callback stands for a call of resume(). A batch ends before it, so that
+      // earlier writes fail and later ones are kept.
       while (!jobs_.empty() && jobs_.front().done) {
         batch.push_back(std::move(jobs_.front()));
         jobs_.pop_front();
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -10,7 +10,8 @@
 namespace {
 constexpr std::size_t kQueueFrameLimit = 256;
 constexpr std::size_t kPeerLimit = 1024;
-// Limits on queued frames, per daemon and in total, so that a slow link can't exhaust memory.
+// Limits on the bytes of queued frames, per daemon and in total, so that a slow link can't exhaust
+// memory.
 constexpr std::size_t kQueueByteLimit = 2 << 20, kTotalByteLimit = 48 << 20;
 constexpr Duration kConnectTimeout = 500ms;  // TCP resends a lost SYN only after a second
 constexpr int kUserTimeoutMs = 2000;
@@ -55,13 +56,14 @@
   Connection connection(std::move(socket));
   for (;;) {
     ErrorCode code;
-    unsigned char head[4];
+    unsigned char lengthPrefix[4];
     connection.expires_after(60s);
-    co_await asio::async_read(connection, asio::buffer(head), into(code));
+    co_await asio::async_read(connection, asio::buffer(lengthPrefix), into(code));
     if (code) co_return;
-    const std::uint32_t size =
-        static_cast<std::uint32_t>(head[0]) | static_cast<std::uint32_t>(head[1]) << 8 |
-        static_cast<std::uint32_t>(head[2]) << 16 | static_cast<std::uint32_t>(head[3]) << 24;
+    const std::uint32_t size = static_cast<std::uint32_t>(lengthPrefix[0]) |
+                               static_cast<std::uint32_t>(lengthPrefix[1]) << 8 |
+                               static_cast<std::uint32_t>(lengthPrefix[2]) << 16 |
+                               static_cast<std::uint32_t>(lengthPrefix[3]) << 24;
     if (size > kFrameLimit) co_return;
     std::string bytes(size, '\0');
     connection.expires_after(5s);
--- a/src/proxy/deliver.cpp
+++ b/src/proxy/deliver.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 constexpr std::size_t kLineLimit = 64 << 10;
-constexpr Duration kCallerTimeout =
-    10s;  // a caller that reads no bytes for this long counts as gone
+// A caller that reads no bytes for this long counts as gone.
+constexpr Duration kCallerTimeout = 10s;
 
 // State of the server's answer while it is parsed line by line.
 struct Stream {
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -1,5 +1,5 @@
 // Tests with misbehaving callers (slow, disconnecting, idle, pipelining). None may block others or
-// leak a place.
+// keep counting towards its tenant's concurrency limit.
 #include "proxy_stage.h"
 
 using namespace quayrill;
@@ -61,7 +61,7 @@
     other.send(requestText("{}"));
     eventually([&] { return stage.arrivals() == 2; });
   }
-  CHECK(stage.post("slow").result_int() == 429);  // both of the tenant's places are taken
+  CHECK(stage.post("slow").result_int() == 429);  // the tenant is at its concurrency limit
   stage.setAllBehaviors(ServerBehavior::Answer);
   eventually([&] { return stage.post("slow").result_int() == 200; });
 }
--- a/tests/power_loss_env.cpp
+++ b/tests/power_loss_env.cpp
@@ -108,7 +108,7 @@
 void PowerLossEnv::restore(std::uint64_t seed) {
   std::lock_guard lock(mutex_);
   std::mt19937_64 random(seed);
-  const auto draw = [&](std::uint64_t fates) { return seed > 1 ? random() % fates : seed; };
+  const auto draw = [&](std::uint64_t outcomes) { return seed > 1 ? random() % outcomes : seed; };
   current_ = durable_;
   for (const NameChange& change : pendingNameChanges_) {
     if (draw(2) == 1) applyNameChange(change, &current_);
@@ -116,9 +116,9 @@
   for (const auto& [name, file] : current_) {
     for (const Append& append : file->unsynced) {
       std::string bytes = append.bytes;
-      const std::uint64_t fate = draw(3);
-      if (fate == 0) continue;
-      if (fate == 2) bytes.resize(random() % (bytes.size() + 1));
+      const std::uint64_t outcome = draw(3);  // 0: lost, 1: written, 2: written in part
+      if (outcome == 0) continue;
+      if (outcome == 2) bytes.resize(random() % (bytes.size() + 1));
       if (file->syncedContent.size() < append.offset + bytes.size())
         file->syncedContent.resize(append.offset + bytes.size());
       file->syncedContent.replace(append.offset, bytes.size(), bytes);
--- a/tests/power_loss_tests.cpp
+++ b/tests/power_loss_tests.cpp
@@ -24,15 +24,15 @@
 
 // What was acknowledged to a replica as synced, and what it attempted.
 struct Acknowledged {
-  StoreId store;            // 0: none
-  std::uint64_t round = 0;  // last acknowledged round
-  std::uint64_t tried = 0;  // last attempted round
+  StoreId store;                // 0: none
+  std::uint64_t round = 0;      // last acknowledged round
+  std::uint64_t attempted = 0;  // last attempted round
 };
 // What a process found when it opened the folder: everything acknowledged, an older state, an empty
 // folder, or a folder reported as damaged; or that the power was lost or the opening timed out.
 enum class OpenResult { All, Older, Emptied, Damaged, NoPower, Unopened };
 
-ReplicaSet ownSet(StoreId store) {
+ReplicaSet singleReplicaSet(StoreId store) {
   ReplicaSet set;
   set.fleet = 5;
   set.epoch = Epoch{1};
@@ -85,12 +85,13 @@
     const OpenResult openResult = emptied ? OpenResult::Emptied : compare();
     if (!emptied && openResult != OpenResult::All) return openResult;
     auto writes = replica_.identityWrites();
-    for (auto& write : replica_.adopt(ownSet(replica_.store()))) writes.push_back(std::move(write));
+    for (auto& write : replica_.adopt(singleReplicaSet(replica_.store())))
+      writes.push_back(std::move(write));
     if (!write(std::move(writes))) return OpenResult::NoPower;
-    const bool wasThere = acknowledged_->store.value > 0;
+    const bool hadStore = acknowledged_->store.value > 0;
     if (emptied) acknowledged_->round = 0;
     acknowledged_->store = replica_.store();
-    return emptied && !wasThere ? OpenResult::All : openResult;
+    return emptied && !hadStore ? OpenResult::All : openResult;
   }
   // Checks that the replica has its old store id and everything that it promised and accepted, or
   // more.
@@ -108,7 +109,7 @@
     return rejects && value->body.size() == kBodyBytes ? OpenResult::All : OpenResult::Older;
   }
   bool change() {
-    const std::uint64_t round = ++acknowledged_->tried;
+    const std::uint64_t round = ++acknowledged_->attempted;
     const Ballot ballot{Epoch{1}, round, ProposerId{9}};
     const ReplicaSet& set = replica_.replicas();
     if (!write(replica_.onPrepare({{}, kConfigurationKey, ballot, replica_.store(), set}).writes))
--- a/tests/proxy_stage.h
+++ b/tests/proxy_stage.h
@@ -25,7 +25,7 @@
 // the connection without an answer, or keeps the connection open without an answer.
 enum class ServerBehavior { Answer, NotRun, Vanish, Hang };
 
-// A model server that counts requests and treats them as its current behavior says.
+// A model server that counts requests and handles them according to `behavior`.
 struct FakeModelServer {
   Address address;
   std::atomic<ServerBehavior> behavior{ServerBehavior::Answer};
@@ -42,13 +42,13 @@
   awaitable<std::optional<HttpResponse>> respond(HttpRequest& request) {
     if (pathOf(request) != wire::kGenerate) co_return textResponse(404, "");
     ++arrivals;
-    const ServerBehavior now = behavior.load();
-    if (now == ServerBehavior::Vanish) co_return std::nullopt;
-    if (now == ServerBehavior::Hang) {  // until the behavior is changed
+    const ServerBehavior current = behavior.load();
+    if (current == ServerBehavior::Vanish) co_return std::nullopt;
+    if (current == ServerBehavior::Hang) {  // until the behavior is changed
       while (behavior.load() == ServerBehavior::Hang) co_await pauseFor(5ms);
       co_return std::nullopt;
     }
-    if (now == ServerBehavior::NotRun) {
+    if (current == ServerBehavior::NotRun) {
       HttpResponse response = jsonResponse(503, Json::object());
       response.set(wire::kNotRun, "true");
       co_return response;
--- a/tests/proxy_tests.cpp
+++ b/tests/proxy_tests.cpp
@@ -67,7 +67,7 @@
   for (int i = 0; i < 10; ++i) rejected += isRejected(stage.post("once")) ? 1 : 0;
   CHECK(rejected == 10);
   CHECK(stage.arrivals() - before >= 10);
-  CHECK(stage.arrivals() <= 30 + 30 / 5);  // extra tries stay under a fifth of 30 first sends
+  CHECK(stage.arrivals() <= 30 + 30 / 5);  // extra attempts stay under a fifth of 30 first sends
 }
 
 TEST_CASE("proxy: with no free server the caller is turned away at once") {
@@ -101,8 +101,8 @@
     snapshot.configurationVersion = 2;
     snapshot.configurationBody = configurationBody("");
   });
-  // Until then, a request admitted under the old configuration may still fail the check before
-  // sending.
+  // Before the first 401, a request admitted under the old configuration may still fail the check
+  // before sending.
   eventually([&] { return stage.post("once").result_int() == 401; });
   const int before = stage.arrivals();
   CHECK(stage.post("once").result_int() == 401);
