--- a/tests/deliver_boundary_tests.cpp
+++ b/tests/deliver_boundary_tests.cpp
@@ -68,14 +68,14 @@
   co_await asio::async_read(socket, asio::buffer(&byte, 1), into(code));
 }
 
-struct Played {
+struct ScriptRun {
   DeliveryResult result;
   ParsedResponse callerAnswer;
 };
 
-Played play(asio::io_context& io, Tcp::acceptor& server, const ScriptedAnswer& script,
-            std::size_t cut, Fault fault) {
-  Played played;
+ScriptRun runScript(asio::io_context& io, Tcp::acceptor& server, const ScriptedAnswer& script,
+                    std::size_t cut, Fault fault) {
+  ScriptRun scriptRun;
   std::string bytes;
   CallerConnection caller(io);
   Delivery delivery = deliveryTo(server, "{}", 20s);
@@ -85,26 +85,26 @@
       io,
       [&]() -> awaitable<void> {
         const std::function<bool()> mayStart = [] { return true; };
-        played.result = co_await deliver(std::move(delivery), caller.near, mayStart);
+        scriptRun.result = co_await deliver(std::move(delivery), caller.near, mayStart);
         caller.near.close();
       },
       asio::detached);
   io.run();
   io.restart();
-  played.callerAnswer = parseResponse(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
-  return played;
+  scriptRun.callerAnswer = parseResponse(bytes, "Quayrill-Request-Id", "Quayrill-Weights");
+  return scriptRun;
 }
 
 void checkOutcome(const ScriptedAnswer& script, std::size_t cut, Fault fault,
-                  const Played& played) {
+                  const ScriptRun& scriptRun) {
   const auto fail = [&](const std::string& why) {
     FAIL_CHECK(script.name << ", " << faultName(fault) << " at " << cut << ": " << why << " ("
-                           << deliveryOutcomeName(played.result.outcome) << ", "
-                           << played.result.detail << ", body '" << played.callerAnswer.body
+                           << deliveryOutcomeName(scriptRun.result.outcome) << ", "
+                           << scriptRun.result.detail << ", body '" << scriptRun.callerAnswer.body
                            << "')");
   };
-  const DeliveryOutcome outcome = played.result.outcome;
-  const ParsedResponse& callerAnswer = played.callerAnswer;
+  const DeliveryOutcome outcome = scriptRun.result.outcome;
+  const ParsedResponse& callerAnswer = scriptRun.callerAnswer;
   const std::string all = kPieces + kEndMark;
   const bool isWholeScript = fault == Fault::None || cut == script.bytes.size();
   if (script.hasRun &&
@@ -131,14 +131,14 @@
 TEST_CASE("deliver boundary: split, closed, reset or garbled at any byte") {
   asio::io_context io;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
-  int played = 0;
+  int runCount = 0;
   for (const Fault fault : {Fault::None, Fault::Close, Fault::Reset, Fault::Garbage}) {
     for (const ScriptedAnswer& script : answers()) {
-      for (std::size_t cut = 0; cut <= script.bytes.size(); ++cut, ++played)
-        checkOutcome(script, cut, fault, play(io, server, script, cut, fault));
+      for (std::size_t cut = 0; cut <= script.bytes.size(); ++cut, ++runCount)
+        checkOutcome(script, cut, fault, runScript(io, server, script, cut, fault));
     }
   }
-  CHECK(played > 2000);
+  CHECK(runCount > 2000);
 }
 
 TEST_CASE("deliver boundary: answers that are not the request's, and such before it") {
@@ -147,13 +147,13 @@
   const ScriptedAnswer whole = answers()[0];
   ScriptedAnswer early = whole;
   early.bytes = "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + whole.bytes;
-  CHECK(play(io, server, early, early.bytes.size(), Fault::None).result.outcome ==
+  CHECK(runScript(io, server, early, early.bytes.size(), Fault::None).result.outcome ==
         DeliveryOutcome::Done);
   ScriptedAnswer other = whole;
   other.bytes =
       "HTTP/1.1 503 Full\r\nQuayrill-Request-Id: r0\r\nQuayrill-Not-Run: true\r\n"
       "Content-Length: 2\r\n\r\nno";
-  CHECK(play(io, server, other, other.bytes.size(), Fault::None).result.outcome ==
+  CHECK(runScript(io, server, other, other.bytes.size(), Fault::None).result.outcome ==
         DeliveryOutcome::Unknown);
 }
 
--- a/tests/deliver_tests.cpp
+++ b/tests/deliver_tests.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-struct Played {
+struct ScriptRun {
   DeliveryResult result;
   std::string receivedByServer;
   std::string receivedByCaller;
@@ -26,27 +26,27 @@
   return chunk("{\"end\":true,\"pieces\":" + std::to_string(pieces) + "}\n");
 }
 
-awaitable<void> playServer(Tcp::acceptor& acceptor, std::string script, bool keepOpen,
-                           Played* played) {
+awaitable<void> runServer(Tcp::acceptor& acceptor, std::string script, bool keepOpen,
+                          ScriptRun* scriptRun) {
   ErrorCode code;
   Tcp::socket socket(acceptor.get_executor());
   co_await acceptor.async_accept(socket, into(code));
   if (code) co_return;
   char block[4096];
-  while (played->receivedByServer.find("{}") == std::string::npos && !code) {
+  while (scriptRun->receivedByServer.find("{}") == std::string::npos && !code) {
     const std::size_t got = co_await socket.async_read_some(asio::buffer(block), into(code));
-    played->receivedByServer.append(block, got);
+    scriptRun->receivedByServer.append(block, got);
   }
   co_await asio::async_write(socket, asio::buffer(script), into(code));
   if (keepOpen) co_await socket.async_read_some(asio::buffer(block), into(code));
 }
 
-awaitable<void> readUntilClosed(Tcp::socket& socket, Played* played) {
+awaitable<void> readUntilClosed(Tcp::socket& socket, ScriptRun* scriptRun) {
   ErrorCode code;
   char block[4096];
   while (!code) {
     const std::size_t got = co_await socket.async_read_some(asio::buffer(block), into(code));
-    played->receivedByCaller.append(block, got);
+    scriptRun->receivedByCaller.append(block, got);
   }
 }
 
@@ -59,45 +59,47 @@
   Duration timeout = 2s;
 };
 
-Played play(const Setup& setup) {
+ScriptRun runScript(const Setup& setup) {
   asio::io_context io;
-  Played played;
+  ScriptRun scriptRun;
   Tcp::acceptor server(io, {asio::ip::make_address("127.0.0.1"), 0});
   CallerConnection caller(io);
   Delivery delivery = deliveryTo(server, "{}", setup.timeout);
   if (setup.listening)
-    asio::co_spawn(io, playServer(server, setup.script, setup.keepOpen, &played), asio::detached);
+    asio::co_spawn(io, runServer(server, setup.script, setup.keepOpen, &scriptRun), asio::detached);
   else
     server.close();
-  asio::co_spawn(io, readUntilClosed(caller.far, &played), asio::detached);
+  asio::co_spawn(io, readUntilClosed(caller.far, &scriptRun), asio::detached);
   asio::co_spawn(
       io,
       [&]() -> awaitable<void> {
         const std::function<bool()> mayStart = [&] { return setup.mayStart; };
-        played.result = co_await deliver(std::move(delivery), caller.near, mayStart);
+        scriptRun.result = co_await deliver(std::move(delivery), caller.near, mayStart);
         caller.near.close();
         ErrorCode ignored;
         if (server.is_open()) server.close(ignored);
       },
       asio::detached);
   io.run();
-  return played;
+  return scriptRun;
 }
 
-bool looksComplete(const Played& played) {
-  return played.receivedByCaller.size() >= 5 &&
-         played.receivedByCaller.compare(played.receivedByCaller.size() - 5, 5, "0\r\n\r\n") == 0;
+bool looksComplete(const ScriptRun& scriptRun) {
+  return scriptRun.receivedByCaller.size() >= 5 &&
+         scriptRun.receivedByCaller.compare(scriptRun.receivedByCaller.size() - 5, 5,
+                                            "0\r\n\r\n") == 0;
 }
 }  // namespace
 
 TEST_CASE("deliver: a whole answer passes through and closes with the server's end mark") {
-  const auto played = play({kHead + chunk("{\"piece\":0}\n") + chunk("{\"piece\":1}\n{\"pie") +
-                            chunk("ce\":2}\n") + endMarkChunk(3) + "0\r\n\r\n"});
-  CHECK(played.result.outcome == DeliveryOutcome::Done);
-  CHECK(played.result.pieces == 3);
-  CHECK(looksComplete(played));
-  CHECK(played.receivedByCaller.find("Quayrill-Outcome: done") != std::string::npos);
-  CHECK(played.receivedByServer.find("Quayrill-Weights: w1") != std::string::npos);
+  const auto scriptRun =
+      runScript({kHead + chunk("{\"piece\":0}\n") + chunk("{\"piece\":1}\n{\"pie") +
+                 chunk("ce\":2}\n") + endMarkChunk(3) + "0\r\n\r\n"});
+  CHECK(scriptRun.result.outcome == DeliveryOutcome::Done);
+  CHECK(scriptRun.result.pieces == 3);
+  CHECK(looksComplete(scriptRun));
+  CHECK(scriptRun.receivedByCaller.find("Quayrill-Outcome: done") != std::string::npos);
+  CHECK(scriptRun.receivedByServer.find("Quayrill-Weights: w1") != std::string::npos);
 }
 
 TEST_CASE("deliver: a cut answer never looks complete") {
@@ -110,38 +112,39 @@
            kHead + piece + endMarkChunk(1) + piece + "0\r\n\r\n",  // a piece after the end mark
            kHead + piece + chunk("{\"pie") + "0\r\n\r\n",          // half a line
        }) {
-    const auto played = play({script});
-    CHECK(played.result.outcome == DeliveryOutcome::Truncated);
-    CHECK_FALSE(looksComplete(played));
-    CHECK(played.receivedByCaller.find("\"end\"") == std::string::npos);
+    const auto scriptRun = runScript({script});
+    CHECK(scriptRun.result.outcome == DeliveryOutcome::Truncated);
+    CHECK_FALSE(looksComplete(scriptRun));
+    CHECK(scriptRun.receivedByCaller.find("\"end\"") == std::string::npos);
   }
 }
 
 TEST_CASE("deliver: what never left, what did not run, and what nobody knows are told apart") {
-  CHECK(play({"", false, false}).result.outcome == DeliveryOutcome::NeverSent);
-  const auto stopped = play({"", false, true, false});
+  CHECK(runScript({"", false, false}).result.outcome == DeliveryOutcome::NeverSent);
+  const auto stopped = runScript({"", false, true, false});
   CHECK(stopped.result.outcome == DeliveryOutcome::NeverSent);
   CHECK(stopped.receivedByServer.empty());
-  CHECK(play({"HTTP/1.1 503 Busy\r\nQuayrill-Not-Run: true\r\nContent-Length: 2\r\n\r\nno"})
+  CHECK(runScript({"HTTP/1.1 503 Busy\r\nQuayrill-Not-Run: true\r\nContent-Length: 2\r\n\r\nno"})
             .result.outcome == DeliveryOutcome::NotRun);
-  CHECK(play({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.outcome ==
+  CHECK(runScript({"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nno"}).result.outcome ==
         DeliveryOutcome::Unknown);
-  CHECK(play({""}).result.outcome == DeliveryOutcome::Unknown);
-  CHECK(play({"HTTP/1.1 200 OK\r\nContent-Le"}).result.outcome == DeliveryOutcome::Unknown);
-  CHECK(play({kHead + "0\r\n\r\n"}).result.outcome == DeliveryOutcome::Unknown);
+  CHECK(runScript({""}).result.outcome == DeliveryOutcome::Unknown);
+  CHECK(runScript({"HTTP/1.1 200 OK\r\nContent-Le"}).result.outcome == DeliveryOutcome::Unknown);
+  CHECK(runScript({kHead + "0\r\n\r\n"}).result.outcome == DeliveryOutcome::Unknown);
   Setup silent;
   silent.keepOpen = true;
   silent.timeout = 50ms;
-  CHECK(play(silent).result.outcome == DeliveryOutcome::DeadlineExceeded);
+  CHECK(runScript(silent).result.outcome == DeliveryOutcome::DeadlineExceeded);
 }
 
 TEST_CASE("deliver: an answer that names another request or other weights reaches no caller") {
   for (const std::string& head :
        {std::string("Quayrill-Request-Id: r2\r\nQuayrill-Weights: w1\r\n"),
         std::string("Quayrill-Request-Id: r1\r\nQuayrill-Weights: w0\r\n"), std::string()}) {
-    const auto played = play({"HTTP/1.1 200 OK\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n" +
-                              chunk("{\"piece\":0}\n") + endMarkChunk(1) + "0\r\n\r\n"});
-    CHECK(played.result.outcome == DeliveryOutcome::Unknown);
-    CHECK(played.receivedByCaller.empty());
+    const auto scriptRun =
+        runScript({"HTTP/1.1 200 OK\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n" +
+                   chunk("{\"piece\":0}\n") + endMarkChunk(1) + "0\r\n\r\n"});
+    CHECK(scriptRun.result.outcome == DeliveryOutcome::Unknown);
+    CHECK(scriptRun.receivedByCaller.empty());
   }
 }
--- a/tests/platform_config_tests.cpp
+++ b/tests/platform_config_tests.cpp
@@ -237,8 +237,8 @@
   const std::string second = bodyAfter(platform::configReplacement(documentText(9), 7), first);
   CHECK(isInEffect(platform::configReplacement(documentText(7), 0), second));
   CHECK(isInEffect(platform::configReplacement(documentText(9), 7), second));
-  // Of two changes of one version, the one that lost is stale even if both lead to the same
-  // version.
+  // Of two changes that build on the same version, the one that lost is stale even if both lead to
+  // the same new version.
   Document rival = sample();
   rival["gen"] = 9;
   rival["later"] = "rival";
@@ -274,8 +274,8 @@
   }
   CHECK(acknowledged == kMaxAppliedChanges);
   CHECK(codeOf(platform::configReplacement(documentText(1), 0), body) == StatusCode::kUnknown);
-  // A change that can't have been applied is rejected: it leads above the forgotten versions, or
-  // the change that followed on its base version is remembered.
+  // A change that can't have been applied is rejected: it leads to a version above the
+  // forgotten ones, or the change that was applied to its base version is remembered.
   CHECK(codeOf(platform::configReplacement(documentText(kChanges + 1), 1), body) ==
         StatusCode::kFailedPrecondition);
   CHECK(codeOf(platform::configReplacement(documentText(kChanges), kChanges - 1), body) ==
