--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -34,7 +34,7 @@
 
 // Waits before the agent stops. A stand-alone agent stays up for a while for operators. If another
 // machine is about to replace this register replica, the replica votes until the handover is done.
-// If none can, the replica stays a member: a restart brings it back with its disk.
+// If no machine can, the replica stays a member: a restart brings it back with its disk.
 void waitForHandover(const Agent& agent, const Settings& settings, Instant receivedAt) {
   const auto until = [&](Duration span) {
     return std::max<Duration>(Duration{}, receivedAt + span - BootClock::now());
--- a/src/daemon/settings_watch.cpp
+++ b/src/daemon/settings_watch.cpp
@@ -150,7 +150,7 @@
   const std::string subject = "settings file '" + source_.file + "' ";
   const std::string consequence = ": the previous settings stay in force";
   if (!text) {
-    result.error = subject + "can't be read: put it back" + consequence;
+    result.error = subject + "can't be read: restore it" + consequence;
     return result;
   }
   const auto parsed = source_.read(*text);
--- a/src/net/model_server.cpp
+++ b/src/net/model_server.cpp
@@ -30,7 +30,7 @@
 
 awaitable<absl::StatusOr<ServerState>> readServer(Address server, Duration timeout) {
   HttpCall call = callTo(server, http::verb::get, "/burden", timeout);
-  const Instant askedAt = BootClock::now();
+  const Instant requestedAt = BootClock::now();
   const auto response = co_await httpCall(std::move(call));
   const auto json = objectOf(response);
   if (!json.ok()) co_return json.status();
@@ -45,7 +45,7 @@
     state.slots = json->at("slots").get<std::uint32_t>();
     state.cacheTokens = json->at("cache_tokens").get<std::uint64_t>();
     state.healthy = json->at("state").get<std::string>() == "ready";
-    state.polledAt = askedAt;
+    state.polledAt = requestedAt;
     co_return state;
   } catch (const std::exception& error) {
     co_return absl::DataLossError(error.what());
--- a/src/quayrilld.cpp
+++ b/src/quayrilld.cpp
@@ -16,7 +16,7 @@
   quayrilld --help | --version
 
 Options:
-  --settings=FILE      JSON settings; flags win over it. Names are those below with '_' for '-'.
+  --settings=FILE      JSON settings; flags override it. Names are those below with '_' for '-'.
   --role=ROLE          proxy, agent (a pair on loopback) or both in one process.
   --cohort=ADDR        ip:port where other daemons connect.
   --operators=ADDR     ip:port of the operator API; a proxy reaches its agent here.
