--- a/src/agent/core/agent_core.cpp
+++ b/src/agent/core/agent_core.cpp
@@ -265,7 +265,7 @@
 void AgentCore::onListRead(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
                            Instant now, AgentEffects* effects) {
   std::vector<Envelope> sends;
-  list_.onPrefillDone(std::move(rows), askedAt, calls, now, &sends);
+  list_.onReadDone(std::move(rows), askedAt, calls, now, &sends);
   sendListAnswers(std::move(sends), now, effects);
 }
 
--- a/src/agent/core/server_list.cpp
+++ b/src/agent/core/server_list.cpp
@@ -77,8 +77,8 @@
   return true;
 }
 
-void ServerList::onPrefillDone(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
-                               Instant now, std::vector<Envelope>* sends) {
+void ServerList::onReadDone(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
+                            Instant now, std::vector<Envelope>* sends) {
   reading_ = false;
   callsPerRead_ = std::max<std::size_t>(1, calls);
   backoff_ = Duration{};
--- a/src/agent/core/server_list.h
+++ b/src/agent/core/server_list.h
@@ -37,11 +37,11 @@
   }
 
   // Returns true if the caller must read the platform's list now. No other read starts until
-  // `onPrefillDone` or `onReadFailed` is called.
+  // `onReadDone` or `onReadFailed` is called.
   bool onTick(const ListPeers& peers, Instant now, std::vector<Envelope>* sends);
   // The platform's list was read, by a read that began at `askedAt` and took `calls` calls.
-  void onPrefillDone(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls,
-                     Instant now, std::vector<Envelope>* sends);
+  void onReadDone(std::vector<ListedServer> rows, Instant askedAt, std::size_t calls, Instant now,
+                  std::vector<Envelope>* sends);
   // A read failed. `overRate`: the platform reported that the call rate is exceeded.
   void onReadFailed(std::size_t calls, bool overRate, Instant now);
   // Answers the request at once if this daemon has a newer list, otherwise once it does.
--- a/tests/agent_tests.cpp
+++ b/tests/agent_tests.cpp
@@ -286,7 +286,7 @@
   const std::vector<ListedServer> old{{ServerName{"a"}, "z", false}},
       fresh{{ServerName{"a"}, "z", true}};
   std::vector<Envelope> sends;
-  own.onPrefillDone(old, now, 1, now, &sends);
+  own.onReadDone(old, now, 1, now, &sends);
   // The clocks of the two daemons are unrelated.
   const Instant otherNow{5s};
   const auto requestsAfter = [&](Duration later) {
@@ -301,7 +301,7 @@
   const auto& ask = std::get<ServerListRequest>(asked[0].body);
   other.onAsk(member(1), ask, otherNow, &sends);
   CHECK(messagesOf<ServerListResponse>(sends).empty());  // it has no list yet
-  other.onPrefillDone(fresh, otherNow + 100ms, 1, otherNow + 300ms, &sends);
+  other.onReadDone(fresh, otherNow + 100ms, 1, otherNow + 300ms, &sends);
   const auto answered = messagesOf<ServerListResponse>(sends);
   REQUIRE(answered.size() == 1);
   CHECK(answered[0].to == member(1));
--- a/tests/server_list_tests.cpp
+++ b/tests/server_list_tests.cpp
@@ -98,7 +98,7 @@
           node.list.onReadFailed(1, overRate, local(node));
         } else {
           lastReading = now;
-          node.list.onPrefillDone(content, askedAt, 1, local(node), &sends);
+          node.list.onReadDone(content, askedAt, 1, local(node), &sends);
         }
       }
       if ((now.time_since_epoch() / 1ms + static_cast<long>(i) * 7) % 50 == 0 &&
@@ -289,13 +289,13 @@
 TEST_CASE("server list: another identity at the same address is another content") {
   ServerList list({daemon(0), 1s, 47});
   std::vector<Envelope> sends;
-  list.onPrefillDone(rowsOf(1), Instant{1s}, 1, Instant{1s}, &sends);
+  list.onReadDone(rowsOf(1), Instant{1s}, 1, Instant{1s}, &sends);
   const auto digest = list.digest();
   auto reversed = rowsOf(1);
   std::reverse(reversed.begin(), reversed.end());
-  list.onPrefillDone(reversed, Instant{2s}, 1, Instant{2s}, &sends);
+  list.onReadDone(reversed, Instant{2s}, 1, Instant{2s}, &sends);
   CHECK(list.digest() == digest);  // the order of the rows is irrelevant
-  list.onPrefillDone(rowsOf(2), Instant{3s}, 1, Instant{3s}, &sends);
+  list.onReadDone(rowsOf(2), Instant{3s}, 1, Instant{3s}, &sends);
   CHECK(list.digest() != digest);
   CHECK(list.rows() == rowsOf(2));
 }
