--- a/src/fleet/checker.cpp
+++ b/src/fleet/checker.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The times after which the guarantees must hold.
+// Time limits of the guarantees, and the window in which the ratio of retries is checked.
 constexpr Duration kKeyRevocationLimit = 5s;
 constexpr Duration kLeavingLimit = 3s;
 constexpr Duration kWeightsLimit = 25s;
@@ -67,10 +67,10 @@
   const std::string& finalWeights = ledger.finalServers.at(server);
   for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
     if (configuredAt < since) continue;
-    const auto row = ledger.weightsLoadedAt.find(weights);
-    const bool switched = row != ledger.weightsLoadedAt.end() && row->second.contains(server);
+    const auto loaded = ledger.weightsLoadedAt.find(weights);
+    const bool switched = loaded != ledger.weightsLoadedAt.end() && loaded->second.contains(server);
     // A server that had these weights all along never switched to them.
-    if (switched ? row->second.at(server) <= deadline : finalWeights == weights) return true;
+    if (switched ? loaded->second.at(server) <= deadline : finalWeights == weights) return true;
   }
   return false;
 }
@@ -82,8 +82,9 @@
     for (const auto& [server, finalWeights] : ledger.finalServers) {
       Instant deadline = configuredAt + kWeightsLimit;
       // A server that restarted since has the whole time from its restart.
-      if (const auto back = ledger.restartedAt.find(server); back != ledger.restartedAt.end())
-        deadline = std::max(deadline, back->second + kWeightsLimit);
+      if (const auto restarted = ledger.restartedAt.find(server);
+          restarted != ledger.restartedAt.end())
+        deadline = std::max(deadline, restarted->second + kWeightsLimit);
       if (deadline > trafficEnd || hadWeightsSince(ledger, server, configuredAt, deadline))
         continue;
       findings->push_back({"weights-bound", server + " did not take " + weights + " within " +
@@ -103,11 +104,11 @@
 // Checks the time limits after keys are revoked, servers start leaving and weights are configured.
 void checkBounds(const Ledger& ledger, Instant trafficEnd, std::vector<Finding>* findings) {
   for (const CallRow& call : ledger.calls) {
-    const auto withdrawn = ledger.keyRevokedAt.find(call.tenant);
-    if (withdrawn == ledger.keyRevokedAt.end() || call.status != 200) continue;
-    if (call.begun > withdrawn->second + kKeyRevocationLimit)
+    const auto revoked = ledger.keyRevokedAt.find(call.tenant);
+    if (revoked == ledger.keyRevokedAt.end() || call.status != 200) continue;
+    if (call.begun > revoked->second + kKeyRevocationLimit)
       findings->push_back({"withdrawn-key", call.nonce + " was served " +
-                                                millis(call.begun - withdrawn->second) +
+                                                millis(call.begun - revoked->second) +
                                                 " after its key was withdrawn"});
   }
   for (const RunRow& run : ledger.runs) {
@@ -136,11 +137,11 @@
   for (auto& [server, orders] : byServer) {
     std::sort(orders.begin(), orders.end(),
               [](const OrderRow& a, const OrderRow& b) { return a.at < b.at; });
-    std::uint64_t top = 0;
+    std::uint64_t highestFence = 0;
     for (std::size_t i = 0; i < orders.size(); ++i) {
-      if (orders[i].accepted && orders[i].fence < top)
+      if (orders[i].accepted && orders[i].fence < highestFence)
         findings->push_back({"one-orderer", server + " took an order with an old fence"});
-      if (orders[i].accepted) top = std::max(top, orders[i].fence);
+      if (orders[i].accepted) highestFence = std::max(highestFence, orders[i].fence);
       for (std::size_t j = i + 1; j < orders.size() && orders[j].at < orders[i].ended; ++j) {
         if (orders[j].fence != orders[i].fence)
           findings->push_back({"one-orderer", server + " had orders of two holders open at once"});
--- a/src/fleet/checker_configuration.cpp
+++ b/src/fleet/checker_configuration.cpp
@@ -33,24 +33,24 @@
 
 Duration longestStaleServing(const Ledger& ledger) {
   const auto floors = acknowledgedFloors(ledger);
-  Duration slowest{};
+  Duration longest{};
   for (const ServedVersionRow& row : ledger.servedVersions) {
     const auto superseded = supersededAt(floors, row.version);
-    if (superseded && row.at > *superseded) slowest = std::max(slowest, row.at - *superseded);
+    if (superseded && row.at > *superseded) longest = std::max(longest, row.at - *superseded);
   }
-  return slowest;
+  return longest;
 }
 
 void checkConfigurationChanges(const Ledger& ledger, std::vector<Finding>* findings) {
   const auto floors = acknowledgedFloors(ledger);
-  std::map<std::string, std::uint64_t> highest;
+  std::map<std::string, std::uint64_t> highestByDaemon;
   for (const ServedVersionRow& row : ledger.servedVersions) {
-    std::uint64_t& top = highest[row.daemon];
-    if (row.version < top)
+    std::uint64_t& highest = highestByDaemon[row.daemon];
+    if (row.version < highest)
       findings->push_back({"slipped-back", row.daemon + " served by configuration " +
                                                std::to_string(row.version) + " after " +
-                                               std::to_string(top)});
-    top = std::max(top, row.version);
+                                               std::to_string(highest)});
+    highest = std::max(highest, row.version);
     const auto superseded = supersededAt(floors, row.version);
     if (superseded && row.at > *superseded + kPropagationLimit)
       findings->push_back({"in-force", row.daemon + " served by configuration " +
--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -68,7 +68,7 @@
   std::string from{};  // IP address of the daemon that sent the order
 };
 
-// A time in which a daemon is not required to serve: killed, frozen or partitioned. The name ""
+// A period in which a daemon is not required to serve: killed, frozen or partitioned. The name ""
 // stands for all daemons.
 struct DisruptionRow {
   std::string daemon;
@@ -104,7 +104,7 @@
   std::vector<ConfigurationChangeRow> configurationChanges;
   std::vector<ServedVersionRow> servedVersions;
   std::set<std::string> daemons;     // all daemons, by their address for callers
-  std::set<std::string> finalPaths;  // of the settled configuration after the traffic
+  std::set<std::string> finalPaths;  // of the register's configuration after the traffic
   std::uint64_t finalVersion = 0;    // of that configuration; 0: could not be read
   std::vector<std::pair<Instant, std::uint64_t>> acknowledged;  // configuration versions
   Instant trafficStart{};
@@ -118,7 +118,7 @@
   std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // by weights, then server
   std::vector<std::pair<Instant, std::string>>
       stepNotes;  // faults and operator steps, for the report
-  // The weights of the servers that are up and listed as live at the end.
+  // By server, of those that are up and listed as live at the end: its weights.
   std::map<std::string, std::string> finalServers;
   std::map<std::string, Instant> restartedAt;  // when a server last restarted
 
--- a/src/model/caller.cpp
+++ b/src/model/caller.cpp
@@ -21,8 +21,7 @@
   freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-// One id from 10 for each caller, and another for each incarnation; reconfigurers use those
-// from 50.
+// First incarnations have ids from 10, reconfigurers from 50; each further incarnation adds 100.
 std::uint64_t Caller::proposerId() const { return 10 + index_ + 100 * incarnation_; }
 
 std::optional<std::size_t> Caller::nextChange() const {
--- a/src/model/reconfigurer.cpp
+++ b/src/model/reconfigurer.cpp
@@ -13,8 +13,7 @@
   freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-// Two ids from 50 for each reconfigurer, and others for each incarnation; callers use those
-// from 10.
+// First incarnations have ids from 50, kProposers each, and callers from 10; each restart adds 100.
 std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
   return 50 + kProposers * index_ + proposer + 100 * incarnation_;
 }
--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -29,10 +29,9 @@
   std::uint64_t seed = 1;
   std::size_t diskMachines = 4;
   std::size_t tolerate = 1;  // simultaneous losses that the fleet must survive
-  Duration catchUpSpan =
-      std::chrono::seconds(4);    // from a machine's return until it counts as sound
-  std::size_t losses = 5;         // total of the run
-  std::vector<LossKind> kinds{};  // to draw from; empty: all
+  Duration catchUpSpan = std::chrono::seconds(4);  // from a machine's return until its loss is over
+  std::size_t losses = 5;                          // total of the run
+  std::vector<LossKind> kinds{};                   // to draw from; empty: all
 };
 
 // How the replica set recovered from one loss.
