--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -137,7 +137,7 @@
     HttpRequest request(http::verb::post, "/v1/" + path->name, 11);
     request.set(http::field::host, chosenDaemon.callers.value);
     request.set(http::field::authorization, "Bearer " + apiKeyOf(tenant));
-    // Low variants are more frequent, as some notices are requested far more often than others.
+    // Low variants are more frequent, as some prompts are requested far more often than others.
     const double skew = draw(1.0);
     const auto variant =
         static_cast<std::size_t>(skew * skew * static_cast<double>(path->variants));
--- a/src/fleet/stand_in_server.cpp
+++ b/src/fleet/stand_in_server.cpp
@@ -108,15 +108,17 @@
 }
 
 HttpResponse StandInServer::handleCacheEvents(std::uint64_t since) {
-  const auto lag = static_cast<std::uint64_t>(faults_.eventsLate ? 40 : 0);
+  const auto withheldEvents = static_cast<std::uint64_t>(faults_.eventsLate ? 40 : 0);
   if (faults_.eventsLost)
     evictionEvents_.erase(evictionEvents_.begin(),
                           evictionEvents_.begin() + evictionEvents_.size() / 2);
   const std::uint64_t oldest = nextEvent_ - evictionEvents_.size();
-  const std::uint64_t next = std::max(oldest, nextEvent_ - std::min(nextEvent_ - 1, lag));
+  const std::uint64_t next =
+      std::max(oldest, nextEvent_ - std::min(nextEvent_ - 1, withheldEvents));
   const std::uint64_t first = std::min(std::max(since, oldest), next);
   Json rows = Json::array();
-  for (std::uint64_t at = first; at < next; ++at) rows.push_back(evictionEvents_[at - oldest]);
+  for (std::uint64_t position = first; position < next; ++position)
+    rows.push_back(evictionEvents_[position - oldest]);
   if (faults_.eventsDoubled) {
     for (std::size_t i = rows.size(); i-- > 0;) rows.push_back(rows[i]);
     std::reverse(rows.begin(), rows.end());
@@ -166,44 +168,45 @@
 }
 
 std::size_t StandInServer::cachedBlocks(const std::vector<BlockHash>& chain, RunRow* run) {
-  std::size_t held = 0;
-  for (const BlockHash name : chain) {
-    const auto block = cache_.find(name);
+  std::size_t cachedCount = 0;
+  for (const BlockHash hash : chain) {
+    const auto block = cache_.find(hash);
     if (block == cache_.end()) break;
-    ++held;
+    ++cachedCount;
     run->foreignWeights = run->foreignWeights || block->second.weights != run->weights;
     run->foreignSalt = run->foreignSalt || block->second.salt != run->salt;
   }
   // Last block first, so that chains are evicted from their end.
-  for (std::size_t i = held; i-- > 0;)
+  for (std::size_t i = cachedCount; i-- > 0;)
     lruOrder_.splice(lruOrder_.end(), lruOrder_, cache_.at(chain[i]).lruPosition);
-  return held;
+  return cachedCount;
 }
 
 void StandInServer::store(const std::vector<BlockHash>& chain, const std::string& salt,
                           const std::vector<std::string>& weights, const PromptPrefix& prefix) {
-  const auto shared = std::make_shared<const PromptPrefix>(prefix);
+  const auto sharedPrefix = std::make_shared<const PromptPrefix>(prefix);
   for (std::size_t i = std::min(chain.size(), weights.size()); i-- > 0;) {
     if (cache_.contains(chain[i])) continue;
     lruOrder_.push_back(chain[i]);
-    cache_[chain[i]] = {weights[i], salt, shared, i, std::prev(lruOrder_.end())};
+    cache_[chain[i]] = {weights[i], salt, sharedPrefix, i, std::prev(lruOrder_.end())};
   }
   while (cache_.size() > settings_.cacheTokens / settings_.blockTokens) evictLeastRecentlyUsed();
 }
 
 void StandInServer::evictLeastRecentlyUsed() {
   const Block& block = cache_.at(lruOrder_.front());
-  PromptPrefix upTo;
-  std::size_t left = (block.index + 1) * settings_.blockTokens;
+  PromptPrefix evictedPrefix;
+  std::size_t remainingTokens = (block.index + 1) * settings_.blockTokens;
   for (const PromptPart& part : block.prefix->parts) {
-    const auto take = static_cast<std::uint32_t>(std::min<std::size_t>(left, part.tokens));
-    if (take > 0) upTo.parts.push_back({part.id, take});
-    left -= take;
+    const auto partTokens =
+        static_cast<std::uint32_t>(std::min<std::size_t>(remainingTokens, part.tokens));
+    if (partTokens > 0) evictedPrefix.parts.push_back({part.id, partTokens});
+    remainingTokens -= partTokens;
   }
   evictionEvents_.push_back({{"position", nextEvent_++},
                              {"kind", "dropped"},
                              {"salt", block.salt},
-                             {"prefix", formatPrefix(upTo)}});
+                             {"prefix", formatPrefix(evictedPrefix)}});
   if (evictionEvents_.size() > kEventLimit) evictionEvents_.pop_front();
   cache_.erase(lruOrder_.front());
   lruOrder_.pop_front();
@@ -213,9 +216,9 @@
   const Json json = Json::parse(request.body(), nullptr, false);
   const auto prefix = parsePrefix(json.value("prefix", ""));
   if (!prefix.ok()) return textResponse(400, "bad prefix\n");
-  for (const BlockHash name :
+  for (const BlockHash hash :
        blockChainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
-    const auto block = cache_.find(name);
+    const auto block = cache_.find(hash);
     if (block == cache_.end()) continue;
     lruOrder_.erase(block->second.lruPosition);
     cache_.erase(block);
@@ -228,9 +231,9 @@
   const auto prefix = parsePrefix(json.value("prefix", ""));
   Json weights = Json::array();
   if (prefix.ok()) {
-    for (const BlockHash name :
+    for (const BlockHash hash :
          blockChainOf(json.value("salt", ""), *prefix, settings_.blockTokens)) {
-      const auto block = cache_.find(name);
+      const auto block = cache_.find(hash);
       if (block == cache_.end()) break;
       weights.push_back(block->second.weights);
     }
@@ -257,9 +260,9 @@
   auto weights = blocks.value("weights", std::vector<std::string>{});
   weights.resize(
       std::min(weights.size(), json.value("tokens", std::size_t{0}) / settings_.blockTokens));
-  const int slower = slowLinks_ ? 20 : 1;
+  const int slowdown = slowLinks_ ? 20 : 1;
   co_await pauseFor(settings_.fetchPerToken *
-                    static_cast<int>(weights.size() * settings_.blockTokens) * slower);
+                    static_cast<int>(weights.size() * settings_.blockTokens) * slowdown);
   if (BootClock::now() > deadline || incarnation != incarnation_)
     co_return textResponse(504, "the due passed\n");
   const std::string salt = json.value("salt", "");
@@ -281,12 +284,12 @@
 awaitable<std::optional<HttpResponse>> StandInServer::generate(Connection& connection,
                                                                HttpRequest& request) {
   const Json body = Json::parse(request.body(), nullptr, false);
-  const std::string wanted(request[wire::kWeights]);
+  const std::string wantedWeights(request[wire::kWeights]);
   if (!body.is_object()) co_return textResponse(400, "no JSON\n");
   ledger_.withLock([&](Ledger& ledger) {
     ledger.arrivals.push_back({body.value("nonce", ""), BootClock::now()});
   });
-  if (wanted != weights_) co_return notRun("other weights");
+  if (wantedWeights != weights_) co_return notRun("other weights");
   if (loading_) co_return notRun("loading weights");
   if (queued_ >= settings_.queueLimit) co_return notRun("the queue is full");
   const std::uint64_t incarnation = incarnation_;
@@ -294,7 +297,7 @@
   while (running_ >= settings_.slots && incarnation == incarnation_) co_await pauseFor(2ms);
   if (incarnation != incarnation_) co_return std::nullopt;
   --queued_;
-  if (weights_ != wanted || loading_) co_return notRun("weights changed while it waited");
+  if (weights_ != wantedWeights || loading_) co_return notRun("weights changed while it waited");
   ++running_;
   RunRow run;
   run.nonce = body.value("nonce", "");
@@ -307,9 +310,9 @@
   const auto prefix = parsePrefix(prefixText);
   std::vector<BlockHash> chain;
   if (prefix.ok()) chain = blockChainOf(run.salt, *prefix, settings_.blockTokens);
-  const std::size_t held = cachedBlocks(chain, &run);
+  const std::size_t cachedCount = cachedBlocks(chain, &run);
   run.promptTokens = chain.size() * settings_.blockTokens;
-  run.cachedTokens = held * settings_.blockTokens;
+  run.cachedTokens = cachedCount * settings_.blockTokens;
   const std::size_t missing = run.promptTokens - run.cachedTokens;
   ledger_.withLock([&](Ledger& ledger) { ledger.runs.push_back(run); });
   co_await pauseFor(settings_.prefillPerToken * static_cast<int>(missing));
@@ -320,12 +323,12 @@
   if (!settings_.store.value.empty() && missing > 512)
     asio::co_spawn(io_, storePrefix(run.salt, run.weights, prefixText), asio::detached);
   ErrorCode code;
-  const auto breakOff = [&] {
+  const auto recordAbort = [&] {
     ledger_.withLock([&](Ledger& ledger) { ledger.abortedByServer.insert(run.nonce); });
   };
   if (faults_.dropBeforeFirst) {
     --running_;
-    breakOff();
+    recordAbort();
     co_return std::nullopt;
   }
   http::response<http::empty_body> answer(http::status::ok, 11);
@@ -348,14 +351,15 @@
     co_await pauseFor(settings_.pieceInterval);
     co_await waitWhileFrozen();
   }
-  if (code || incarnation != incarnation_) breakOff();
+  if (code || incarnation != incarnation_) recordAbort();
   if (incarnation != incarnation_) co_return std::nullopt;
   --running_;
   if (code) co_return std::nullopt;
-  const int marked = pieces + (faults_.repeatPiece ? 1 : 0);
-  const std::string mark = Json{{"run", run.run}, {"end", true}, {"pieces", marked}}.dump() + "\n";
+  const int sentPieces = pieces + (faults_.repeatPiece ? 1 : 0);
+  const std::string endMark =
+      Json{{"run", run.run}, {"end", true}, {"pieces", sentPieces}}.dump() + "\n";
   connection.expires_after(10s);
-  co_await asio::async_write(connection, http::make_chunk(asio::buffer(mark)), into(code));
+  co_await asio::async_write(connection, http::make_chunk(asio::buffer(endMark)), into(code));
   if (!code) co_await asio::async_write(connection, http::make_chunk_last(), into(code));
   co_return std::nullopt;
 }
--- a/src/sim/losses.cpp
+++ b/src/sim/losses.cpp
@@ -30,7 +30,7 @@
   return world;
 }
 
-// One run: injects the losses, follows each through its stages and measures the repair.
+// One run: injects the losses, performs the stages of each and measures the repair.
 class LossRun {
  public:
   explicit LossRun(const LossesSettings& settings)
@@ -45,7 +45,7 @@
     advance(2s);
     for (std::size_t i = 0; i < settings_.losses; ++i) {
       while (openLosses() >= settings_.tolerate) step();
-      begin();
+      beginLoss();
     }
     while (openLosses() > 0) step();
     advance(10s);
@@ -121,7 +121,7 @@
   }
 
   // Starts the next loss.
-  void begin() {
+  void beginLoss() {
     Loss loss;
     const std::size_t kinds = std::size(kAllLossKinds);
     loss.kind = settings_.kinds.empty()
@@ -182,7 +182,7 @@
   }
 
   // Carries out the stages of a loss whose time has come.
-  void follow(Loss& loss) {
+  void performDueStages(Loss& loss) {
     const Duration now = world_.elapsed();
     const auto isDue = [&](std::optional<Duration>& at) {
       if (!at || now < *at) return false;
@@ -255,7 +255,7 @@
   void step() {
     submitChange();
     world_.run(kStep);
-    for (Loss& loss : losses_) follow(loss);
+    for (Loss& loss : losses_) performDueStages(loss);
     const bool repaired = isRepaired();
     for (Loss& loss : losses_) {
       LossOutcome& outcome = result_.outcomes[loss.outcomeIndex];
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -15,7 +15,7 @@
 bool isAcknowledged(UpdateResult result) {
   return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
 }
-bool isRejected(UpdateResult result) {
+bool isRefused(UpdateResult result) {
   return result == UpdateResult::Rejected || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
@@ -101,9 +101,9 @@
   const UpdateResult result = call.updateOperation.done()->result;
   Submission& submission = submissions_[call.submission];
   submission.confirmed = submission.confirmed || isAcknowledged(result);
-  submission.refused = submission.refused || isRejected(result);
+  submission.refused = submission.refused || isRefused(result);
   submission.isAnswered =
-      submission.isAnswered || (!call.answerLost && (isAcknowledged(result) || isRejected(result)));
+      submission.isAnswered || (!call.answerLost && (isAcknowledged(result) || isRefused(result)));
   lastAnswers_[call.submission] = result;
   if (isAcknowledged(result))
     newestConfirmed_ = std::max(newestConfirmed_, submission.change.version);
