--- a/src/fleet/daemon_faults.cpp
+++ b/src/fleet/daemon_faults.cpp
@@ -18,7 +18,7 @@
 }
 
 // Simulates a full disk: with a file size limit of 0 all writes fail, until the limit is lifted.
-void setFull(const Daemon& daemon, bool full) {
+void setDiskFull(const Daemon& daemon, bool full) {
   rlimit limit{};
   if (daemon.pid <= 0 || ::prlimit(daemon.pid, RLIMIT_FSIZE, nullptr, &limit) != 0) return;
   limit.rlim_cur = full ? 0 : limit.rlim_max;
@@ -102,8 +102,8 @@
   note(type + " " + daemon.name);
   const std::string ip = ipOf(daemon);
   const Instant begun = BootClock::now();
-  std::set<std::string> all;
-  for (const Daemon& other : daemons_) all.insert(ipOf(other));
+  std::set<std::string> daemonIps;
+  for (const Daemon& other : daemons_) daemonIps.insert(ipOf(other));
   if (type == "kill" || type == "wipe") {
     co_await kill(daemon, type == "wipe" ? 1s : 3s, type == "wipe");
   } else if (type == "restart") {
@@ -116,9 +116,9 @@
     signalDaemon(daemon, SIGCONT);
     recordDisruption(daemon.callers.value, begun);
   } else if (type == "full") {
-    setFull(daemon, true);
+    setDiskFull(daemon, true);
     co_await pauseFor(6s);
-    setFull(daemon, false);
+    setDiskFull(daemon, false);
   } else if (type == "slow" || type == "stall") {
     setSyncDelay(daemon, type == "slow" ? 300 : 5000);
     co_await pauseFor(type == "slow" ? 6s : 500ms);
@@ -135,9 +135,9 @@
     co_await pauseFor(8s);
     store_->cut(ip, false);
   } else {
-    setPartition(ip, all, type == "cut", true);
+    setPartition(ip, daemonIps, type == "cut", true);
     co_await pauseFor(8s);
-    setPartition(ip, all, true, false);
+    setPartition(ip, daemonIps, true, false);
     recordDisruption(daemon.callers.value, begun);
   }
   busyDaemons_.erase(daemon.name);
--- a/src/fleet/daemons.cpp
+++ b/src/fleet/daemons.cpp
@@ -19,15 +19,15 @@
   for (std::size_t i = 0; i < std::min<std::size_t>(3, plan.cores); ++i)
     seeds.push_back(Address{networkPrefix + "1." + std::to_string(i + 1) + ":7100"});
   for (std::size_t i = 0; i < plan.cores + plan.edges; ++i) {
-    const bool core = i < plan.cores;
-    const std::size_t number = core ? i + 1 : i - plan.cores + 1;
+    const bool isCore = i < plan.cores;
+    const std::size_t number = isCore ? i + 1 : i - plan.cores + 1;
     Daemon daemon;
-    daemon.name = (core ? "core" : "edge") + std::to_string(number);
-    const std::string ip = networkPrefix + (core ? "1." : "2.") + std::to_string(number);
+    daemon.name = (isCore ? "core" : "edge") + std::to_string(number);
+    const std::string ip = networkPrefix + (isCore ? "1." : "2.") + std::to_string(number);
     daemon.peer = Address{ip + ":7100"};
     daemon.operators = Address{ip + ":7101"};
     daemon.callers = Address{ip + ":7102"};
-    if (core) daemon.dataFolder = plan.workFolder + "/" + daemon.name;
+    if (isCore) daemon.dataFolder = plan.workFolder + "/" + daemon.name;
     daemon.settingsFile = plan.workFolder + "/" + daemon.name + ".json";
     daemon.logFile = plan.workFolder + "/" + daemon.name + ".log";
     daemon.seeds = seeds;
@@ -46,7 +46,7 @@
                         "--traffic-threads=1",
                         "--grace-ms=6000"};
     daemon.splitRoles = plan.splitRoles;
-    if (core) {
+    if (isCore) {
       daemon.syncDelayFile = daemon.dataFolder + ".drag";
       daemon.arguments.push_back("--data-folder=" + daemon.dataFolder);
       daemon.arguments.push_back("--disk-drag=" + daemon.syncDelayFile);
--- a/src/fleet/random_steps.cpp
+++ b/src/fleet/random_steps.cpp
@@ -35,7 +35,8 @@
   for (double at = 1; at < seconds * 0.75; at += 0.3 + static_cast<double>(random() % 300) / 100) {
     const Row& row = rows[random() % rows.size()];
     Step step{row.type, "", static_cast<double>(static_cast<int>(at * 10)) / 10};
-    // Only one disk may be lost at a time, and the replica set takes half a minute to recover.
+    // At most one in a run: no second disk may be lost before the replica set has recovered, which
+    // takes half a minute.
     if (step.type == "wipe-core") {
       if (diskLost) continue;
       diskLost = true;
--- a/src/model/reconfigurer.cpp
+++ b/src/model/reconfigurer.cpp
@@ -13,7 +13,7 @@
   freshness_.learnChosen(kReplicaSetKey, replicaSet);
 }
 
-// First incarnations have ids from 50, kProposers each, and callers from 10; each restart adds 100.
+// First incarnations have ids from 50, callers from 10; each further incarnation adds 100.
 std::uint64_t Reconfigurer::proposerId(std::size_t proposer) const {
   return 50 + kProposers * index_ + proposer + 100 * incarnation_;
 }
