--- a/src/fleet/random_steps.cpp
+++ b/src/fleet/random_steps.cpp
@@ -6,9 +6,9 @@
 namespace quayrill::fleet {
 
 namespace {
-// Excludes planted errors, and steps that would too often leave the fleet with fewer servers for
-// good. The other excluded steps have runs of their own; drawing one more step would also change
-// the run of every seed.
+// Excludes repeat-piece, an injected defect that the checker must find, and the steps that would
+// too often leave the fleet with fewer servers for good. The other excluded steps have runs of
+// their own; drawing one more step would also change the run of every seed.
 bool isDrawnAtRandom(const std::string& type) {
   return type != "repeat-piece" && type != "vanish-server" && type != "leave-server" &&
          type != "withdraw" && type != "ways" && type != "flood" && type != "wipe-cores" &&
--- a/src/fleet/stand_in_services.cpp
+++ b/src/fleet/stand_in_services.cpp
@@ -53,23 +53,23 @@
   const std::string weights = json.value("weights", "");
   if (path == "/keep") {
     if (storedWeights_.size() > 200000) storedWeights_.clear();
-    for (const BlockHash name : chain) storedWeights_[name] = weights;
+    for (const BlockHash hash : chain) storedWeights_[hash] = weights;
     co_return jsonResponse(200, Json::object());
   }
   if (path == "/kept") {
-    std::size_t held = 0;
-    for (const BlockHash name : chain) {
-      const auto row = storedWeights_.find(name);
-      if (row == storedWeights_.end() || row->second != weights) break;
-      ++held;
+    std::size_t storedCount = 0;
+    for (const BlockHash hash : chain) {
+      const auto stored = storedWeights_.find(hash);
+      if (stored == storedWeights_.end() || stored->second != weights) break;
+      ++storedCount;
     }
-    co_return jsonResponse(200, {{"tokens", held * blockTokens_}});
+    co_return jsonResponse(200, {{"tokens", storedCount * blockTokens_}});
   }
   Json blocks = Json::array();  // /kv-read: returns blocks under any weights
-  for (const BlockHash name : chain) {
-    const auto row = storedWeights_.find(name);
-    if (row == storedWeights_.end()) break;
-    blocks.push_back(row->second);
+  for (const BlockHash hash : chain) {
+    const auto stored = storedWeights_.find(hash);
+    if (stored == storedWeights_.end()) break;
+    blocks.push_back(stored->second);
   }
   co_return jsonResponse(200, {{"weights", blocks}});
 }
@@ -121,10 +121,10 @@
   co_await asio::async_read_until(client, asio::dynamic_buffer(line, 256), '\n', into(code));
   if (code) co_return;
   const auto end = line.find('\n');
-  const auto blank = line.find(' ');
-  if (blank == std::string::npos || blank > end) co_return;
-  const std::string from = line.substr(0, blank);
-  const std::string to = line.substr(blank + 1, end - blank - 1);
+  const auto separator = line.find(' ');
+  if (separator == std::string::npos || separator > end) co_return;
+  const std::string from = line.substr(0, separator);
+  const std::string to = line.substr(separator + 1, end - separator - 1);
   std::string pending = line.substr(end + 1);
   // Data over a cut connection is discarded while the sender's side stays open, as on a failed
   // network path.
--- a/tests/checker_tests.cpp
+++ b/tests/checker_tests.cpp
@@ -1,4 +1,4 @@
-// Tests of the checker: each error planted in a ledger violates exactly its own rule.
+// Tests of the checker: each error injected into a ledger violates exactly its own rule.
 #include <catch2/catch.hpp>
 
 #include "fleet/ledger.h"
@@ -97,11 +97,11 @@
 }
 
 TEST_CASE("checker: bounds in time are tripped just past them and not before") {
-  const auto withdrawn = [](Duration before) {
+  const auto revoked = [](Duration before) {
     return rulesBroken([=](Ledger& ledger) { ledger.keyRevokedAt["north"] = kStart - before; });
   };
-  CHECK(withdrawn(4900ms).empty());
-  CHECK(withdrawn(5100ms) == "withdrawn-key");
+  CHECK(revoked(4900ms).empty());
+  CHECK(revoked(5100ms) == "withdrawn-key");
   const auto leaving = [](Duration before) {
     return rulesBroken([=](Ledger& ledger) { ledger.leavingAt["s"] = kStart - before; });
   };
@@ -120,17 +120,17 @@
 }
 
 TEST_CASE("checker: each naming has its own bound, whatever is named within it") {
-  const auto named = [](Duration reached, const std::string& finalWeights) {
+  const auto loadedAfter = [](Duration after, const std::string& finalWeights) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.finalServers = {{"s", finalWeights}};
       ledger.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
-      ledger.weightsLoadedAt["w2"]["s"] = kStart + reached;
+      ledger.weightsLoadedAt["w2"]["s"] = kStart + after;
       if (finalWeights == "w3") ledger.weightsLoadedAt["w3"]["s"] = kStart + 44s;
     });
   };
-  CHECK(named(24s, "w3").empty());  // w1 was skipped for w2
-  CHECK(named(26s, "w3") == "weights-bound");
-  CHECK(named(24s, "w2") == "weights-bound");  // w3 was never loaded
+  CHECK(loadedAfter(24s, "w3").empty());  // w1 was skipped for w2
+  CHECK(loadedAfter(26s, "w3") == "weights-bound");
+  CHECK(loadedAfter(24s, "w2") == "weights-bound");  // w3 was never loaded
   const auto ran = [](const std::string& weights, Duration after) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.weightsConfiguredAt = {{"w1", kStart}, {"w2", kStart + 10s}, {"w3", kStart + 20s}};
@@ -149,7 +149,7 @@
 
 TEST_CASE(
     "checker: one daemon or one way that never serves again is found, a hindered one is not") {
-  const auto silent = [](auto error) {
+  const auto stoppedServing = [](auto error) {
     return rulesBroken([=](Ledger& ledger) {
       // Daemon e serves until second 20 and then stops, while others continue.
       ledger.daemons.insert("e");
@@ -163,17 +163,17 @@
       error(ledger);
     });
   };
-  CHECK(silent([](Ledger&) {}) == "recovery");
-  CHECK(silent([](Ledger& ledger) {
+  CHECK(stoppedServing([](Ledger&) {}) == "recovery");
+  CHECK(stoppedServing([](Ledger& ledger) {
           ledger.disruptions = {{"e", kStart + 25s, kStart + 50s}};
         }).empty());
-  CHECK(silent([](Ledger& ledger) {
+  CHECK(stoppedServing([](Ledger& ledger) {
           ledger.disruptions = {{"", kStart + 25s, kStart + 50s}};
         }).empty());
-  CHECK(silent([](Ledger& ledger) {
+  CHECK(stoppedServing([](Ledger& ledger) {
           ledger.disruptions = {{"d", kStart + 25s, kStart + 50s}};
         }) == "recovery");
-  CHECK(silent([](Ledger& ledger) {
+  CHECK(stoppedServing([](Ledger& ledger) {
           ledger.disruptions = {{"e", kStart + 25s, kStart + 40s}};
         }) == "recovery");
   CHECK(rulesBroken([](Ledger& ledger) {
@@ -233,32 +233,32 @@
                            {"s", "w1", 3, false, kStart + 1s, kStart + 1s}};
         }).empty());
   // Fences rise, but the older holder's order is still open when the newer one's arrives.
-  const auto overlapping = [](Duration open, std::uint64_t second) {
+  const auto secondOrder = [](Duration firstOpenFor, std::uint64_t fence) {
     return rulesBroken([=](Ledger& ledger) {
-      ledger.orders = {{"s", "w1", 3, true, kStart, kStart + open},
-                       {"s", "w1", second, true, kStart + 1s, kStart + 2s}};
+      ledger.orders = {{"s", "w1", 3, true, kStart, kStart + firstOpenFor},
+                       {"s", "w1", fence, true, kStart + 1s, kStart + 2s}};
     });
   };
-  CHECK(overlapping(1100ms, 4) == "one-orderer");
-  CHECK(overlapping(900ms, 4).empty());
-  CHECK(overlapping(1100ms, 3).empty());
-  const auto tries = [](int extras) {
+  CHECK(secondOrder(1100ms, 4) == "one-orderer");
+  CHECK(secondOrder(900ms, 4).empty());
+  CHECK(secondOrder(1100ms, 3).empty());
+  const auto extraTries = [](int count) {
     return rulesBroken([=](Ledger& ledger) {
-      for (int i = 0; i < extras; ++i) ledger.arrivals.push_back({"n0", kStart + 475ms});
+      for (int i = 0; i < count; ++i) ledger.arrivals.push_back({"n0", kStart + 475ms});
     });
   };
   // There are ten first tries before the extra ones and ten after; either window must keep the
   // ratio.
-  CHECK(tries(2).empty());
-  CHECK(tries(3) == "extra-tries");
+  CHECK(extraTries(2).empty());
+  CHECK(extraTries(3) == "extra-tries");
   // A window that starts at an extra try doesn't include the first tries before it; a window that
   // would end after the run is not checked.
-  const auto late = [](Duration at) {
+  const auto extraTryAt = [](Duration at) {
     return rulesBroken([=](Ledger& ledger) { ledger.arrivals.push_back({"n1", kStart + at}); });
   };
-  CHECK(late(30s) == "extra-tries");
-  CHECK(late(55s).empty());
-  const auto restart = [](int status, bool accepted) {
+  CHECK(extraTryAt(30s) == "extra-tries");
+  CHECK(extraTryAt(55s).empty());
+  const auto callDuringRestart = [](int status, bool accepted) {
     return rulesBroken([=](Ledger& ledger) {
       ledger.plannedRestarts = {{"d", kStart - 1s, kStart + 1s}};
       ledger.calls.push_back(call("dropped", status));
@@ -269,9 +269,9 @@
       }
     });
   };
-  CHECK(restart(0, true) == "planned-restart");
-  CHECK(restart(200, true) == "planned-restart");
-  CHECK(restart(0, false).empty());
+  CHECK(callDuringRestart(0, true) == "planned-restart");
+  CHECK(callDuringRestart(200, true) == "planned-restart");
+  CHECK(callDuringRestart(0, false).empty());
   CHECK(rulesBroken([](Ledger& ledger) {
           ledger.plannedRestarts = {{"d", kStart - 1s, kStart + 1s}};
           ledger.calls.push_back(call("dropped"));
--- a/tests/sim_tests.cpp
+++ b/tests/sim_tests.cpp
@@ -210,12 +210,12 @@
   world.run(12s);
   world.wipeDisk(2);
   world.start(2);
-  std::size_t fewest = 9;
+  std::size_t fewestMembers = 9;
   for (int i = 0; i < 400; ++i) {
     world.run(100ms);
-    fewest = std::min(fewest, world.core(0).freshness().replicas().members.size());
+    fewestMembers = std::min(fewestMembers, world.core(0).freshness().replicas().members.size());
   }
-  CHECK(fewest == 3);
+  CHECK(fewestMembers == 3);
   CHECK(world.core(2).isVoting());
   world.start(3);
   world.run(30s);
@@ -322,17 +322,18 @@
     world.run(30s);
     CHECK_FALSE(world.isConverged());
     CHECK(world.core(8).freshness().replicas().fleet == fleet.oldFleet);
-    const auto made = fleet.recover(0, "", 0);
-    REQUIRE(made.rejection.empty());
+    const auto recovered = fleet.recover(0, "", 0);
+    REQUIRE(recovered.rejection.empty());
     world.run(60s);
     CHECK(world.isConverged());
     for (std::size_t i = 0; i < world.size(); ++i) {
-      CHECK(world.core(i).freshness().replicas().fleet == made.replicas.fleet);
+      CHECK(world.core(i).freshness().replicas().fleet == recovered.replicas.fleet);
       CHECK(world.core(i).freshness().configuration().value.body == "kept");
-      CHECK(world.core(i).freshness().configuration().value.version == made.configurationVersion);
+      CHECK(world.core(i).freshness().configuration().value.version ==
+            recovered.configurationVersion);
     }
     CHECK(world.core(8).freshness().replicas().members.size() == 4);
-    const std::uint64_t id = world.change(9, made.configurationVersion, "new");
+    const std::uint64_t id = world.change(9, recovered.configurationVersion, "new");
     world.run(3s);
     CHECK(world.operationById(id).done->result == ChangeResult::Chosen);
     CHECK(world.core(12).freshness().configuration().value.body == "new");
@@ -351,10 +352,10 @@
     for (std::size_t i : {0U, 1U, 2U}) fleet.replaceDisk(i);
     world.run(30s);
     CHECK_FALSE(world.isConverged());
-    // The empty machine knows no configuration, while the edge machines still serve by one.
+    // The empty machine knows no configuration, while the edge machines still have one.
     CHECK(fleet.recover(1, "", 0).rejection.find("saved") != std::string::npos);
-    const auto made = fleet.recover(1, "saved", 1);
-    REQUIRE(made.rejection.empty());
+    const auto recovered = fleet.recover(1, "saved", 1);
+    REQUIRE(recovered.rejection.empty());
     world.run(60s);
     CHECK(world.isConverged());
     CHECK(world.core(10).freshness().configuration().value.body == "saved");
@@ -363,7 +364,7 @@
     world.run(30s);
     CHECK_FALSE(world.core(3).isWritable());
     CHECK(world.core(10).freshness().replicas().members.size() == 3);
-    CHECK(world.core(3).freshness().replicas().fleet == made.replicas.fleet);
+    CHECK(world.core(3).freshness().replicas().fleet == recovered.replicas.fleet);
     CHECK(world.core(3).freshness().configuration().value.body == "saved");
     // After another restart it still knows that its store is disowned, even while it is isolated
     // from the new fleet.
