--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -8,9 +8,8 @@
 
 namespace quayrill::fleet {
 
-// The requests of one path below /v1/. A prompt consists of parts that are shared by all requests
-// of the path, by those of a tenant and by those of one of the variants, and of a part unique to
-// it.
+// The requests of one path below /v1/. Each prompt consists of a part shared by all requests of the
+// path, one shared by those of a tenant, one shared by those of a variant, and one of its own.
 struct PathMix {
   std::string name;
   bool repeatable = false;
--- a/src/fleet/quayrill_local.cpp
+++ b/src/fleet/quayrill_local.cpp
@@ -52,17 +52,17 @@
     findings = quayrill::fleet::checkLedger(ledger, deployment.trafficEnd());
     statistics = quayrill::fleet::statisticsOf(ledger, deployment.trafficEnd());
   });
-  quayrill::Duration slowest{};
+  quayrill::Duration slowestChange{};
   for (const auto& change : deployment.changes()) {
-    if (!change.someNotServing) slowest = std::max(slowest, change.propagationTime);
+    if (!change.someNotServing) slowestChange = std::max(slowestChange, change.propagationTime);
     if (!change.inForceEverywhere)
       findings.push_back({"in-force", "configuration " + std::to_string(change.version) +
                                           " was served without 2 s after its acknowledgement"});
   }
   if (deployment.shutdownErrors() > 0)
     findings.push_back({"planned-restart", "a SIGTERM did not end well"});
-  for (const std::string& missed : deployment.settingsErrors())
-    findings.push_back({"settings", missed});
+  for (const std::string& error : deployment.settingsErrors())
+    findings.push_back({"settings", error});
   std::cout << std::fixed << std::setprecision(3);
   std::cout << "calls " << statistics.calls << " done " << statistics.done << " turned-away "
             << statistics.rejected << " unknown " << statistics.unknown << " cut " << statistics.cut
@@ -77,21 +77,21 @@
             << "longest that a configuration was served after a newer one was acknowledged "
             << statistics.longestStaleServingMs << " ms\n"
             << "changes " << deployment.changes().size() << ", slowest everywhere after "
-            << slowest / 1ms << " ms\n";
+            << slowestChange / 1ms << " ms\n";
   for (std::size_t i = 0; i < std::min<std::size_t>(10, findings.size()); ++i)
     std::cout << "BROKEN " << findings[i].rule << ": " << findings[i].what << "\n";
   std::cout << "broken rules " << findings.size() << "\n";
   deployment.printFaultCosts();
   deployment.ledger().withLock([&](quayrill::fleet::Ledger& ledger) {
     for (const auto& [weights, configuredAt] : ledger.weightsConfiguredAt) {
-      std::size_t reached = 0;
-      quayrill::Duration last{};
+      std::size_t loadedServers = 0;
+      quayrill::Duration longest{};
       for (const auto& [server, at] : ledger.weightsLoadedAt[weights]) {
-        reached += ledger.finalServers.contains(server) ? 1 : 0;
-        last = std::max(last, at - configuredAt);
+        loadedServers += ledger.finalServers.contains(server) ? 1 : 0;
+        longest = std::max(longest, at - configuredAt);
       }
-      std::cout << "weights " << weights << " taken by " << reached << " of "
-                << ledger.finalServers.size() << " servers, the last after " << last / 1ms
+      std::cout << "weights " << weights << " taken by " << loadedServers << " of "
+                << ledger.finalServers.size() << " servers, the last after " << longest / 1ms
                 << " ms\n";
     }
   });
@@ -116,7 +116,7 @@
                                 {"first_piece_median_ms", statistics.firstPieceMedianMs},
                                 {"first_piece_p95_ms", statistics.firstPiece95thMs},
                                 {"longest_silence_ms", statistics.longestSilenceMs},
-                                {"slowest_change_ms", slowest / 1ms},
+                                {"slowest_change_ms", slowestChange / 1ms},
                                 {"broken", findings.size()}}
                      .dump()
               << "\n";
--- a/src/fleet/stand_in_server.h
+++ b/src/fleet/stand_in_server.h
@@ -67,7 +67,7 @@
   awaitable<std::optional<HttpResponse>> generate(Connection& connection, HttpRequest& request);
   // POST /kv-pull: fetches blocks from another server or the store.
   awaitable<HttpResponse> handlePull(HttpRequest& request);
-  // Switches to the weights after the load duration, unless the server has restarted by then.
+  // Switches to the weights after the load duration, unless the server crashes before.
   awaitable<void> loadWeights(std::string weights, std::uint64_t incarnation);
   // Sends a prefix to the store.
   awaitable<void> storePrefix(std::string salt, std::string weights, std::string prefix);
@@ -94,7 +94,8 @@
   std::vector<std::unique_ptr<HttpServer>> retired_;
   StandInServerFaults faults_;
   bool slowLinks_ = false;  // pulls take twenty times as long
-  // Everything below is state of the present incarnation, accessed only on io_'s thread.
+  // Everything below is accessed only on io_'s thread. incarnation_ and runs_ keep counting after a
+  // crash; the rest is state of the present incarnation.
   std::uint64_t incarnation_ = 0;
   std::string identity_, weights_;
   bool loading_ = false, down_ = false;
--- a/src/model/operator_changes.cpp
+++ b/src/model/operator_changes.cpp
@@ -34,10 +34,9 @@
     AppliedChanges taken = decodeBody(presentBody);
     const std::string digest = digestOf(change);
     const std::uint64_t number = taken.empty() ? 0 : taken.front().version;
-    const SubmittedChange sent{change.basis + 1, change.basis, digest};
-    const ChangeStatus changeStanding = classifyChange(sent, taken, kNoneForgotten, number);
-    if (!treatsResendAsNew && changeStanding == ChangeStatus::Applied)
-      return std::optional<std::string>{};
+    const SubmittedChange submitted{change.basis + 1, change.basis, digest};
+    const ChangeStatus status = classifyChange(submitted, taken, kNoneForgotten, number);
+    if (!treatsResendAsNew && status == ChangeStatus::Applied) return std::optional<std::string>{};
     if (number != change.basis)
       return absl::FailedPreconditionError("number " + std::to_string(number) + " is current");
     recordApplied(&taken, {number + 1, digest});
--- a/src/model/operator_changes.h
+++ b/src/model/operator_changes.h
@@ -1,6 +1,6 @@
 #pragma once
 // The operators' configuration changes in the model. The register body is the smallest one that
-// follows the platform's rules: each change builds on a number and takes the next one, and a change
+// follows the production rules: each change builds on a number and takes the next one, and a change
 // that was taken before is recognized when it is sent again.
 #include <cstdint>
 #include <string>
--- a/src/model/state.cpp
+++ b/src/model/state.cpp
@@ -15,10 +15,10 @@
   for (const PartId id : callers) append(&bytes, id);
   for (const PartId id : reconfigurers) append(&bytes, id);
   append(&bytes, history);
-  for (const std::uint8_t left :
+  for (const std::uint8_t remaining :
        {budgets.lostAnswers, budgets.duplicates, budgets.phases, budgets.deadlines,
         budgets.daemonDeaths, budgets.restarts, budgets.emptied, budgets.learns})
-    bytes += static_cast<char>(left);
+    bytes += static_cast<char>(remaining);
   for (const PartId id : requests) append(&bytes, id);
   return bytes;
 }
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -183,7 +183,7 @@
     std::uint64_t incarnation = 0;                    // of the machine; 0: any
     std::string bytes;                                // Arrive: the encoded message
     std::shared_ptr<std::vector<ReplicaWork>> batch;  // DiskDone: the synced work
-    std::uint64_t diskGeneration = 0;                 // DiskDone: when the sync began
+    std::uint64_t diskGeneration = 0;                 // DiskDone: at the start of the sync
     bool operator>(const Event& other) const {
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
--- a/tests/losses_tests.cpp
+++ b/tests/losses_tests.cpp
@@ -58,14 +58,14 @@
     }
   }
   if (!std::getenv("QUAYRILL_SEEDS")) return statisticsByKind;
-  std::cout << settings.diskMachines << " machines, " << settings.tolerate << " to bear, " << seeds
-            << " seeds: longest gap between acknowledged changes " << Seconds(gap).count()
+  std::cout << settings.diskMachines << " machines, " << settings.tolerate << " tolerated, "
+            << seeds << " seeds: longest gap between acknowledged changes " << Seconds(gap).count()
             << " s\n";
   for (const auto& [kind, statistics] : statisticsByKind)
     std::cout << "  " << nameOf(kind) << ": " << statistics.losses << " losses, "
               << statistics.unrepaired << " not repaired in time, slowest "
               << Seconds(statistics.slowest).count() << " s, least margin "
-              << Seconds(statistics.leastMargin).count() << " s, steps "
+              << Seconds(statistics.leastMargin).count() << " s, epochs "
               << static_cast<double>(statistics.epochs) / static_cast<double>(statistics.losses)
               << "\n";
   return statisticsByKind;
