--- a/src/fleet/ledger.h
+++ b/src/fleet/ledger.h
@@ -118,7 +118,7 @@
   std::map<std::string, std::map<std::string, Instant>> weightsLoadedAt;  // by weights, then server
   std::vector<std::pair<Instant, std::string>>
       stepNotes;  // faults and operator steps, for the report
-  // By server, of those that are up and listed as live at the end: its weights.
+  // By server: its weights at the end. Only servers that are then up and listed as live.
   std::map<std::string, std::string> finalServers;
   std::map<std::string, Instant> restartedAt;  // when a server last restarted
 
--- a/src/fleet/local_deployment.h
+++ b/src/fleet/local_deployment.h
@@ -45,7 +45,7 @@
 
   Ledger& ledger() { return ledger_; }
   const std::vector<ChangeResult>& changes() const { return changes_; }
-  // Prints for each fault and change how many calls were rejected or failed in the 8 s after it.
+  // Prints for each fault and change how many calls of the 8 s after it were rejected or failed.
   void printFaultCosts();
   // Prints for each tenant how many calls were answered, and their latency.
   void printTenants();
--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -194,7 +194,7 @@
   }
 }
 
-// Shows how one tenant's overload affects the others.
+// Shows, above all, how the overload of one tenant affects the others.
 void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -40,7 +40,7 @@
   UnsyncedPromise,  // a replica answers a Prepare without writing its promise to the disk
   UnsettledEpoch,   // a replica set is replaced by the next before it is settled
   MinorityRead,     // a read asks a single replica
-  ResendAsNew,      // a change that was taken before is treated as a new one
+  ResendAsNew,      // a change that was applied before is treated as a new one
 };
 
 // The initial state, the possible steps and the fault budgets of one model.
--- a/src/model/history.h
+++ b/src/model/history.h
@@ -17,7 +17,7 @@
   // Adds an observation. Returns a description of the invariant that it violates, or "".
   std::string observe(const Observation& observation, const std::vector<OperatorChange>& changes);
 
-  // The changes that were reported to an operator as taken, and as refused for good.
+  // The changes that were reported to an operator as applied, and as refused for good.
   ChangeSet acknowledged() const { return acknowledged_; }
   ChangeSet refused() const { return refused_; }
   // True if a write that was reported to never take effect made this value or one before it.
--- a/src/model/operator_changes.h
+++ b/src/model/operator_changes.h
@@ -1,7 +1,7 @@
 #pragma once
-// The operators' configuration changes in the model. The register body is the smallest one that
-// follows the production rules: each change builds on a number and takes the next one, and a change
-// that was taken before is recognized when it is sent again.
+// The operators' configuration changes in the model. The register body holds only the applied
+// changes, by the rules of configuration/update.h: each change builds on a number, here always
+// takes the next one, and is recognized when it is sent again after it was applied.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -21,10 +21,10 @@
 inline ChangeSet bitOf(std::size_t change) { return ChangeSet{1} << change; }
 
 // The update that applies a change to the register body. `treatsResendAsNew` injects a defect: a
-// change that was taken before is not recognized.
+// change that was applied before is not recognized.
 Update updateOf(const OperatorChange& change, bool treatsResendAsNew);
 
-// Those of `changes` that the body has taken.
+// Those of `changes` that are applied in the body.
 ChangeSet changesIn(const std::string& body, const std::vector<OperatorChange>& changes);
 
 }  // namespace quayrill::model
--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -53,7 +53,7 @@
   std::size_t acknowledged = 0;       // changes
   Duration longestGap{};              // between two acknowledged changes
   bool majorityAtEnd = false;         // a read at the end succeeded
-  bool newestChangeKept = false;      // that read found the newest acknowledged change or a later
+  bool newestChangeKept = false;  // that read found the newest acknowledged version or a later one
   std::vector<Violation> violations;
 };
 
--- a/src/sim/operators.h
+++ b/src/sim/operators.h
@@ -12,8 +12,8 @@
 
 namespace quayrill::sim {
 
-// The value of the simulated register: the current number and the changes taken so far, as the real
-// register body records them.
+// The value of the simulated register: the current number and the changes applied so far, as the
+// real register body records them.
 struct SimulatedBody {
   std::uint64_t number = 0;
   std::uint64_t forgotten = 0;  // number of the newest change dropped from `taken`
@@ -23,7 +23,7 @@
 std::string encodeSimulatedBody(const SimulatedBody& body);
 SimulatedBody decodeSimulatedBody(const std::string& text);
 // The update that applies `change` to a simulated body. `forgetsTaken` injects a defect: a change
-// that was taken before is not recognized.
+// that was applied before is not recognized.
 Update updateFor(const SubmittedChange& change, std::size_t padding, bool forgetsTaken);
 
 // A change that an operator submits, possibly several times, and the answers to it.
@@ -56,7 +56,7 @@
   // The highest number that was acknowledged.
   std::uint64_t newestConfirmed() const { return newestConfirmed_; }
   void setPadding(std::size_t bytes) { padding_ = bytes; }
-  // Injects a defect: daemons do not recognize changes that were taken before.
+  // Injects a defect: daemons do not recognize changes that were applied before.
   void injectForgetting(bool enabled) { forgetsTaken_ = enabled; }
   // Broken guarantees, given the register's present body: at most one change on each basis is
   // confirmed, no change is both confirmed and refused, and the body contains no refused change and
