--- a/src/fleet/operator_steps.cpp
+++ b/src/fleet/operator_steps.cpp
@@ -194,7 +194,7 @@
   }
 }
 
-// Shows, above all, how the overload of one tenant affects the others.
+// The figures show how the overload of one tenant affects the others.
 void LocalDeployment::printTenants() {
   ledger_.withLock([&](Ledger& ledger) {
     struct Row {
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -54,7 +54,7 @@
       case ChangeStatus::Stale:
         return absl::FailedPreconditionError("the register holds another version");
       case ChangeStatus::Forgotten:
-        return absl::UnknownError("the change may have been taken before its record was dropped");
+        return absl::UnknownError("the change may have been applied before its record was dropped");
       case ChangeStatus::New:
         break;
     }
@@ -142,10 +142,11 @@
   const SimulatedBody body = decodeSimulatedBody(presentBody);
   if (body.number < newestConfirmed_)
     violations.push_back("what stands is older than what was confirmed");
-  for (const AppliedChange& taken : body.taken) {
+  for (const AppliedChange& applied : body.taken) {
     for (const Submission& submission : submissions_) {
-      if (submission.change.digest == taken.digest && submission.refused)
-        violations.push_back("number " + std::to_string(taken.version) + " was refused and stands");
+      if (submission.change.digest == applied.digest && submission.refused)
+        violations.push_back("number " + std::to_string(applied.version) +
+                             " was refused and stands");
     }
   }
   return violations;
