--- a/src/sim/losses.h
+++ b/src/sim/losses.h
@@ -29,10 +29,9 @@
   std::uint64_t seed = 1;
   std::size_t diskMachines = 4;
   std::size_t tolerate = 1;  // simultaneous losses that the fleet must survive
-  Duration catchUpSpan =
-      std::chrono::seconds(4);    // from a machine's return until it counts as sound
-  std::size_t losses = 5;         // total of the run
-  std::vector<LossKind> kinds{};  // to draw from; empty: all
+  Duration catchUpSpan = std::chrono::seconds(4);  // from a machine's return until its loss is over
+  std::size_t losses = 5;                          // total of the run
+  std::vector<LossKind> kinds{};                   // to draw from; empty: all
 };
 
 // How the replica set recovered from one loss.
@@ -54,7 +53,7 @@
   std::size_t acknowledged = 0;       // changes
   Duration longestGap{};              // between two acknowledged changes
   bool majorityAtEnd = false;         // a read at the end succeeded
-  bool newestChangeKept = false;      // that read found the newest acknowledged change or a later
+  bool newestChangeKept = false;  // that read found the newest acknowledged version or a later one
   std::vector<Violation> violations;
 };
 
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -15,7 +15,7 @@
 bool isAcknowledged(UpdateResult result) {
   return result == UpdateResult::Applied || result == UpdateResult::AlreadyApplied;
 }
-bool isRejected(UpdateResult result) {
+bool isRefused(UpdateResult result) {
   return result == UpdateResult::Rejected || result == UpdateResult::Stale ||
          result == UpdateResult::TooLarge;
 }
@@ -54,7 +54,7 @@
       case ChangeStatus::Stale:
         return absl::FailedPreconditionError("the register holds another version");
       case ChangeStatus::Forgotten:
-        return absl::UnknownError("the change may have been taken before its record was dropped");
+        return absl::UnknownError("the change may have been applied before its record was dropped");
       case ChangeStatus::New:
         break;
     }
@@ -101,9 +101,9 @@
   const UpdateResult result = call.updateOperation.done()->result;
   Submission& submission = submissions_[call.submission];
   submission.confirmed = submission.confirmed || isAcknowledged(result);
-  submission.refused = submission.refused || isRejected(result);
+  submission.refused = submission.refused || isRefused(result);
   submission.isAnswered =
-      submission.isAnswered || (!call.answerLost && (isAcknowledged(result) || isRejected(result)));
+      submission.isAnswered || (!call.answerLost && (isAcknowledged(result) || isRefused(result)));
   lastAnswers_[call.submission] = result;
   if (isAcknowledged(result))
     newestConfirmed_ = std::max(newestConfirmed_, submission.change.version);
@@ -142,10 +142,11 @@
   const SimulatedBody body = decodeSimulatedBody(presentBody);
   if (body.number < newestConfirmed_)
     violations.push_back("what stands is older than what was confirmed");
-  for (const AppliedChange& taken : body.taken) {
+  for (const AppliedChange& applied : body.taken) {
     for (const Submission& submission : submissions_) {
-      if (submission.change.digest == taken.digest && submission.refused)
-        violations.push_back("number " + std::to_string(taken.version) + " was refused and stands");
+      if (submission.change.digest == applied.digest && submission.refused)
+        violations.push_back("number " + std::to_string(applied.version) +
+                             " was refused and stands");
     }
   }
   return violations;
