--- a/src/placement/admission.h
+++ b/src/placement/admission.h
@@ -26,6 +26,7 @@
   // request must be matched by one call of leave().
   AdmissionResult enter(const TenantName& tenant, std::size_t tenantLimit, const PolicyName& policy,
                         std::size_t policyLimit, Instant now);
+  // Counts the end of an admitted request.
   void leave(const TenantName& tenant, const PolicyName& policy);
   // Requests and retries are counted per model, because each model has its own servers.
   void countRequest(const ModelName& model, Instant now) {
--- a/src/placement/pending_parts.h
+++ b/src/placement/pending_parts.h
@@ -30,6 +30,7 @@
   // Removes and returns the records of a part that satisfy `wanted`.
   std::vector<CachedPart> take(const std::string& part,
                                const std::function<bool(const CachedPart&)>& wanted);
+  // The number of parts with records.
   std::size_t size() const { return cachedParts_.size(); }
 
  private:
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -181,6 +181,7 @@
   // batch, the server's tree is discarded.
   void applyEvents(const ServerName& server, const ServerIdentity& identity, std::uint64_t first,
                    const std::vector<CacheEvent>& events, std::uint64_t next);
+  // The position up to which events of the server or the store were applied.
   std::uint64_t eventPosition(const ServerName& server) const;
 
   // Server state as reported in responses, in addition to what the agent polls.
@@ -199,6 +200,7 @@
 
   // The number of blocks in the tree of a server, including namespace roots.
   std::size_t indexedBlocks(const ServerName& server) const;
+  // The number of placed requests that are not released.
   std::size_t ticketCount() const { return tickets_.size(); }
   // How often cache events are known to have been lost.
   std::uint64_t gaps() const { return gaps_; }
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -32,11 +32,13 @@
   bool canTakeRetry(Instant now) const;
   // Takes one retry if all trailing windows allow it. The budget is empty at start.
   bool takeRetry(Instant now);
+  // Replaces the slack; applies from the next call on.
   void setSlack(double slack) { slack_ = slack; }
   // True if there was neither a request nor a retry within the last window.
   bool isIdle(Instant now) const {
     return requestCount(now, window_) + retryCount(now, window_) == 0;
   }
+  // Requests and retries within the last `window`, which may not exceed the budget's own.
   std::size_t requestCount(Instant now, Span window) const { return count(requests_, now, window); }
   std::size_t retryCount(Instant now, Span window) const { return count(retries_, now, window); }
 
@@ -63,6 +65,7 @@
   // Removes the budgets of services without requests or retries for a whole window. Bounds the
   // table to the services that the configuration named within that window.
   void removeIdle(Instant now);
+  // The number of services that have a budget at present.
   std::size_t serviceCount() const { return budgets_.size(); }
 
  private:
--- a/src/radix/radix_tree.h
+++ b/src/radix/radix_tree.h
@@ -49,7 +49,9 @@
   std::size_t slotCount() const { return nodes_.size(); }
   static NodeHandle root() { return {}; }
 
+  // True if the handle still refers to its node.
   bool isLive(NodeHandle node) const;
+  // The properties of a node. All throw std::logic_error for a stale handle.
   std::span<const Token> label(NodeHandle node) const;
   std::span<const BlockValue> values(NodeHandle node) const;
   NodeHandle parent(NodeHandle node) const;
--- a/src/relay/connection_pool.h
+++ b/src/relay/connection_pool.h
@@ -44,7 +44,9 @@
                   std::optional<Span> keepFor, Instant now);
   // Closes connections that have been idle for too long.
   void closeExpired(Instant now);
+  // Closes all idle connections to a server.
   void dropIdle(const ServerName& server) { idle_.erase(server); }
+  // The number of connections opened so far.
   std::uint64_t opened() const { return opened_; }
 
  private:
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -119,6 +119,7 @@
  public:
   Relay(Settings settings, Dialect dialect);
   ~Relay();
+  // Opens the listening sockets and starts the traffic thread.
   absl::Status start();
   // Applies a new snapshot from the agent. Called on the agent's thread whenever something may have
   // changed.
@@ -132,9 +133,11 @@
   // Starts a graceful shutdown: reports not ready at once, still accepts requests for a while,
   // completes the accepted ones, and finishes before the grace period is over.
   void beginLeaving();
+  // True once the graceful shutdown is complete.
   bool hasLeft() const { return hasLeft_; }
   // Stops at once.
   void stop();
+  // The number of open connections from callers.
   std::size_t openConnections() const { return openCallers_; }
 
  private:
