--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -273,9 +273,9 @@
       homeServer->state.weights == chosen.row->state.weights && now >= homeServer->avoidUntil;
   if (usesHomeServer) placed.fetchFrom = Address{homeServer->state.name.value};
   if (store_.value.empty() || !isStoreReachable_) return;
-  // The estimate may count cache that isEnabled been evicted since. Asking a source that isEnabled
-  // no more costs almost nothing, while prefill costs much. Shared parts that need prefill are
-  // written to the store.
+  // The estimate may count cache that has been evicted since. Asking a source that no longer has it
+  // costs almost nothing, while prefill costs much. Shared parts that need prefill are written to
+  // the store.
   if (!usesHomeServer && isEnabled(Mechanism::StoreFetch)) placed.fetchFrom = store_;
   const std::size_t stored = storeRow_.tree.peekPrefix(*chosen.path);
   if (needsPrefill && stored < shared / settings_.blockTokens + 1 &&
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -182,7 +182,7 @@
     ScopeExit release([this, alive = alive_, ticket = placed->ticket, &ran] {
       if (*alive) placement_.release(ticket, ran, BootClock::now());
     });
-    // The same server may be used again after it said what it expects; each other server counts.
+    // A server that was already sent the request does not count again against the limit.
     if (sentTo.size() >= maxServers && !sentTo.contains(server.name)) break;
     Instant firstDeadline = job.deadline;
     const Instant now = BootClock::now();
