--- a/src/placement/choice.cpp
+++ b/src/placement/choice.cpp
@@ -23,7 +23,7 @@
 constexpr double kFullLoadOverShare = 1.5, kFullLoad = 2.0;
 // Loads within the same step are considered equal, and so are expected prefill tokens.
 constexpr double kLoadStep = 0.25, kExpectedTokensStep = 9000;
-// Prefill for weights that are about to be replaced soon has to be repeated.
+// Prefill under weights that are about to be replaced will have to be repeated.
 constexpr double kOldWeightsPenalty = 0.5;
 // The cost of a copy at a second server, in tokens, in addition to the time of the fetch: it evicts
 // another prompt, which then needs prefill again.
@@ -178,7 +178,7 @@
 
 std::vector<Placement::Option> Placement::filterUsable(const std::vector<Option>& options,
                                                        bool isOverShare, Instant now) const {
-  // At a server with twice its slots in use or waiting, the request would only age in the queue.
+  // At a server with twice its slots in use or waiting, the request would only wait in the queue.
   // The last places of the queue are reserved for tenants within their share.
   std::vector<Option> remaining = options;
   const double full = isOverShare ? kFullLoadOverShare : kFullLoad;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -68,18 +68,18 @@
   std::set<ServerName> listed;
   for (const ServerState& server : servers) {
     listed.insert(server.name);
-    const auto [entry, fresh] = servers_.try_emplace(server.name);
+    const auto [entry, isNew] = servers_.try_emplace(server.name);
     ServerRow& row = entry->second;
-    if (fresh) {
+    if (isNew) {
       dropTree(row);
       row.firstGeneration = row.treeGeneration;
     }
-    const bool known = !row.state.identity.value.empty();
-    const bool sameProcess = known && row.state.identity == server.identity;
-    const bool older = sameProcess && isOlderVersion(server.weights, row.state.weights) &&
-                       row.state.model == server.model && versionNumber(server.weights);
-    if (known && server.healthy &&
-        (!sameProcess || (row.state.weights != server.weights && !older))) {
+    const bool isKnown = !row.state.identity.value.empty();
+    const bool isSameProcess = isKnown && row.state.identity == server.identity;
+    const bool isOlder = isSameProcess && isOlderVersion(server.weights, row.state.weights) &&
+                         row.state.model == server.model && versionNumber(server.weights);
+    if (isKnown && server.healthy &&
+        (!isSameProcess || (row.state.weights != server.weights && !isOlder))) {
       dropTree(row);
       if (row.state.identity != server.identity) {
         row.eventPosition = 0;
@@ -89,13 +89,13 @@
     const ServerState before = row.state;
     row.state = server;
     // The list may be older than a response. Within one identity, weights versions never decrease.
-    if (older) row.state.weights = before.weights;
-    if (known && server.identity == before.identity && server.polledAt < before.polledAt) {
+    if (isOlder) row.state.weights = before.weights;
+    if (isKnown && server.identity == before.identity && server.polledAt < before.polledAt) {
       row.state.running = before.running;  // responses have reported newer values
       row.state.queued = before.queued;
       row.state.polledAt = before.polledAt;
     }
-    if (!server.healthy && known) {  // keep its last known state
+    if (!server.healthy && isKnown) {  // keep its last known state
       row.state.identity = before.identity;
       row.state.weights = before.weights;
       row.state.cacheTokens = before.cacheTokens;
@@ -109,18 +109,18 @@
 double Placement::currentLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
   const double own = row.load.own().requests;
-  const double since = own - row.load.ownAt(row.state.polledAt).requests;
-  return std::max(polled + since, own) / std::max(1U, row.state.slots);
+  const double sincePoll = own - row.load.ownAt(row.state.polledAt).requests;
+  return std::max(polled + sincePoll, own) / std::max(1U, row.state.slots);
 }
 
 // Extrapolates to other daemons, assuming that they behave like this one: divides the change on
 // this daemon since the poll by its share of the polled load.
 double Placement::extrapolatedLoad(const ServerRow& row) const {
   const double polled = row.state.running + row.state.queued;
-  const double then = row.load.ownAt(row.state.polledAt).requests;
-  const double daemons = std::clamp(then > 0 ? polled / then : 1.0, 1.0, kMaxDaemonRatio);
-  const double since = row.load.own().requests - then;
-  return (polled + since * daemons) / std::max(1U, row.state.slots);
+  const double ownAtPoll = row.load.ownAt(row.state.polledAt).requests;
+  const double daemons = std::clamp(ownAtPoll > 0 ? polled / ownAtPoll : 1.0, 1.0, kMaxDaemonRatio);
+  const double sincePoll = row.load.own().requests - ownAtPoll;
+  return (polled + sincePoll * daemons) / std::max(1U, row.state.slots);
 }
 
 std::vector<ServerOutstanding> Placement::ownOutstanding() const {
@@ -135,10 +135,10 @@
   std::map<ServerName, Outstanding> reported;
   for (const ServerOutstanding& entry : fleet) reported[entry.server] = entry.outstanding;
   for (auto& [name, row] : servers_) {
-    const Outstanding& here = reported[name];
-    row.load.onFleetReport(here, at);
+    const Outstanding& fleetLoad = reported[name];
+    row.load.onFleetReport(fleetLoad, at);
     if (at - row.loadReportedAt < kHeaderLoadTtl) continue;
-    row.state.running = here.requests;
+    row.state.running = fleetLoad.requests;
     row.state.queued = 0;
     row.state.polledAt = at;
   }
--- a/src/placement/server_load.cpp
+++ b/src/placement/server_load.cpp
@@ -48,8 +48,8 @@
 double ServerLoad::pendingPrefillTokens(Instant now) const {
   const auto own = static_cast<double>(own_.pendingPrefillTokens);
   if (fleetAt_ == Instant{} || now - fleetAt_ > kFleetReportTtl) return own;
-  const double then = static_cast<double>(ownAt(fleetAt_).pendingPrefillTokens);
-  return std::max(own, static_cast<double>(fleet_.pendingPrefillTokens) + own - then);
+  const double ownAtReport = static_cast<double>(ownAt(fleetAt_).pendingPrefillTokens);
+  return std::max(own, static_cast<double>(fleet_.pendingPrefillTokens) + own - ownAtReport);
 }
 
 }  // namespace quayrill
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -95,8 +95,8 @@
   }
   const auto row = serverRows_.find(server.name);
   if (row == serverRows_.end()) return false;
-  const ServerState& now = currentView.servers[row->second];
-  return !now.leaving && now.identity == server.identity &&
+  const ServerState& current = currentView.servers[row->second];
+  return !current.leaving && current.identity == server.identity &&
          startDeadline(server) > BootClock::now();
 }
 
@@ -252,11 +252,11 @@
   ++counters_.outcomeUnknown;
   recordDecision(job, attemptLog, "unknown");
   if (failure) co_return std::move(*failure);
-  const bool late = BootClock::now() >= job.deadline;
+  const bool isLate = BootClock::now() >= job.deadline;
   const ErrorKind kind =
       job.policy.repeatable
-          ? (late ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
-          : (late ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
+          ? (isLate ? ErrorKind::DeadlineExceededRepeatable : ErrorKind::OutcomeUnknownRepeatable)
+          : (isLate ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown);
   HttpResponse response =
       reject(kind, "the request may have run (" + lastDetail + ")", job.id.value);
   if (job.policy.repeatable) response.set(http::field::retry_after, "0.2");
