--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -152,10 +152,10 @@
 // each identified by its id.
 void Relay::returnConnection(Attempt& attempt, const AttemptResult& result) {
   const auto& response = attempt.parser;
-  const bool isComplete =
+  const bool isResponseComplete =
       response && response->is_done() && response->keep_alive() &&
       (result.outcome == AttemptOutcome::Done || result.outcome == AttemptOutcome::NotRun);
-  if (!isComplete || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
+  if (!isResponseComplete || attempt.strayResponses > 0 || attempt.job.id.value.empty()) return;
   std::optional<Duration> keepFor;
   const auto announced = parseNumbers(view(response->get()["Keep-Alive"]));
   if (!announced.empty()) keepFor = std::chrono::seconds(announced.front());
--- a/tests/capacity_cost.cpp
+++ b/tests/capacity_cost.cpp
@@ -77,14 +77,14 @@
   }
 }
 
-std::string configurationBody(std::size_t tenants, std::size_t ways) {
+std::string configurationBody(std::size_t tenants, std::size_t routes) {
   nlohmann::json body{{"models", {{"m0", {{"weights", "w1"}}}}}};
   body["contracts"]["c"] = {{"model", "m0"}, {"repeatable", false}};
   for (std::size_t i = 0; i < tenants; ++i) {
     const std::string name = "tenant-" + std::to_string(i);
     body["tenants"][name] = {{"keys", {keyDigest("secret of " + name)}}};
   }
-  for (std::size_t i = 0; i < ways; ++i) body["ways"]["way-" + std::to_string(i)] = "c";
+  for (std::size_t i = 0; i < routes; ++i) body["ways"]["way-" + std::to_string(i)] = "c";
   return body.dump();
 }
 }  // namespace
@@ -106,10 +106,10 @@
       placement->setServers(servers);
       Traffic traffic{std::mt19937_64{1}, 1, ownTokens, 30};
       fill(placement.get(), servers, &traffic, blocks);
-      const std::size_t held = blocksIn(*placement, servers);
-      std::cout << "own part of " << ownTokens / 16 << " blocks: blocks " << held
+      const std::size_t indexed = blocksIn(*placement, servers);
+      std::cout << "own part of " << ownTokens / 16 << " blocks: blocks " << indexed
                 << " bytes a block "
-                << static_cast<double>(heapBytes() - before) / static_cast<double>(held)
+                << static_cast<double>(heapBytes() - before) / static_cast<double>(indexed)
                 << std::endl;
     }
   }
@@ -130,7 +130,7 @@
       });
       const double updating = microsPerRound(50, [&] { placement.setServers(servers); });
       std::cout << "models " << models << " servers " << count << " placed and released in us "
-                << micros << " servers' states taken in us " << updating << std::endl;
+                << micros << " server states updated in us " << updating << std::endl;
     }
   }
 }
@@ -150,31 +150,31 @@
   std::uint64_t position = 1;
   placement.applyEvents(server.name, server.identity, 0, {}, position);
   for (const auto kind : {CacheEventKind::Stored, CacheEventKind::Dropped}) {
-    std::size_t taken = 0;
+    std::size_t applied = 0;
     const double micros = microsPerRound(sent.size() / 100, [&] {
       std::vector<CacheEvent> events;
-      for (int i = 0; i < 100; ++i) events.push_back({position + i, kind, {}, sent[taken++]});
+      for (int i = 0; i < 100; ++i) events.push_back({position + i, kind, {}, sent[applied++]});
       placement.applyEvents(server.name, server.identity, position, events, position + 100);
       position += 100;
     });
-    std::cout << (kind == CacheEventKind::Stored ? "stored" : "dropped") << " event taken in us "
+    std::cout << (kind == CacheEventKind::Stored ? "stored" : "dropped") << " event applied in us "
               << micros / 100 << std::endl;
   }
 }
 
 TEST_CASE("capacity: tenants and routes in a configuration", "[.][capacity]") {
   struct Size {
-    std::size_t tenants, ways;
+    std::size_t tenants, routes;
   };
   for (const Size size : {Size{100, 10}, Size{1000, 10}, Size{9000, 10}, Size{100, 10000}}) {
-    const std::string body = configurationBody(size.tenants, size.ways);
+    const std::string body = configurationBody(size.tenants, size.routes);
     const std::size_t before = heapBytes();
     auto configuration = std::make_unique<Configuration>(*parseConfiguration(body));
     const std::size_t bytes = heapBytes() - before;
     const double parsing = microsPerRound(3, [&] { REQUIRE(parseConfiguration(body).ok()); });
     const double patching = microsPerRound(
         3, [&] { REQUIRE(patchConfiguration(body, R"({"ways":{"way-1":null}})").ok()); });
-    std::cout << "tenants " << size.tenants << " routes " << size.ways << " body bytes "
+    std::cout << "tenants " << size.tenants << " routes " << size.routes << " body bytes "
               << body.size() << " parsed bytes " << bytes << " parsed in us " << parsing
               << " patched in us " << patching << std::endl;
   }
@@ -192,7 +192,7 @@
       Snapshot decoded;
       REQUIRE(decodeValue(encoded, &decoded));
     });
-    std::cout << "servers " << count << " snapshot bytes " << bytes << " written and read in us "
+    std::cout << "servers " << count << " snapshot bytes " << bytes << " encoded and decoded in us "
               << micros << std::endl;
   }
 }
@@ -200,8 +200,8 @@
 TEST_CASE("capacity: news of daemons", "[.][capacity]") {
   for (const std::size_t count : {13U, 100U, 340U}) {
     const std::size_t before = heapBytes();
-    auto news = std::make_unique<Gossip>(Address{"10.0.0.1:7100"}, 1);
-    GossipResponse answer;
+    auto gossip = std::make_unique<Gossip>(Address{"10.0.0.1:7100"}, 1);
+    GossipResponse response;
     for (std::size_t i = 1; i < count; ++i) {
       GossipItem item;
       item.source =
@@ -209,20 +209,20 @@
       item.version.counter = 1;
       item.zone = "zone1";
       item.proxyAddress = item.source.value;
-      answer.items.push_back(item);
+      response.items.push_back(item);
     }
-    const std::size_t beforeNews = heapBytes();
-    news->onAnswer(answer, BootClock::now());
-    const std::size_t bytes = heapBytes() - beforeNews;
-    const std::string request = encodeEnvelope({{}, {}, news->makeRequest()});
+    const std::size_t beforeResponse = heapBytes();
+    gossip->onAnswer(response, BootClock::now());
+    const std::size_t bytes = heapBytes() - beforeResponse;
+    const std::string request = encodeEnvelope({{}, {}, gossip->makeRequest()});
     const double micros = microsPerRound(200, [&] {
-      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, news->makeRequest()}));
+      const auto envelope = decodeEnvelope(encodeEnvelope({{}, {}, gossip->makeRequest()}));
       REQUIRE(envelope.ok());
-      news->answerRequest(std::get<GossipRequest>(envelope->body));
+      gossip->answerRequest(std::get<GossipRequest>(envelope->body));
     });
     std::cout << "daemons " << count << " bytes a daemon known " << bytes / count
-              << " bytes of an ask " << request.size() << " asked and answered in us " << micros
-              << std::endl;
-    REQUIRE(beforeNews >= before);
+              << " bytes of a request " << request.size() << " request and response in us "
+              << micros << std::endl;
+    REQUIRE(beforeResponse >= before);
   }
 }
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -30,18 +30,18 @@
   }
 };
 
-void setTimeout(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
-  stage.configuration.policies.at(PolicyName{route}).timeout = due;
+void setTimeout(RelayStage& stage, const std::string& route, std::chrono::milliseconds timeout) {
+  stage.configuration.policies.at(PolicyName{route}).timeout = timeout;
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
 }
 
 Reply hang(int, const std::string&) { return Reply{"", false, true}; }
 
-// Sends a request with a timeout of `due` and waits for the response at its deadline.
-void waitForDeadline(RelayStage& stage, std::chrono::milliseconds due) {
-  const std::string answer =
-      stage.post("/last/", "last", "X-Key: key\r\nX-Due: " + std::to_string(due.count()) + "\r\n");
+// Sends a request with that timeout and waits for the response at its deadline.
+void waitForDeadline(RelayStage& stage, std::chrono::milliseconds timeout) {
+  const std::string answer = stage.post(
+      "/last/", "last", "X-Key: key\r\nX-Due: " + std::to_string(timeout.count()) + "\r\n");
   CHECK(statusOf(answer) == 504);
 }
 
@@ -155,12 +155,13 @@
     fillers.push_back(std::make_unique<Tcp::socket>(own));
     fillers.back()->open(Tcp::v4());
     fillers.back()->non_blocking(true);
-    const Tcp::endpoint to = endpointOf(unreachable);  // started, but not waited for
+    const Tcp::endpoint to = endpointOf(unreachable);
+    // Starts to connect and does not wait.
     ::connect(fillers.back()->native_handle(), to.data(), static_cast<socklen_t>(to.size()));
   }
-  SnapshotServer row = stage.snapshot.servers[0];
-  row.name = ServerName{unreachable.value};
-  stage.snapshot.servers.push_back(row);
+  SnapshotServer unreachableServer = stage.snapshot.servers[0];
+  unreachableServer.name = ServerName{unreachable.value};
+  stage.snapshot.servers.push_back(unreachableServer);
   stage.snapshot.servers[0].healthy = false;
   stage.publishSnapshot();
   {
--- a/tests/relay_weights_tests.cpp
+++ b/tests/relay_weights_tests.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 const ModelName kModel{"m"};
-const std::chrono::microseconds kBound = Settings{}.rolloutTimeLimit;
+const std::chrono::microseconds kRolloutTimeLimit = Settings{}.rolloutTimeLimit;
 
 // Makes `newest` the current version. `superseded`: for each older version, how long ago at least
 // it was superseded.
-void nameWeights(RelayStage* stage, const std::string& newest,
-                 const std::vector<std::pair<std::string, std::chrono::microseconds>>& superseded) {
+void setCurrentWeights(
+    RelayStage* stage, const std::string& newest,
+    const std::vector<std::pair<std::string, std::chrono::microseconds>>& superseded) {
   stage->configuration.weights[kModel] = WeightsVersion{newest};
   ++stage->snapshot.configurationVersion;
   stage->snapshot.superseded.clear();
@@ -23,7 +24,7 @@
 
 TEST_CASE("relay: past a version's own bound nothing begins on it, whatever was named since") {
   RelayStage stage(2);
-  nameWeights(&stage, "4", {{"1", kBound + 1s}, {"2", 8s}, {"3", 1s}});
+  setCurrentWeights(&stage, "4", {{"1", kRolloutTimeLimit + 1s}, {"2", 8s}, {"3", 1s}});
   stage.snapshot.servers[1].weights = WeightsVersion{"2"};
   stage.publishSnapshot();
   for (int i = 0; i < 12; ++i)
@@ -34,7 +35,7 @@
 
 TEST_CASE("relay: a model that a request does not name is bound by its weights too") {
   RelayStage stage(2);
-  nameWeights(&stage, "2", {{"1", kBound + 1s}});
+  setCurrentWeights(&stage, "2", {{"1", kRolloutTimeLimit + 1s}});
   stage.snapshot.servers[1].weights = WeightsVersion{"2"};
   stage.publishSnapshot();
   for (int i = 0; i < 8; ++i) {
@@ -49,7 +50,7 @@
 
 TEST_CASE("relay: where the time of a naming is not known, the newest weights alone serve") {
   RelayStage stage(2);
-  nameWeights(&stage, "2", {});
+  setCurrentWeights(&stage, "2", {});
   stage.publishSnapshot();
   const std::string refused = stage.post("/once/", "r1");
   CHECK(statusOf(refused) == 503);
@@ -79,8 +80,8 @@
         stage.post(isRepeatable ? "/again/" : "/once/", "r1", "X-Key: key\r\nX-Due: 600000\r\n");
   });
   eventually([&] { return stage.servers[0]->arrived == 1; });
-  // Newer weights are named meanwhile, and the deadline of the old ones is close.
-  nameWeights(&stage, "2", {{"1", kBound - 500ms}});
+  // Newer weights become current meanwhile, and the deadline of the old ones is close.
+  setCurrentWeights(&stage, "2", {{"1", kRolloutTimeLimit - 500ms}});
   stage.snapshot.servers[1].weights = WeightsVersion{"2"};
   stage.snapshot.servers[1].leaving = false;
   stage.publishSnapshot();
@@ -100,7 +101,7 @@
 TEST_CASE("relay: a stream that has begun goes on past the bound of its weights") {
   RelayStage stage(1);
   constexpr auto kLeft = 3500ms;  // more than a new request needs
-  nameWeights(&stage, "2", {{"1", kBound - kLeft}});
+  setCurrentWeights(&stage, "2", {{"1", kRolloutTimeLimit - kLeft}});
   const Instant past = BootClock::now() + kLeft + 100ms;
   stage.publishSnapshot();
   stage.servers[0]->pause = [past] {
@@ -122,9 +123,10 @@
   RelayStage stage(3);
   stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = true;
   stage.publishSnapshot();
-  // While the first server responds, it becomes known that newer weights were named long ago.
+  // While the first server responds, it becomes known that newer weights have been current for
+  // long.
   stage.servers[0]->setScript([&](int, const std::string& request) {
-    nameWeights(&stage, "2", {{"1", kBound + 1s}});
+    setCurrentWeights(&stage, "2", {{"1", kRolloutTimeLimit + 1s}});
     stage.snapshot.servers[1].leaving = stage.snapshot.servers[2].leaving = false;
     stage.snapshot.servers[2].weights = WeightsVersion{"2"};
     stage.relay->applySnapshot(stage.snapshot, BootClock::now());
