--- a/src/radix/radix_tree.cpp
+++ b/src/radix/radix_tree.cpp
@@ -101,11 +101,11 @@
   unlinkChild(parent, child);
   Node& upper = nodes_[middle];
   Node& lower = nodes_[child];
-  const std::size_t runs = tokens / granule_;
+  const std::size_t granules = tokens / granule_;
   upper.label.assign(lower.label.begin(), lower.label.begin() + tokens);
-  upper.values.assign(lower.values.begin(), lower.values.begin() + runs);
+  upper.values.assign(lower.values.begin(), lower.values.begin() + granules);
   lower.label.erase(lower.label.begin(), lower.label.begin() + tokens);
-  lower.values.erase(lower.values.begin(), lower.values.begin() + runs);
+  lower.values.erase(lower.values.begin(), lower.values.begin() + granules);
   upper.parent = parent;
   upper.lockCount = lower.lockCount;
   upper.stamp = lower.stamp;
@@ -201,13 +201,13 @@
   std::size_t stored = 0;
   std::uint32_t last = descend(key, &stored, nullptr);
   PrefixInsert result;
-  const std::size_t storedRuns = stored / granule_;
-  result.unusedValues.assign(values.begin(), values.begin() + storedRuns);
+  const std::size_t storedGranules = stored / granule_;
+  result.unusedValues.assign(values.begin(), values.begin() + storedGranules);
   if (stored < key.size()) {
     const std::uint32_t leaf = allocate();
     Node& node = nodes_[leaf];
     node.label.assign(key.begin() + stored, key.end());
-    node.values.assign(values.begin() + storedRuns, values.end());
+    node.values.assign(values.begin() + storedGranules, values.end());
     node.parent = last;
     valueCount_ += node.values.size();
     nodes_[last].children.emplace(firstBlockHash(node.label), leaf);
@@ -263,10 +263,10 @@
 
 std::size_t RadixTree::prune(std::span<const Token> key) {
   const Step step = walk(key, nullptr);
-  const std::size_t whole = key.size() - key.size() % granule_;
+  const std::size_t wholeTokens = key.size() - key.size() % granule_;
   std::uint32_t top = step.node;
-  if (step.tokens + step.partialTokens < whole) return 0;
-  if (step.tokens < whole) top = step.partial;
+  if (step.tokens + step.partialTokens < wholeTokens) return 0;
+  if (step.tokens < wholeTokens) top = step.partial;
   std::vector<std::uint32_t> below{top};
   for (std::size_t i = 0; i < below.size(); ++i) {
     for (const auto& [hash, child] : nodes_[below[i]].children) below.push_back(child);
--- a/src/relay/connection_pool.cpp
+++ b/src/relay/connection_pool.cpp
@@ -66,9 +66,9 @@
 void ConnectionPool::returnIdle(const ServerName& server,
                                 std::unique_ptr<ServerConnection> connection,
                                 std::optional<Duration> keepFor, Instant now) {
-  const Duration kept = keepFor ? *keepFor - kIdleMargin : idleTimeout_;
-  if (kept <= Duration{} || connection->buffer.size() > 0) return;
-  connection->usableUntil = now + kept;
+  const Duration usableFor = keepFor ? *keepFor - kIdleMargin : idleTimeout_;
+  if (usableFor <= Duration{} || connection->buffer.size() > 0) return;
+  connection->usableUntil = now + usableFor;
   ++connection->responsesRead;
   auto& row = idle_[server];
   row.push_back(std::move(connection));
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -73,14 +73,14 @@
   job->id = RequestId{id};
   if (isRejecting_) return reject(ErrorKind::Rejected, "this daemon is leaving", id);
   const auto& currentView = *view_;
-  const Duration unconfirmed = BootClock::now() - currentView.confirmedAt;
-  if (!currentView.configuration || unconfirmed >= settings_.stalenessLimit) {
+  const Duration confirmedAgo = BootClock::now() - currentView.confirmedAt;
+  if (!currentView.configuration || confirmedAgo >= settings_.stalenessLimit) {
     ++counters_.unconfirmed;
     return reject(ErrorKind::Rejected, "this daemon can't confirm the configuration now", id);
   }
   const auto deny = [&](ErrorKind kind, const std::string& why) {
     ++counters_.badInput;
-    if (unconfirmed >= kMaxAgeToDeny)
+    if (confirmedAgo >= kMaxAgeToDeny)
       return reject(ErrorKind::Rejected, "the configuration is not confirmed: " + why, id);
     return reject(kind, why, id);
   };
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -9,7 +9,8 @@
 // it delays the others very little.
 unsigned urgencyOf(const RelayRequest& job, const PlacementResult& placed) {
   unsigned steps = 0;
-  for (std::size_t unread = placed.promptTokens - placed.matchedTokens; unread > 1000; unread /= 2)
+  for (std::size_t prefillTokens = placed.promptTokens - placed.matchedTokens; prefillTokens > 1000;
+       prefillTokens /= 2)
     ++steps;
   return std::min(9U, job.priority + steps);
 }
--- a/tests/byte_server.h
+++ b/tests/byte_server.h
@@ -171,7 +171,7 @@
     ++closed;
     if (hadFault) ++faultyClosed;
   }
-  // Expires once the other end has closed it.
+  // The last connection whose reply hangs. Expires when that connection is closed.
   std::weak_ptr<Tcp::socket> hungConnection() {
     std::lock_guard lock(mutex);
     return hungSocket;
--- a/tests/caller_limit_tests.cpp
+++ b/tests/caller_limit_tests.cpp
@@ -69,8 +69,8 @@
   stage.configuration.callerLimits.idleTimeout = 1500ms;
   stage.addRoute("/last/", false, 1);
   publishConfiguration(stage);
-  asio::io_context own;
-  Tcp::socket socket(own);
+  asio::io_context callerIo;
+  Tcp::socket socket(callerIo);
   socket.connect(endpointOf(stage.callers));
   std::string bytes;
   const auto requestAgain = [&](const char* id) {
@@ -112,9 +112,9 @@
     if (arrival == 3) return Reply{"", true};
     return Reply{"", false, true};
   });
-  const std::string own = stage.post("/once/", "r1");
-  CHECK(statusOf(own) == 500);
-  CHECK(headerIn(own, "X-Seal") == "s1");
+  const std::string forwarded = stage.post("/once/", "r1");
+  CHECK(statusOf(forwarded) == 500);
+  CHECK(headerIn(forwarded, "X-Seal") == "s1");
   const std::vector<std::pair<int, std::string>> failures{
       {503, stage.post("/once/", "r2")},
       {502, stage.post("/once/", "r3")},
--- a/tests/choice_tests.cpp
+++ b/tests/choice_tests.cpp
@@ -90,9 +90,9 @@
   const PlacementResult away = third.placeAndRelease("rules:13312,c:4096");
   CHECK(away.chosenServer.name != home);
   CHECK(away.fetchFrom.value == home.value);
-  PlacementSettings without = relaySettings();
-  without.mechanisms.disable(Mechanism::HomeFetch);
-  Fleet fourth(5, without);
+  PlacementSettings withoutHomeFetch = relaySettings();
+  withoutHomeFetch.mechanisms.disable(Mechanism::HomeFetch);
+  Fleet fourth(5, withoutHomeFetch);
   fourth.reportFleetLoad(home, 900000);
   CHECK(fourth.placeAndRelease("rules:13312,d:4096").fetchFrom.value.empty());
 }
--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -146,13 +146,13 @@
 TEST_CASE("gone: a caller that leaves while a server is connected to reaches no server") {
   RelayStage stage(1);
   // A server whose queue of new connections is full does not answer connection attempts.
-  asio::io_context own;
-  Tcp::acceptor full(own);
+  asio::io_context listenerIo;
+  Tcp::acceptor full(listenerIo);
   const Address unreachable = localAddress(40, 7400);
   REQUIRE(listenAt(full, unreachable, 0).ok());
   std::vector<std::unique_ptr<Tcp::socket>> fillers;
   for (int i = 0; i < 8; ++i) {
-    fillers.push_back(std::make_unique<Tcp::socket>(own));
+    fillers.push_back(std::make_unique<Tcp::socket>(listenerIo));
     fillers.back()->open(Tcp::v4());
     fillers.back()->non_blocking(true);
     const Tcp::endpoint to = endpointOf(unreachable);
--- a/tests/leaving_tests.cpp
+++ b/tests/leaving_tests.cpp
@@ -50,16 +50,16 @@
 
 TEST_CASE("leaving: not ready at once, and what still comes is served and told to close") {
   RelayStage stage(1, 60s);
-  PersistentCaller kept(stage);
-  kept.send("/once/", "r1");
-  CHECK(headerIn(kept.readNext(), "Connection").empty());
+  PersistentCaller caller(stage);
+  caller.send("/once/", "r1");
+  CHECK(headerIn(caller.readNext(), "Connection").empty());
   stage.relay->beginLeaving();
   stage.waitReady(503);
-  kept.send("/once/", "r2");
-  const std::string second = kept.readNext();
+  caller.send("/once/", "r2");
+  const std::string second = caller.readNext();
   CHECK(headerIn(second, "X-Id") == "r2");
   CHECK(headerIn(second, "Connection") == "close");
-  CHECK(kept.readToEnd().empty());
+  CHECK(caller.readToEnd().empty());
   const std::string fresh =
       stage.exchange(stage.callers, RelayStage::request("/once/", "r3", "X-Key: key\r\n", false));
   CHECK(statusOf(fresh) == 200);
@@ -74,14 +74,14 @@
     while (!mayAnswer) std::this_thread::yield();
     return Reply{streamHead(request) + chunked({event(1)})};
   });
-  PersistentCaller kept(stage);
-  kept.send("/once/", "r1");
+  PersistentCaller caller(stage);
+  caller.send("/once/", "r1");
   // The server's thread is waiting in the script.
   eventually([&] { return stage.servers[0]->arrived > 0; });
   stage.relay->beginLeaving();
   stage.waitReady(503);
   mayAnswer = true;
-  const std::string answer = kept.readNext();
+  const std::string answer = caller.readNext();
   CHECK(headerIn(answer, "X-Id") == "r1");
   CHECK(headerIn(answer, "Connection") == "close");
 }
@@ -91,17 +91,17 @@
   stage.setScript([](int, const std::string& request) {
     return Reply{streamHead(request) + chunked({event(1)}, false), false, true};
   });
-  PersistentCaller kept(stage);
-  kept.send("/once/", "r1");
-  asio::read_until(kept.socket, asio::dynamic_buffer(kept.bytes), event(1));
+  PersistentCaller caller(stage);
+  caller.send("/once/", "r1");
+  asio::read_until(caller.socket, asio::dynamic_buffer(caller.bytes), event(1));
   stage.relay->beginLeaving();
   stage.waitReady(503);
   stage.servers[0]->sendMore(chunked({event(2)}));
-  const std::string answer = kept.readNext();
+  const std::string answer = caller.readNext();
   CHECK(answer.find(event(2)) != std::string::npos);
   CHECK(endsWhole(answer));
   // Idle from now on, so it is closed once no more requests are accepted.
-  CHECK(kept.readToEnd().empty());
+  CHECK(caller.readToEnd().empty());
   eventually([&] { return stage.relay->hasLeft(); });
 }
 
--- a/tests/radix_tests.cpp
+++ b/tests/radix_tests.cpp
@@ -187,13 +187,13 @@
           const auto order = tree.lruOrder();
           const Key oldest = order.empty() ? Key{} : pathOf(tree, order.front());
           Values freed;
-          const std::size_t labelRuns =
+          const std::size_t labelGranules =
               order.empty() ? 0 : tree.label(order.front()).size() / granule;
           tree.evict(order.empty() ? 0 : 1, [&](BlockValue value) { freed.push_back(value); });
-          REQUIRE(freed.size() == labelRuns);
-          for (std::size_t i = 0; i < labelRuns; ++i) {
+          REQUIRE(freed.size() == labelGranules);
+          for (std::size_t i = 0; i < labelGranules; ++i) {
             const Key gone(oldest.begin(),
-                           oldest.end() - static_cast<long>((labelRuns - 1 - i) * granule));
+                           oldest.end() - static_cast<long>((labelGranules - 1 - i) * granule));
             REQUIRE(naive.stored.at(gone) == freed[i]);
             naive.stored.erase(gone);
           }
--- a/tests/relay_boundary_tests.cpp
+++ b/tests/relay_boundary_tests.cpp
@@ -71,7 +71,7 @@
   return std::string(kindName(testCase.kind)) + " on " + testCase.route.prefix + ", " +
          faultName(testCase.fault) + " at " + std::to_string(testCase.cut) +
          (testCase.isReused ? ", kept connection" : ", fresh connection") +
-         (testCase.strayBytes.empty() ? "" : ", behind '" + testCase.strayBytes + "'");
+         (testCase.strayBytes.empty() ? "" : ", after '" + testCase.strayBytes + "'");
 }
 
 struct BoundaryStage : RelayStage {
@@ -101,8 +101,8 @@
   ~BoundaryStage() {
     for (auto& server : servers) server->setScript([](int, const std::string&) { return Reply{}; });
   }
-  // Makes one call that the relay's only thread handles: bytes delivered earlier have been read by
-  // then.
+  // Makes one request that the relay's only thread handles: bytes delivered earlier have been read
+  // by then.
   void waitForRelay() {
     exchange(ready, "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   }
@@ -162,21 +162,22 @@
                                        << ", runs " << runs << ", body '" << answer.body << "')");
     };
     if (answer.status == 0) return fails("no head came back");
-    if (answer.surplus > 0) fails("bytes behind the answer");
-    if (answer.id != id) fails("an answer of another request: " + answer.id);
+    if (answer.surplus > 0) fails("bytes after the response");
+    if (answer.id != id) fails("the response to another request: " + answer.id);
     if (!answer.seal.empty() && answer.seal != "s-" + id) fails("another request's seal");
     if (!checkedCase.route.isRepeatable && runs > 1) fails("an unsafe request ran twice");
-    if (isNotRunStatus(answer.status) && runs > 0) fails("'not run' was said of what ran");
+    if (isNotRunStatus(answer.status) && runs > 0) fails("reported as not run, but it ran");
     const std::string all = checkedCase.route.isStream ? eventsFrom(1) : "ok";
     const bool endsEarly = checkedCase.kind == Kind::NoLength && checkedCase.fault == Fault::Close;
     if (answer.status == 200) {
       if (answer.seal.empty()) fails("a success without a seal");
       // Garbage inside a body of known length cannot be detected; it counts as the server's.
-      const bool isForged = checkedCase.fault == Fault::Garbage &&
-                            checkedCase.kind == Kind::Plain && answer.body.size() == all.size();
-      if (!isForged && all.rfind(answer.body, 0) != 0) fails("the body is not the server's");
+      const bool isGarbageBody = checkedCase.fault == Fault::Garbage &&
+                                 checkedCase.kind == Kind::Plain &&
+                                 answer.body.size() == all.size();
+      if (!isGarbageBody && all.rfind(answer.body, 0) != 0) fails("the body is not the server's");
       if (answer.isWhole && answer.body.size() != all.size() && !endsEarly)
-        fails("a cut looks complete");
+        fails("a truncated body looks complete");
       if (checkedCase.route.isStream && !wholeEvents(answer.body)) fails("part of an event");
     }
     const bool isUsable = checkedCase.route.isRepeatable || checkedCase.fault == Fault::None;
@@ -311,19 +312,19 @@
   stage.relay->applySnapshot(stage.snapshot, BootClock::now());
   // On a busy machine, the deadline of some requests passes before they are sent on, so they are
   // rejected. These are repeated, fewer at a time, until each case has reached its server.
-  std::vector<PendingCase> open = all;
+  std::vector<PendingCase> remaining = all;
   std::vector<PendingCase> reached;
-  for (int round = 0; round < 40 && !open.empty(); ++round) {
-    sendAll(stage.callers, &open);
+  for (int round = 0; round < 40 && !remaining.empty(); ++round) {
+    sendAll(stage.callers, &remaining);
     stage.relay->applySnapshot(stage.snapshot, BootClock::now());
     std::lock_guard lock(mutex);
     const auto isReached = [&](const PendingCase& pending) {
       return arrivals[pending.id] > 0 ||
              !isNotRunStatus(parseResponse(pending.bytes, "X-Id", "X-Seal").status);
     };
-    std::copy_if(open.begin(), open.end(), std::back_inserter(reached), isReached);
-    std::erase_if(open, isReached);
-    for (PendingCase& pending : open) pending.bytes.clear();
+    std::copy_if(remaining.begin(), remaining.end(), std::back_inserter(reached), isReached);
+    std::erase_if(remaining, isReached);
+    for (PendingCase& pending : remaining) pending.bytes.clear();
   }
   CHECK(reached.size() == all.size());
   for (const PendingCase& pending : reached) {
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -195,8 +195,8 @@
   RelayStage stage(1);
   stage.setScript([](int, const std::string&) { return Reply{"", false, true}; });
   {
-    asio::io_context own;
-    Tcp::socket socket(own);
+    asio::io_context callerIo;
+    Tcp::socket socket(callerIo);
     socket.connect(endpointOf(stage.callers));
     asio::write(socket, asio::buffer(RelayStage::request("/once/", "r1")));
     eventually([&] { return stage.arrivals() == 1; });
@@ -206,8 +206,8 @@
 
 TEST_CASE("relay: a connection of a caller carries one request after the other") {
   RelayStage stage(1);
-  asio::io_context own;
-  Tcp::socket socket(own);
+  asio::io_context callerIo;
+  Tcp::socket socket(callerIo);
   socket.connect(endpointOf(stage.callers));
   std::string bytes;
   for (const char* id : {"r1", "r2"}) {
@@ -256,8 +256,8 @@
     isStalled = true;
     while (BootClock::now() < past) std::this_thread::yield();
   };
-  asio::io_context own;
-  Tcp::socket socket(own);
+  asio::io_context callerIo;
+  Tcp::socket socket(callerIo);
   socket.connect(endpointOf(stage.callers));
   asio::write(socket, asio::buffer(RelayStage::request("/again/", "r1")));
   eventually([&] { return stage.servers[0]->arrived == 1; });
