--- a/src/relay/caller_connections.cpp
+++ b/src/relay/caller_connections.cpp
@@ -244,9 +244,9 @@
     error = {ErrorKind::RequestTimeout, "the request did not come whole in time"};
   if (code == http::error::header_limit) error = {ErrorKind::HeadersTooLarge, "the headers"};
   if (code == http::error::body_limit) error = {ErrorKind::BodyTooLarge, "the body"};
-  const bool closed = code == asio::error::eof || code == asio::error::connection_reset ||
-                      code == http::error::partial_message;
-  if (!closed) {
+  const bool isClosed = code == asio::error::eof || code == asio::error::connection_reset ||
+                        code == http::error::partial_message;
+  if (!isClosed) {
     ++counters_.badInput;
     co_await sendResponse(caller, errorResponse(error), false);
     co_await drain(caller);
@@ -269,8 +269,8 @@
   } counted(openCallers_, alive_);
   for (;;) {
     RelayRequest job;
-    const bool whole = co_await readRequest(caller, &job.original);
-    if (!whole) break;
+    const bool hasRequest = co_await readRequest(caller, &job.original);
+    if (!hasRequest) break;
     ++counters_.requests;
     job.startedAt = caller->requestStartedAt;
     const bool keepAlive = job.original.keep_alive();
--- a/tests/boundary.h
+++ b/tests/boundary.h
@@ -21,17 +21,17 @@
   parser.eager(true);
   ErrorCode code;
   ParsedResponse answer;
-  std::size_t used = 0;
-  while (used < bytes.size() && !parser.is_done() && !code) {
-    const std::size_t took =
-        parser.put(asio::buffer(bytes.data() + used, bytes.size() - used), code);
-    used += took;
-    if (took == 0) break;
+  std::size_t parsedBytes = 0;
+  while (parsedBytes < bytes.size() && !parser.is_done() && !code) {
+    const std::size_t consumed =
+        parser.put(asio::buffer(bytes.data() + parsedBytes, bytes.size() - parsedBytes), code);
+    parsedBytes += consumed;
+    if (consumed == 0) break;
   }
   if (!parser.is_header_done()) return answer;
   if (!code && !parser.is_done()) parser.put_eof(code);
   answer.isWhole = !code && parser.is_done();
-  if (answer.isWhole) answer.surplus = bytes.size() - used;
+  if (answer.isWhole) answer.surplus = bytes.size() - parsedBytes;
   answer.status = parser.get().result_int();
   answer.body = parser.get().body();
   answer.id = std::string(parser.get()[idName]);
--- a/tests/relay_answer_tests.cpp
+++ b/tests/relay_answer_tests.cpp
@@ -9,17 +9,17 @@
   RelayStage stage(2);
   // The 'not run' response arrives where the second response is expected, but belongs to an earlier
   // request.
-  const std::string surplus = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
-  for (const bool answers : {true, false}) {
+  const std::string lateResponse = "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno";
+  for (const bool isAnswered : {true, false}) {
     stage.setScript([&](int, const std::string& request) {
-      const std::string own = streamHead(request) + chunked({event(1)});
-      if (headerIn(request, "X-Id")[0] == 'w') return Reply{own};
-      return answers ? Reply{surplus + own} : Reply{surplus, true};
+      const std::string ownResponse = streamHead(request) + chunked({event(1)});
+      if (headerIn(request, "X-Id")[0] == 'w') return Reply{ownResponse};
+      return isAnswered ? Reply{lateResponse + ownResponse} : Reply{lateResponse, true};
     });
     const int before = stage.arrivals();
     CHECK(endsWhole(stage.post("/twice/", "w1")));
     const std::string second = stage.post("/twice/", "r2");
-    CHECK(statusOf(second) == (answers ? 200 : 502));
+    CHECK(statusOf(second) == (isAnswered ? 200 : 502));
     CHECK(headerIn(second, "X-Id") == "r2");
     CHECK(stage.arrivals() == before + 2);
   }
@@ -59,14 +59,14 @@
 
 TEST_CASE("relay: a request that is sent again never meets its own earlier answer") {
   RelayStage stage(1);
-  const std::string wanted = "X-Identity: i0\r\nX-Weights: 2\r\n";
+  const std::string newerWeights = "X-Identity: i0\r\nX-Weights: 2\r\n";
   ByteServer& server = *stage.servers[0];
   stage.setScript([&](int arrival, const std::string& request) {
-    const std::string own = streamHead(request) + chunked({event(1)});
-    if (arrival == 1) return Reply{plain(request, 421, wanted)};
-    // Repeats the first response late, on its own connection.
-    const bool isKept = server.connectionNumbers.back() == server.connectionNumbers.front();
-    return Reply{(isKept ? plain(request, 421, wanted) : "") + own};
+    const std::string ownResponse = streamHead(request) + chunked({event(1)});
+    if (arrival == 1) return Reply{plain(request, 421, newerWeights)};
+    // Repeats the first response late, on the connection that carried it.
+    const bool isReused = server.connectionNumbers.back() == server.connectionNumbers.front();
+    return Reply{(isReused ? plain(request, 421, newerWeights) : "") + ownResponse};
   });
   CHECK(statusOf(stage.post("/twice/", "r1")) == 200);
   CHECK(stage.arrivals() == 2);
@@ -187,7 +187,7 @@
   });
   constexpr int kRequests = 24;
   for (int i = 0; i < kRequests; ++i) stage.post("/twice/", "r" + std::to_string(i));
-  const int extra = stage.arrivals() - kRequests;
-  CHECK(extra <= kRequests / 2);
-  CHECK(extra >= 2);
+  const int retries = stage.arrivals() - kRequests;
+  CHECK(retries <= kRequests / 2);
+  CHECK(retries >= 2);
 }
--- a/tests/relay_tests.cpp
+++ b/tests/relay_tests.cpp
@@ -64,9 +64,9 @@
 TEST_CASE("relay: a surplus answer on a kept connection belongs to nobody") {
   RelayStage stage(1);
   stage.setScript([](int arrival, const std::string& request) {
-    const std::string own = streamHead(request) + chunked({event(1)});
-    if (arrival == 1) return Reply{own};
-    return Reply{plain("\r\nX-Id: r1\r\n", 200) + own};
+    const std::string ownResponse = streamHead(request) + chunked({event(1)});
+    if (arrival == 1) return Reply{ownResponse};
+    return Reply{plain("\r\nX-Id: r1\r\n", 200) + ownResponse};
   });
   CHECK(endsWhole(stage.post("/once/", "r1")));
   const std::string second = stage.post("/once/", "r2");
