--- a/tests/deadline_tests.cpp
+++ b/tests/deadline_tests.cpp
@@ -30,18 +30,18 @@
   }
 };
 
-void setTimeout(RelayStage& stage, const std::string& route, std::chrono::milliseconds due) {
-  stage.configuration.policies.at(PolicyName{route}).timeout = due;
+void setTimeout(RelayStage& stage, const std::string& route, std::chrono::milliseconds timeout) {
+  stage.configuration.policies.at(PolicyName{route}).timeout = timeout;
   ++stage.snapshot.configurationVersion;
   stage.publishSnapshot();
 }
 
 Reply hang(int, const std::string&) { return Reply{"", false, true}; }
 
-// Sends a request with a timeout of `due` and waits for the response at its deadline.
-void waitForDeadline(RelayStage& stage, std::chrono::milliseconds due) {
-  const std::string answer =
-      stage.post("/last/", "last", "X-Key: key\r\nX-Due: " + std::to_string(due.count()) + "\r\n");
+// Sends a request with that timeout and waits for the response at its deadline.
+void waitForDeadline(RelayStage& stage, std::chrono::milliseconds timeout) {
+  const std::string answer = stage.post(
+      "/last/", "last", "X-Key: key\r\nX-Due: " + std::to_string(timeout.count()) + "\r\n");
   CHECK(statusOf(answer) == 504);
 }
 
@@ -146,21 +146,22 @@
 TEST_CASE("gone: a caller that leaves while a server is connected to reaches no server") {
   RelayStage stage(1);
   // A server whose queue of new connections is full does not answer connection attempts.
-  asio::io_context own;
-  Tcp::acceptor full(own);
+  asio::io_context listenerIo;
+  Tcp::acceptor full(listenerIo);
   const Address unreachable = localAddress(40, 7400);
   REQUIRE(listenAt(full, unreachable, 0).ok());
   std::vector<std::unique_ptr<Tcp::socket>> fillers;
   for (int i = 0; i < 8; ++i) {
-    fillers.push_back(std::make_unique<Tcp::socket>(own));
+    fillers.push_back(std::make_unique<Tcp::socket>(listenerIo));
     fillers.back()->open(Tcp::v4());
     fillers.back()->non_blocking(true);
-    const Tcp::endpoint to = endpointOf(unreachable);  // started, but not waited for
+    const Tcp::endpoint to = endpointOf(unreachable);
+    // Starts to connect and does not wait.
     ::connect(fillers.back()->native_handle(), to.data(), static_cast<socklen_t>(to.size()));
   }
-  SnapshotServer row = stage.snapshot.servers[0];
-  row.name = ServerName{unreachable.value};
-  stage.snapshot.servers.push_back(row);
+  SnapshotServer unreachableServer = stage.snapshot.servers[0];
+  unreachableServer.name = ServerName{unreachable.value};
+  stage.snapshot.servers.push_back(unreachableServer);
   stage.snapshot.servers[0].healthy = false;
   stage.publishSnapshot();
   {
