--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -38,7 +38,8 @@
     }
     // True if the server has recently answered another request.
     bool deservesExtension(Instant now) const {
-      return now<hardDeadline&& * lastActivity> startedAt && now - *lastActivity < kActivityWindow;
+      return (now < hardDeadline) && (*lastActivity > startedAt) &&
+             now - *lastActivity < kActivityWindow;
     }
   };
   const std::shared_ptr<Caller>& caller;
