--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -21,8 +21,8 @@
 
 // The names of the headers that a relayed request and its answer carry.
 struct HeaderNames {
-  // Sent by callers and forwarded to servers, `deadlineMs` and `lastEventId` with updated values.
-  std::string requestId, deadlineMs, prefix, model, lastEventId, tokenCount;
+  // Sent by callers and forwarded to servers, `timeoutMs` and `lastEventId` with updated values.
+  std::string requestId, timeoutMs, prefix, model, lastEventId, tokenCount;
   // Both are removed from the caller's request; servers receive the tenant that the key belongs to.
   std::string key, tenant;
   // Set by the daemon for servers; values sent by callers are dropped.
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -36,7 +36,7 @@
 // The timeout of the route, or that of the caller if it is shorter.
 Duration Relay::timeoutFor(const http::request_header<>& head, const RoutePolicy& policy) const {
   const Duration timeout = policy.timeout;
-  const auto requested = numberOf(headerOf(head, headerNames_.deadlineMs));
+  const auto requested = numberOf(headerOf(head, headerNames_.timeoutMs));
   if (!requested) return timeout;
   return std::min<Duration>(timeout,
                             std::chrono::milliseconds(std::min(*requested, kMaxTimeoutMs)));
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -34,13 +34,13 @@
     for (const std::string* own :
          {&headerNames_.key, &headerNames_.tenant, &headerNames_.identityWanted,
           &headerNames_.weightsWanted, &headerNames_.salt, &headerNames_.fetchSource,
-          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.deadlineMs,
+          &headerNames_.keepAt, &headerNames_.urgency, &headerNames_.timeoutMs,
           &headerNames_.lastEventId})
       isReplaced = isReplaced || isSameHeaderName(name, *own);
     if (!isReplaced) addHeader(&head, name, view(field.value()));
   }
   const auto timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(job.deadline - now);
-  addHeader(&head, headerNames_.deadlineMs,
+  addHeader(&head, headerNames_.timeoutMs,
             std::to_string(std::max<std::int64_t>(1, timeLeft.count())));
   addHeader(&head, headerNames_.identityWanted, server.identity.value);
   if (!server.weights.value.empty())
--- a/tests/relay_stage.h
+++ b/tests/relay_stage.h
@@ -10,7 +10,7 @@
 inline HeaderNames relayTestNames() {
   HeaderNames names;
   names.requestId = "X-Id";
-  names.deadlineMs = "X-Due";
+  names.timeoutMs = "X-Due";
   names.key = "X-Key";
   names.tenant = "X-Tenant";
   names.prefix = "X-Prefix";
